--- a/jackdawspur/adapters/__init__.py
+++ b/jackdawspur/adapters/__init__.py
@@ -8,7 +8,7 @@
     __name__,
     submod_attrs={
         "_addresses": ["split_address"],
-        "_deadlines": ["Deadline", "Deadlines"],
+        "_timer_queue": ["Deadline", "Deadlines"],
         "_hostlist_http": ["HttpHostList"],
         "_http_client": ["HttpClient", "HttpLimits", "Replied"],
         "_reply_reader": ["HttpReply"],
--- a/jackdawspur/adapters/_http_client.py
+++ b/jackdawspur/adapters/_http_client.py
@@ -8,9 +8,9 @@
 from result import Err, Ok, Result
 
 from jackdawspur.adapters._client_sockets import ClientSockets
-from jackdawspur.adapters._deadlines import Deadline, Deadlines
 from jackdawspur.adapters._http_connection import HttpConnection
 from jackdawspur.adapters._reply_reader import HttpReply
+from jackdawspur.adapters._timer_queue import Deadline, Deadlines
 from jackdawspur.external import OutcomeUnknown, PlatformError, Unavailable
 
 __all__ = ["HttpClient", "HttpLimits", "Replied"]
--- a/jackdawspur/adapters/_http_connection.py
+++ b/jackdawspur/adapters/_http_connection.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from jackdawspur.adapters._client_sockets import ClientSockets, SocketOwner
-from jackdawspur.adapters._deadlines import Deadline, Deadlines
 from jackdawspur.adapters._reply_reader import HttpReply, ReplyReader, UnreadableReply
+from jackdawspur.adapters._timer_queue import Deadline, Deadlines
 
 __all__ = ["ConnectionOwner", "HttpConnection"]
 
--- a/jackdawspur/bench/__init__.py
+++ b/jackdawspur/bench/__init__.py
@@ -5,10 +5,10 @@
 from jackdawspur.bench._dispatcher import Dispatcher, DispatcherFactory
 from jackdawspur.bench._errors import BadBounds, BenchError
 from jackdawspur.bench._experiment import Experiment, Outcome, run_experiment
-from jackdawspur.bench._front_upstream import FrontUpstream, Tally, Work
 from jackdawspur.bench._measures import Figures
 from jackdawspur.bench._policies import OWN_POLICY, POLICIES, Policy
 from jackdawspur.bench._scenarios import PAIRS, SCENARIOS, Scenario, pair
+from jackdawspur.bench._simulated_upstream import FrontUpstream, Tally, Work
 from jackdawspur.bench._simulation import Simulation
 from jackdawspur.bench._workload import Job, Workload, draw_jobs
 
--- a/jackdawspur/bench/_drawn.py
+++ b/jackdawspur/bench/_drawn.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from jackdawspur.bench._front_simulation import STATED_OBJECTIVES, JobKind
-from jackdawspur.bench._front_upstream import Work
+from jackdawspur.bench._simulated_upstream import Work
 from jackdawspur.leases import Resources
 from jackdawspur.runs import JobRequest, JobStep, Route
 
--- a/jackdawspur/bench/_front_simulation.py
+++ b/jackdawspur/bench/_front_simulation.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from jackdawspur.bench._front_upstream import FrontUpstream, Tally, Work
+from jackdawspur.bench._simulated_upstream import FrontUpstream, Tally, Work
 from jackdawspur.bench._sizes import JobFate, LostJob
 from jackdawspur.leases import CallOutcome, Resources, UpstreamEntry, fence_at
 from jackdawspur.model import HostId, UpstreamId
--- a/jackdawspur/bench/_zone.py
+++ b/jackdawspur/bench/_zone.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from jackdawspur.bench._drawn import CALL_S, SLOWER
-from jackdawspur.bench._front_upstream import FrontUpstream, Tally, Work
+from jackdawspur.bench._simulated_upstream import FrontUpstream, Tally, Work
 from jackdawspur.leases import CallOutcome, Fence, Resources, UpstreamEntry
 from jackdawspur.model import HostId, UpstreamId
 from jackdawspur.runs import (
--- a/jackdawspur/bench/_zones.py
+++ b/jackdawspur/bench/_zones.py
@@ -8,7 +8,7 @@
 
 from jackdawspur.bench._drawn import ANSWER_S, HOP_S, LIMIT_S, DrawnJob, draw
 from jackdawspur.bench._front_simulation import JobKind
-from jackdawspur.bench._front_upstream import Tally, Work
+from jackdawspur.bench._simulated_upstream import Tally, Work
 from jackdawspur.bench._sizes import JobFate, LostJob
 from jackdawspur.bench._zone import Timeline, Zone
 from jackdawspur.leases import Resources
--- a/jackdawspur/bench/tests/test_zones.py
+++ b/jackdawspur/bench/tests/test_zones.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.bench._drawn import draw
 from jackdawspur.bench._front_simulation import JobKind
-from jackdawspur.bench._front_upstream import Tally
+from jackdawspur.bench._simulated_upstream import Tally
 from jackdawspur.bench._sizes import JobFate, LostJob, largest_tenth, servable
 from jackdawspur.bench._zone import Timeline, Zone
 from jackdawspur.bench.zones import LONG_KIND, SCENARIOS, play
--- a/jackdawspur/configuration/__init__.py
+++ b/jackdawspur/configuration/__init__.py
@@ -14,7 +14,13 @@
     changes_between,
 )
 from jackdawspur.configuration._checks import load_configuration, load_intent
-from jackdawspur.configuration._desk import OperatorDesk
+from jackdawspur.configuration._cluster_spec import (
+    class_of,
+    customer_of,
+    operator_of,
+    token_hash,
+    world_of,
+)
 from jackdawspur.configuration._document import (
     SCHEMA_VERSION,
     Configuration,
@@ -35,27 +41,6 @@
     RecordError,
     SkipReason,
 )
-from jackdawspur.configuration._fold import Fold
-from jackdawspur.configuration._keeper import Keeper
-from jackdawspur.configuration._keeping import (
-    ActivateWorld,
-    AppendEnded,
-    AppendRecord,
-    AskRecords,
-    HeartbeatSeen,
-    KeeperEffect,
-    KeeperEvent,
-    KeeperTick,
-    LogCut,
-    LogFailed,
-    LogRead,
-    PeerAsked,
-    PeerRecords,
-    PeersSeen,
-    ReadLog,
-    ReportSkipped,
-    SendRecords,
-)
 from jackdawspur.configuration._operations import (
     AppendCount,
     Audited,
@@ -74,6 +59,7 @@
     PlanAsked,
     StatusAsked,
 )
+from jackdawspur.configuration._operator_api import OperatorDesk
 from jackdawspur.configuration._planner import Plan, ZoneCapacity, plan_of
 from jackdawspur.configuration._readiness import LogHealth, Readiness, ReadinessReason
 from jackdawspur.configuration._records import (
@@ -85,15 +71,29 @@
     encode_record,
     new_proposal,
 )
+from jackdawspur.configuration._replica import Keeper
+from jackdawspur.configuration._replica_events import (
+    ActivateWorld,
+    AppendEnded,
+    AppendRecord,
+    AskRecords,
+    HeartbeatSeen,
+    KeeperEffect,
+    KeeperEvent,
+    KeeperTick,
+    LogCut,
+    LogFailed,
+    LogRead,
+    PeerAsked,
+    PeerRecords,
+    PeersSeen,
+    ReadLog,
+    ReportSkipped,
+    SendRecords,
+)
 from jackdawspur.configuration._reports import Skipped, Void
+from jackdawspur.configuration._state_machine import Fold
 from jackdawspur.configuration._text import text_of
-from jackdawspur.configuration._world import (
-    class_of,
-    customer_of,
-    operator_of,
-    token_hash,
-    world_of,
-)
 from jackdawspur.configuration._zones import ZoneDelay, ZoneInForce, ZoneReports
 
 __all__ = [
--- a/jackdawspur/configuration/_desk.py
+++ b/jackdawspur/configuration/_operator_api.py
@@ -7,10 +7,9 @@
 from jackdawspur.configuration import _views as views
 from jackdawspur.configuration._budget import Purpose
 from jackdawspur.configuration._checks import load_intent
+from jackdawspur.configuration._cluster_spec import token_hash
 from jackdawspur.configuration._document import OperatorEntry
 from jackdawspur.configuration._errors import InvalidConfiguration
-from jackdawspur.configuration._keeper import Keeper
-from jackdawspur.configuration._keeping import AppendEnded, AppendRecord
 from jackdawspur.configuration._operations import (
     Audited,
     AuditEntry,
@@ -38,7 +37,8 @@
     encode_record,
     new_proposal,
 )
-from jackdawspur.configuration._world import token_hash
+from jackdawspur.configuration._replica import Keeper
+from jackdawspur.configuration._replica_events import AppendEnded, AppendRecord
 
 __all__ = ["OperatorDesk"]
 
--- a/jackdawspur/configuration/_keeper.py
+++ b/jackdawspur/configuration/_replica.py
@@ -4,9 +4,11 @@
 from functools import singledispatchmethod
 
 from jackdawspur.configuration._budget import LogBudget, Purpose
+from jackdawspur.configuration._cluster_spec import rebuilt_world
 from jackdawspur.configuration._document import Configuration
-from jackdawspur.configuration._fold import NOTHING, Fold
-from jackdawspur.configuration._keeping import (
+from jackdawspur.configuration._readiness import LogHealth, Readiness, ReadinessReason
+from jackdawspur.configuration._records import encode_record
+from jackdawspur.configuration._replica_events import (
     ActivateWorld,
     AppendEnded,
     AppendRecord,
@@ -25,11 +27,9 @@
     ReportSkipped,
     SendRecords,
 )
-from jackdawspur.configuration._readiness import LogHealth, Readiness, ReadinessReason
-from jackdawspur.configuration._records import encode_record
 from jackdawspur.configuration._snapshots import SnapshotTurns
+from jackdawspur.configuration._state_machine import NOTHING, Fold
 from jackdawspur.configuration._tail import WHOLE_STATE, Tail, snapshot_of, state_in
-from jackdawspur.configuration._world import rebuilt_world
 from jackdawspur.configuration._zones import ZoneReports
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import RecordsWanted
--- a/jackdawspur/configuration/_snapshots.py
+++ b/jackdawspur/configuration/_snapshots.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from jackdawspur.configuration._fold import Fold
+from jackdawspur.configuration._state_machine import Fold
 from jackdawspur.model import HostId
 
 __all__ = ["SnapshotTurns"]
--- a/jackdawspur/configuration/_tail.py
+++ b/jackdawspur/configuration/_tail.py
@@ -4,13 +4,13 @@
 from collections.abc import Iterable
 
 from jackdawspur.configuration._errors import RecordError
-from jackdawspur.configuration._fold import NOTHING, Fold
 from jackdawspur.configuration._records import (
     Snapshot,
     decode_envelope,
     decode_record,
     encode_record,
 )
+from jackdawspur.configuration._state_machine import NOTHING, Fold
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import RecordsPassed
 
--- a/jackdawspur/configuration/_views.py
+++ b/jackdawspur/configuration/_views.py
@@ -2,7 +2,6 @@
 
 from jackdawspur.configuration._budget import Purpose
 from jackdawspur.configuration._diff import summarize
-from jackdawspur.configuration._keeper import Keeper
 from jackdawspur.configuration._operations import (
     AppendCount,
     AuditEntry,
@@ -13,6 +12,7 @@
     History,
 )
 from jackdawspur.configuration._records import HistoryEntry, Proposal
+from jackdawspur.configuration._replica import Keeper
 
 __all__ = ["change_status", "conflict", "history", "obstacle", "status"]
 
--- a/jackdawspur/configuration/slopes.py
+++ b/jackdawspur/configuration/slopes.py
@@ -11,6 +11,7 @@
 
 from jackdawspur.configuration._budget import LogBudget, appends_a_day
 from jackdawspur.configuration._changes import PutCustomer, PutUpstream
+from jackdawspur.configuration._cluster_spec import token_hash, world_of
 from jackdawspur.configuration._document import (
     Configuration,
     CustomerEntry,
@@ -22,12 +23,11 @@
     UpstreamEntry,
     ZoneEntry,
 )
-from jackdawspur.configuration._fold import Fold
-from jackdawspur.configuration._keeper import Keeper
-from jackdawspur.configuration._keeping import LogCut, LogRead
 from jackdawspur.configuration._records import Confirm, encode_record
+from jackdawspur.configuration._replica import Keeper
+from jackdawspur.configuration._replica_events import LogCut, LogRead
+from jackdawspur.configuration._state_machine import Fold
 from jackdawspur.configuration._tail import snapshot_of
-from jackdawspur.configuration._world import token_hash, world_of
 from jackdawspur.external import LogRecord
 from jackdawspur.model import HostId
 
--- a/jackdawspur/configuration/tests/test_checks.py
+++ b/jackdawspur/configuration/tests/test_checks.py
@@ -19,7 +19,7 @@
     operator_of,
     world_of,
 )
-from jackdawspur.configuration._world import rebuilt_world
+from jackdawspur.configuration._cluster_spec import rebuilt_world
 from jackdawspur.configuration.tests.conftest import EXAMPLES, intent_of
 from jackdawspur.model import UpstreamId
 
--- a/jackdawspur/dispatch/_core.py
+++ b/jackdawspur/dispatch/_core.py
@@ -27,7 +27,7 @@
     UsageReplied,
     WorldSet,
 )
-from jackdawspur.dispatch._flights import note_incarnation
+from jackdawspur.dispatch._in_flight import note_incarnation
 from jackdawspur.dispatch._loads import divide_slots, refresh_view
 from jackdawspur.dispatch._peers import (
     lend_urgently,
--- a/jackdawspur/dispatch/_ends.py
+++ b/jackdawspur/dispatch/_ends.py
@@ -1,7 +1,7 @@
 """Ends of single tasks, and what is learnt from them."""
 
 from jackdawspur.dispatch._answers import complete_job, give_up
-from jackdawspur.dispatch._flights import land
+from jackdawspur.dispatch._in_flight import land
 from jackdawspur.dispatch._job import Job, Stage, TaskPhase
 from jackdawspur.dispatch._state import Flight, State
 from jackdawspur.messages import FailedTask
--- a/jackdawspur/dispatch/_resolve.py
+++ b/jackdawspur/dispatch/_resolve.py
@@ -4,7 +4,7 @@
 from jackdawspur.dispatch._effects import AskStatus
 from jackdawspur.dispatch._ends import end_task, take_back
 from jackdawspur.dispatch._events import StatusLost, StatusReplied
-from jackdawspur.dispatch._flights import land, note_incarnation
+from jackdawspur.dispatch._in_flight import land, note_incarnation
 from jackdawspur.dispatch._job import Stage, TaskPhase
 from jackdawspur.dispatch._state import Flight, State
 from jackdawspur.model import (
--- a/jackdawspur/dispatch/_run.py
+++ b/jackdawspur/dispatch/_run.py
@@ -6,7 +6,7 @@
 from jackdawspur.dispatch._effects import StartTasks
 from jackdawspur.dispatch._ends import end_task, take_back
 from jackdawspur.dispatch._events import ResultsReplied, StartsLost, StartsReplied
-from jackdawspur.dispatch._flights import launch, note_incarnation
+from jackdawspur.dispatch._in_flight import launch, note_incarnation
 from jackdawspur.dispatch._job import TaskPhase
 from jackdawspur.dispatch._resolve import ask_status
 from jackdawspur.dispatch._state import Flight, Reserved, State
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -7,7 +7,7 @@
 from jackdawspur.dispatch._counters import Counters
 from jackdawspur.dispatch._effects import Effect
 from jackdawspur.dispatch._job import Job, Placement
-from jackdawspur.dispatch._room import Room
+from jackdawspur.dispatch._resource_tracker import Room
 from jackdawspur.dispatch._timers import Action, Timers
 from jackdawspur.health import UpstreamHealth
 from jackdawspur.limits import CallLimits, Quotas, RetryBudget
--- a/jackdawspur/front/tests/drawn.py
+++ b/jackdawspur/front/tests/drawn.py
@@ -7,7 +7,7 @@
 from jackdawspur.front.tests.faulty_parts import Caller
 from jackdawspur.front.tests.findings import Finding, find
 from jackdawspur.front.tests.more_faults import MORE_STILL
-from jackdawspur.group import _handing_over
+from jackdawspur.group import _leadership_transfer
 
 __all__ = ["LAYOUTS", "Play", "play"]
 
@@ -78,7 +78,7 @@
             self.world.timers_first = self.rng.random() < 0.5
         self.faults = []
         if layout in UNLIKE:
-            monkeypatch.setattr(_handing_over, "KEPT_S", UNLIKE_KEPT_S)
+            monkeypatch.setattr(_leadership_transfer, "KEPT_S", UNLIKE_KEPT_S)
         for zone in self.zones:
             self.world.add_upstreams(zone, upstreams)
         for number in range(hosts):
--- a/jackdawspur/group/_group.py
+++ b/jackdawspur/group/_group.py
@@ -5,7 +5,7 @@
 from jackdawspur.group._candidates import is_fit, rank
 from jackdawspur.group._contest import Contest
 from jackdawspur.group._extent import MOST_UPSTREAMS, Extent
-from jackdawspur.group._handing_over import HandOver
+from jackdawspur.group._leadership_transfer import HandOver
 from jackdawspur.group._messages import HostAddress, HostBeat
 from jackdawspur.group._terms import Term, precedence
 from jackdawspur.leases import FENCE_STEP, Fence, fence_at
--- a/jackdawspur/group/tests/test_handing_over.py
+++ b/jackdawspur/group/tests/test_handing_over.py
@@ -4,7 +4,7 @@
 
 from jackdawspur.group import Group, HostAddress
 from jackdawspur.group._group import FIRST_VACANT_S
-from jackdawspur.group._handing_over import KEPT_S
+from jackdawspur.group._leadership_transfer import KEPT_S
 from jackdawspur.group.tests.beats import beat_of
 
 UNIX_MS = 1_800_000_000_000.0
--- a/jackdawspur/membership/_members.py
+++ b/jackdawspur/membership/_members.py
@@ -1,8 +1,8 @@
 """Which entry hosts live."""
 
 from jackdawspur.membership._limits import GONE_AFTER, RESUME_GAP
+from jackdawspur.membership._liveness import OwnerState, Sighting, Sightings
 from jackdawspur.membership._pace import Pace, pace_of
-from jackdawspur.membership._sightings import OwnerState, Sighting, Sightings
 from jackdawspur.model import HostId, World
 
 __all__ = ["Members"]
--- a/jackdawspur/membership/_view.py
+++ b/jackdawspur/membership/_view.py
@@ -4,11 +4,11 @@
 from dataclasses import replace
 
 from jackdawspur.external import ListedHost
-from jackdawspur.membership._beats import Beats
+from jackdawspur.membership._heartbeat_sender import Beats
 from jackdawspur.membership._leaving import Leaving
+from jackdawspur.membership._liveness import OwnerState
 from jackdawspur.membership._members import Members
 from jackdawspur.membership._pace import Pace
-from jackdawspur.membership._sightings import OwnerState
 from jackdawspur.membership._zones import Addressed, Reports, ZoneSummary
 from jackdawspur.messages import Heartbeat, Pulse
 from jackdawspur.model import HostId, UpstreamId, World
--- a/jackdawspur/model/__init__.py
+++ b/jackdawspur/model/__init__.py
@@ -7,6 +7,15 @@
     TaskOutcome,
     TaskState,
 )
+from jackdawspur.model._cluster_spec import (
+    Contract,
+    Customer,
+    Ejection,
+    EntryHost,
+    Objective,
+    Upstream,
+    World,
+)
 from jackdawspur.model._ids import (
     HostId,
     InvalidId,
@@ -17,15 +26,6 @@
 )
 from jackdawspur.model._job import MAX_TASKS, JobRequest, TaskSpec
 from jackdawspur.model._rendezvous import rendezvous
-from jackdawspur.model._world import (
-    Contract,
-    Customer,
-    Ejection,
-    EntryHost,
-    Objective,
-    Upstream,
-    World,
-)
 
 __all__ = [
     "MAX_TASKS",
--- a/jackdawspur/runs/__init__.py
+++ b/jackdawspur/runs/__init__.py
@@ -15,9 +15,9 @@
     StartRun,
     StopRun,
 )
-from jackdawspur.runs._elsewhere import Place, SpareRoom, deal
 from jackdawspur.runs._job import Job, Task, TaskState
 from jackdawspur.runs._learned import Learned, LearnedRoute
+from jackdawspur.runs._offered_capacity import Place, SpareRoom, deal
 from jackdawspur.runs._placer import Placer
 from jackdawspur.runs._types import (
     JobEnd,
--- a/jackdawspur/runs/_dispatcher.py
+++ b/jackdawspur/runs/_dispatcher.py
@@ -24,12 +24,12 @@
     StartRun,
     StopRun,
 )
-from jackdawspur.runs._elsewhere import Place, SpareRoom, may_go
 from jackdawspur.runs._estimates import Estimates
 from jackdawspur.runs._fleet import Fleet
 from jackdawspur.runs._job import Job, Task, TaskState
 from jackdawspur.runs._looks import Looks
 from jackdawspur.runs._notes import Notes
+from jackdawspur.runs._offered_capacity import Place, SpareRoom, may_go
 from jackdawspur.runs._open_jobs import OpenJobs
 from jackdawspur.runs._order import Standing, latest_start, standing
 from jackdawspur.runs._passing_on import PassingOn
--- a/jackdawspur/runs/_effects.py
+++ b/jackdawspur/runs/_effects.py
@@ -5,7 +5,7 @@
 
 from jackdawspur.leases import Fence, RunId
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs._elsewhere import Place
+from jackdawspur.runs._offered_capacity import Place
 from jackdawspur.runs._types import JobOutcome
 
 __all__ = [
--- a/jackdawspur/runs/_passing_on.py
+++ b/jackdawspur/runs/_passing_on.py
@@ -1,9 +1,9 @@
 """Jobs that go to other groups, which have room for them."""
 
 from jackdawspur.runs._effects import Effect, PassJobOn
-from jackdawspur.runs._elsewhere import Elsewhere
 from jackdawspur.runs._fleet import Fleet
 from jackdawspur.runs._job import Job
+from jackdawspur.runs._offered_capacity import Elsewhere
 from jackdawspur.runs._open_jobs import OpenJobs
 
 __all__ = ["PassingOn"]
--- a/jackdawspur/runs/_placer.py
+++ b/jackdawspur/runs/_placer.py
@@ -6,10 +6,10 @@
 from jackdawspur.leases import HeldUpstream, Resources
 from jackdawspur.runs._begun import BegunJobs
 from jackdawspur.runs._crashes import Crashes
-from jackdawspur.runs._elsewhere import SpareRoom, fill, may_go, patience_s
 from jackdawspur.runs._estimates import Estimates
 from jackdawspur.runs._fleet import Fleet
 from jackdawspur.runs._job import Job, Task
+from jackdawspur.runs._offered_capacity import SpareRoom, fill, may_go, patience_s
 from jackdawspur.runs._order import order_key
 from jackdawspur.runs._passing_on import PassingOn
 from jackdawspur.runs._placing import (
--- a/jackdawspur/scheduling/__init__.py
+++ b/jackdawspur/scheduling/__init__.py
@@ -17,7 +17,7 @@
             "expected_wait_ms",
             "never_fits",
         ],
-        "_elsewhere": ["Elsewhere", "HostLoad", "Move"],
+        "_peer_selector": ["Elsewhere", "HostLoad", "Move"],
         "_job": ["NextTask", "QueuedJob", "Reservation"],
         "_queue": ["JobQueue"],
         "_run_times": ["Moments", "RunTimes"],
--- a/jackdawspur/soak/_soak.py
+++ b/jackdawspur/soak/_soak.py
@@ -8,8 +8,8 @@
 
 from jackdawspur.soak._checks import Findings, Sent, check
 from jackdawspur.soak._deployment import Answer, Deployment, Host, wait_until
+from jackdawspur.soak._fault_injector import Strikes
 from jackdawspur.soak._plan import Fault, Layout, layout_of, plan_faults
-from jackdawspur.soak._strikes import Strikes
 
 __all__ = ["SoakResult", "run_seed"]
 
--- a/jackdawspur/soak/tests/test_strikes.py
+++ b/jackdawspur/soak/tests/test_strikes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from jackdawspur.soak import Deployment, Fault, FaultKind, Passage, wait_until
-from jackdawspur.soak._strikes import Strikes
+from jackdawspur.soak._fault_injector import Strikes
 
 NAMES = ("h0", "h1", "h2", "h3")
 
--- a/jackdawspur/standins/__init__.py
+++ b/jackdawspur/standins/__init__.py
@@ -19,7 +19,7 @@
     make_platform,
     run_platform,
 )
-from jackdawspur.standins._slopes import (
+from jackdawspur.standins._start_costs import (
     BatchCost,
     StartSlopes,
     measure_start_slopes,
