--- a/jackdawspur/adapters/__init__.py
+++ b/jackdawspur/adapters/__init__.py
@@ -8,14 +8,14 @@
     __name__,
     submod_attrs={
         "_addresses": ["split_address"],
-        "_timer_queue": ["Deadline", "Deadlines"],
+        "_timer_queue": ["TimerHandle", "TimerQueue"],
         "_hostlist_http": ["HttpHostList"],
-        "_http_client": ["HttpClient", "HttpLimits", "Replied"],
-        "_reply_reader": ["HttpReply"],
+        "_http_client": ["HttpClient", "HttpClientLimits", "Replied"],
+        "_reply_reader": ["ClientResponse"],
         "_links": ["Links"],
         "_log_http": ["HttpLog", "LogTimeouts"],
         "_queues": ["Inbox", "Outbox"],
-        "_upstream_http": ["HttpUpstream", "UpstreamTimeouts"],
+        "_upstream_http": ["HttpUpstreamClient", "UpstreamTimeouts"],
         "_web": ["Call", "WebServer", "WebService"],
     },
 )
--- a/jackdawspur/adapters/_hostlist_http.py
+++ b/jackdawspur/adapters/_hostlist_http.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.adapters._http_client import HttpClient
 from jackdawspur.adapters._json_reply import MS, reading, success
-from jackdawspur.adapters._reply_reader import HttpReply
+from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import HostList, ListedHost, PlatformError
 from jackdawspur.wire import HostsBody
 
@@ -38,7 +38,7 @@
         """Drop all connections."""
         self._client.close()
 
-    def _read_hosts(self, reply: HttpReply) -> tuple[ListedHost, ...]:
+    def _read_hosts(self, reply: ClientResponse) -> tuple[ListedHost, ...]:
         """Return the hosts; the same object while the list stays the same.
 
         Thousands of hosts are listed every second and hardly ever change.
--- a/jackdawspur/adapters/_http_client.py
+++ b/jackdawspur/adapters/_http_client.py
@@ -9,30 +9,30 @@
 
 from jackdawspur.adapters._client_sockets import ClientSockets
 from jackdawspur.adapters._http_connection import HttpConnection
-from jackdawspur.adapters._reply_reader import HttpReply
-from jackdawspur.adapters._timer_queue import Deadline, Deadlines
+from jackdawspur.adapters._reply_reader import ClientResponse
+from jackdawspur.adapters._timer_queue import TimerHandle, TimerQueue
 from jackdawspur.external import OutcomeUnknown, PlatformError, Unavailable
 
-__all__ = ["HttpClient", "HttpLimits", "Replied"]
+__all__ = ["HttpClient", "HttpClientLimits", "Replied"]
 
 Headers = tuple[tuple[str, str], ...]
-Replied = Callable[[Result[HttpReply, PlatformError]], None]
+Replied = Callable[[Result[ClientResponse, PlatformError]], None]
 
 
 @dataclass(frozen=True, slots=True)
-class HttpLimits:
+class HttpClientLimits:
     """Bound a client: connections, waiting requests, seconds to connect."""
 
-    connections: int = 8
-    waiting: int = 1024
-    connect_s: float = 1.0
+    max_connections: int = 8
+    max_pending_requests: int = 1024
+    connect_timeout_s: float = 1.0
 
 
 @dataclass(eq=False, slots=True)
 class _Call:
     data: bytes
     done: Replied
-    deadline: Deadline | None = field(default=None)
+    deadline: TimerHandle | None = field(default=None)
 
 
 class HttpClient(BaseComponent):
@@ -47,13 +47,13 @@
     def init(
         self,
         address: tuple[str, int],
-        deadlines: Deadlines,
-        limits: HttpLimits | None = None,
+        timer_queue: TimerQueue,
+        limits: HttpClientLimits | None = None,
     ) -> None:
         """Connect to nothing yet; circuits passes the constructor's arguments."""
         self._address = address
-        self._deadlines = deadlines
-        self._limits = limits or HttpLimits()
+        self._timer_queue = timer_queue
+        self._limits = limits or HttpClientLimits()
         self._connections: list[HttpConnection] = []
         self._waiting: deque[_Call] = deque()
         self._in_flight: dict[HttpConnection, _Call] = {}
@@ -84,17 +84,19 @@
         Errors: `Unavailable`, `OutcomeUnknown`.
         """
         call = _Call(self._encode(method, path, body, headers), done)
-        if self._closed or len(self._waiting) >= self._limits.waiting:
+        if self._closed or len(self._waiting) >= self._limits.max_pending_requests:
             refusal = Unavailable(f"no room to ask {self._host}")
-            self._deadlines.call_after(0.0, lambda: done(Err(refusal)))
+            self._timer_queue.call_later(0.0, lambda: done(Err(refusal)))
             return
-        call.deadline = self._deadlines.call_after(timeout_s, lambda: self._late(call))
+        call.deadline = self._timer_queue.call_later(
+            timeout_s, lambda: self._late(call)
+        )
         self._waiting.append(call)
         self._pump()
 
-    def open_all(self) -> None:
+    def connect_all(self) -> None:
         """Connect in advance with all connections of the limit."""
-        while len(self._connections) < self._limits.connections:
+        while len(self._connections) < self._limits.max_connections:
             self._add_connection()
 
     def close(self) -> None:
@@ -126,7 +128,7 @@
             self._waiting.appendleft(call)
         self._pump()
 
-    def replied(self, connection: HttpConnection, reply: HttpReply) -> None:
+    def replied(self, connection: HttpConnection, reply: ClientResponse) -> None:
         """Hand the reply to the one request in flight on the connection."""
         call = self._in_flight.pop(connection)
         self._pump()
@@ -163,7 +165,7 @@
                 opening += 1
         while (
             opening < len(self._waiting)
-            and len(self._connections) < self._limits.connections
+            and len(self._connections) < self._limits.max_connections
         ):
             self._add_connection()
             opening += 1
@@ -173,8 +175,8 @@
             self._address,
             self,
             ClientSockets.of(self),
-            self._deadlines,
-            self._limits.connect_s,
+            self._timer_queue,
+            self._limits.connect_timeout_s,
         )
         self._connections.append(connection)
         connection.open()
@@ -197,7 +199,7 @@
         for call in calls:
             self._end(call, Err(Unavailable(f"can't connect to {self._host}")))
 
-    def _end(self, call: _Call, outcome: Result[HttpReply, PlatformError]) -> None:
+    def _end(self, call: _Call, outcome: Result[ClientResponse, PlatformError]) -> None:
         call.deadline.cancel()
         call.done(outcome)
 
--- a/jackdawspur/adapters/_http_connection.py
+++ b/jackdawspur/adapters/_http_connection.py
@@ -6,8 +6,12 @@
 from typing import Protocol
 
 from jackdawspur.adapters._client_sockets import ClientSockets, SocketOwner
-from jackdawspur.adapters._reply_reader import HttpReply, ReplyReader, UnreadableReply
-from jackdawspur.adapters._timer_queue import Deadline, Deadlines
+from jackdawspur.adapters._reply_reader import (
+    ClientResponse,
+    ReplyReader,
+    UnreadableReply,
+)
+from jackdawspur.adapters._timer_queue import TimerHandle, TimerQueue
 
 __all__ = ["ConnectionOwner", "HttpConnection"]
 
@@ -26,7 +30,7 @@
     def connection_lost(self, connection: "HttpConnection") -> None:
         """Take note that a connection that stood is closed."""
 
-    def replied(self, connection: "HttpConnection", reply: HttpReply) -> None:
+    def replied(self, connection: "HttpConnection", reply: ClientResponse) -> None:
         """Take the reply to the request in flight."""
 
 
@@ -38,15 +42,15 @@
         address: tuple[str, int],
         owner: ConnectionOwner,
         sockets: ClientSockets,
-        deadlines: Deadlines,
-        connect_s: float,
+        timer_queue: TimerQueue,
+        connect_timeout_s: float,
     ) -> None:
         self._address = address
         self._owner = owner
         self._sockets = sockets
-        self._deadlines = deadlines
-        self._connect_s = connect_s
-        self._connect_limit: Deadline | None = None
+        self._timer_queue = timer_queue
+        self._connect_s = connect_timeout_s
+        self._connect_limit: TimerHandle | None = None
         self._sock: socket | None = None
         self._unsent = b""
         self._in_flight = False
@@ -84,7 +88,7 @@
             self._sockets.watch_writes(self._sock)
         else:
             limit_s = 0.0
-        self._connect_limit = self._deadlines.call_after(limit_s, self._fail)
+        self._connect_limit = self._timer_queue.call_later(limit_s, self._fail)
 
     def send(self, request: bytes) -> None:
         """Send a request; the owner hears of the reply or of the loss."""
--- a/jackdawspur/adapters/_json_reply.py
+++ b/jackdawspur/adapters/_json_reply.py
@@ -6,7 +6,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from jackdawspur.adapters._reply_reader import HttpReply
+from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import OutcomeUnknown, PlatformError
 from jackdawspur.model import InvalidId
 
@@ -22,7 +22,7 @@
     """Raise when a reply is not what the interface promises."""
 
 
-def success(reply: HttpReply) -> bytes:
+def success(reply: ClientResponse) -> bytes:
     """Return the body of a success; raise `ForeignReply`."""
     if reply.status != OK:
         raise ForeignReply(f"HTTP status {reply.status}")
@@ -31,22 +31,22 @@
 
 def reading(
     peer: str,
-    read: Callable[[HttpReply], T],
+    read: Callable[[ClientResponse], T],
     done: Callable[[Result[T, PlatformError]], None],
-) -> Callable[[Result[HttpReply, PlatformError]], None]:
+) -> Callable[[Result[ClientResponse, PlatformError]], None]:
     """Return a receiver of replies that passes on what `read` makes of them.
 
     A reply that can't be read proves nothing, so it becomes `OutcomeUnknown`.
     """
 
-    def receive(replied: Result[HttpReply, PlatformError]) -> None:
+    def receive(replied: Result[ClientResponse, PlatformError]) -> None:
         done(replied.and_then(lambda reply: _read(peer, read, reply)))
 
     return receive
 
 
 def _read(
-    peer: str, read: Callable[[HttpReply], T], reply: HttpReply
+    peer: str, read: Callable[[ClientResponse], T], reply: ClientResponse
 ) -> Result[T, PlatformError]:
     try:
         return Ok(read(reply))
--- a/jackdawspur/adapters/_links.py
+++ b/jackdawspur/adapters/_links.py
@@ -46,7 +46,7 @@
         self._out: dict[str, Outbox] = {}
         self._in = Inbox(bind, poller, MAX_MESSAGE_BYTES, self._receive)
         self._in.register(self)
-        self.dropped = 0
+        self.dropped_messages = 0
 
     def set_peers(self, hosts: tuple[EntryHost, ...]) -> None:
         """Dial the entry hosts of the configuration and leave those no longer in it."""
@@ -72,11 +72,11 @@
         """Queue a message; False when the peer is unknown or its queue is full."""
         outbox = self._out.get(_name(to.zone, to.name))
         if outbox is None:
-            self.dropped += 1
+            self.dropped_messages += 1
             return False
         data = encode(Envelope(self._own, to, monotonic(), message))
         if not outbox.send(data):
-            self.dropped += 1
+            self.dropped_messages += 1
             return False
         self._bytes_sent(len(data))
         return True
@@ -100,7 +100,7 @@
         A job delegated to the run that died may have run there; its owner gave it up.
         """
         if isinstance(envelope.message, FOR_ANY_RUN):
-            return envelope.to.same_machine(self._own)
+            return envelope.to.same_host(self._own)
         return envelope.to == self._own
 
     def close(self) -> None:
--- a/jackdawspur/adapters/_log_http.py
+++ b/jackdawspur/adapters/_log_http.py
@@ -9,7 +9,7 @@
 
 from jackdawspur.adapters._http_client import HttpClient
 from jackdawspur.adapters._json_reply import MS, reading, success
-from jackdawspur.adapters._reply_reader import HttpReply
+from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import Log, LogRecord, LogTrimmed, PlatformError, Unavailable
 from jackdawspur.wire import AppendReply, ReadReply, TrimmedReply
 
@@ -79,14 +79,14 @@
     return f"/v1/streams/{quote(stream, safe='')}"
 
 
-def _read_offset(reply: HttpReply) -> int:
+def _read_offset(reply: ClientResponse) -> int:
     if reply.status == TOO_MANY_REQUESTS:
         # The log says itself that it took nothing, so the append may be repeated.
         raise Unavailable("the log's rate limit refused the record")
     return msgspec.json.decode(success(reply), type=AppendReply).offset
 
 
-def _read_records(reply: HttpReply) -> tuple[LogRecord, ...]:
+def _read_records(reply: ClientResponse) -> tuple[LogRecord, ...]:
     if reply.status == GONE:
         raise LogTrimmed(msgspec.json.decode(reply.body, type=TrimmedReply).first)
     read = msgspec.json.decode(success(reply), type=ReadReply)
--- a/jackdawspur/adapters/_reply_bytes.py
+++ b/jackdawspur/adapters/_reply_bytes.py
@@ -4,12 +4,12 @@
 from http import HTTPStatus
 
 from jackdawspur.adapters._requests import HttpRequest
-from jackdawspur.callers import HttpReply
+from jackdawspur.callers import HttpResponse
 
 __all__ = ["encode_reply"]
 
 
-def encode_reply(reply: HttpReply, request: HttpRequest | None) -> bytes:
+def encode_reply(reply: HttpResponse, request: HttpRequest | None) -> bytes:
     """Return a reply's bytes; without a request the connection is to close."""
     lines = [
         f"HTTP/1.1 {reply.status} {HTTPStatus(reply.status).phrase}",
--- a/jackdawspur/adapters/_reply_reader.py
+++ b/jackdawspur/adapters/_reply_reader.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.exceptions import JackdawspurError
 
-__all__ = ["HttpReply", "ReplyReader", "UnreadableReply"]
+__all__ = ["ClientResponse", "ReplyReader", "UnreadableReply"]
 
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 MAX_HEAD_BYTES = 65536
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpReply:
+class ClientResponse:
     """Carry one complete reply."""
 
     status: int
@@ -60,7 +60,7 @@
             return self._parser.should_keep_alive()
         return self._head is not None and self._head.keeps_alive
 
-    def feed(self, data: bytes) -> HttpReply | None:
+    def feed(self, data: bytes) -> ClientResponse | None:
         """Take a part; return the reply once it is complete.
 
         Errors: `UnreadableReply`.
@@ -89,13 +89,13 @@
         self._head = read(bytes(self._data[: self._body_at]))
         return True
 
-    def _read_body(self) -> HttpReply | None:
+    def _read_body(self) -> ClientResponse | None:
         size = len(self._data) - self._body_at
         if size > self._head.length:
             raise UnreadableReply("more came than was declared")
         if size < self._head.length:
             return None
-        return HttpReply(self._head.status, bytes(self._data[self._body_at :]))
+        return ClientResponse(self._head.status, bytes(self._data[self._body_at :]))
 
 
 def _read_head(head: bytes) -> _Head:
@@ -130,7 +130,7 @@
         raise UnreadableReply(str(parser.errstr))
 
 
-def _parse(parser: HttpParser, data: bytes) -> HttpReply | None:
+def _parse(parser: HttpParser, data: bytes) -> ClientResponse | None:
     """Feed the parser; return a complete reply or None."""
     _execute(parser, data)
     if not parser.is_message_complete():
@@ -139,4 +139,4 @@
     if parser.get_headers().get("Content-Length", str(len(body))) != str(len(body)):
         # The parser took all that came for the body.
         raise UnreadableReply("more came than was declared")
-    return HttpReply(parser.get_status_code(), body)
+    return ClientResponse(parser.get_status_code(), body)
--- a/jackdawspur/adapters/_timer_queue.py
+++ b/jackdawspur/adapters/_timer_queue.py
@@ -7,10 +7,10 @@
 
 from circuits import BaseComponent, handler
 
-__all__ = ["Deadline", "Deadlines"]
+__all__ = ["TimerHandle", "TimerQueue"]
 
 
-class Deadline:
+class TimerHandle:
     """Hold one callback until its time, or until it is cancelled."""
 
     __slots__ = ("_callback",)
@@ -34,7 +34,7 @@
             callback()
 
 
-class Deadlines(BaseComponent):
+class TimerQueue(BaseComponent):
     """Keep the deadlines of a whole loop.
 
     circuits' own Timer is a component: each one makes the loop forget and rebuild
@@ -46,7 +46,7 @@
     def init(self, clock: Callable[[], float] = time.monotonic) -> None:
         """Start empty; circuits calls this with the constructor's arguments."""
         self._clock = clock
-        self._heap: list[tuple[float, int, Deadline]] = []
+        self._heap: list[tuple[float, int, TimerHandle]] = []
         self._order = itertools.count()
 
     @property
@@ -54,9 +54,9 @@
         """Return the time in seconds."""
         return self._clock()
 
-    def call_after(self, seconds: float, callback: Callable[[], None]) -> Deadline:
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> TimerHandle:
         """Call back once, `seconds` from now."""
-        deadline = Deadline(callback)
+        deadline = TimerHandle(callback)
         entry = (self._clock() + seconds, next(self._order), deadline)
         heapq.heappush(self._heap, entry)
         return deadline
--- a/jackdawspur/adapters/_upstream_http.py
+++ b/jackdawspur/adapters/_upstream_http.py
@@ -9,7 +9,7 @@
 
 from jackdawspur.adapters._http_client import HttpClient
 from jackdawspur.adapters._json_reply import MS, ForeignReply, reading, success
-from jackdawspur.adapters._reply_reader import HttpReply
+from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import (
     PlatformError,
     StartVerdict,
@@ -29,7 +29,7 @@
     UsageReply,
 )
 
-__all__ = ["HttpUpstream", "UpstreamTimeouts"]
+__all__ = ["HttpUpstreamClient", "UpstreamTimeouts"]
 
 Done = Callable[[Result[UpstreamReply, PlatformError]], None]
 
@@ -46,7 +46,7 @@
     poll_ms: float = 1000.0
 
 
-class HttpUpstream(UpstreamClient):
+class HttpUpstreamClient(UpstreamClient):
     """Ask one upstream on behalf of one holder.
 
     Polls for results have a client of their own, so that they never block starts.
@@ -71,7 +71,7 @@
         bodies = tuple(_start_body(each) for each in starts)
         body = msgspec.json.encode(StartsRequest(self._holder, bodies))
 
-        def read(reply: HttpReply) -> UpstreamReply:
+        def read(reply: ClientResponse) -> UpstreamReply:
             return self._read_verdicts(reply, starts, bodies)
 
         self._post("/v1/starts", body, self._timeouts.start_ms, read, done)
@@ -116,7 +116,7 @@
         texts: tuple[str, ...],
         done: Done,
     ) -> None:
-        def read(reply: HttpReply) -> UpstreamReply:
+        def read(reply: ClientResponse) -> UpstreamReply:
             return self._read_outcomes(reply, tasks, texts)
 
         self._post(path, body, self._timeouts.status_ms, read, done)
@@ -126,7 +126,7 @@
         path: str,
         body: bytes,
         timeout_ms: float,
-        read: Callable[[HttpReply], UpstreamReply],
+        read: Callable[[ClientResponse], UpstreamReply],
         done: Done,
     ) -> None:
         receive = reading(str(self._upstream), read, done)
@@ -134,7 +134,7 @@
 
     def _read_verdicts(
         self,
-        reply: HttpReply,
+        reply: ClientResponse,
         starts: Sequence[TaskStart],
         bodies: tuple[StartBody, ...],
     ) -> UpstreamReply:
@@ -149,7 +149,7 @@
         return UpstreamReply(self._upstream, read.incarnation, verdicts)
 
     def _read_outcomes(
-        self, reply: HttpReply, tasks: Sequence[TaskId], texts: tuple[str, ...]
+        self, reply: ClientResponse, tasks: Sequence[TaskId], texts: tuple[str, ...]
     ) -> UpstreamReply:
         read = msgspec.json.decode(success(reply), type=StatusReply)
         _check_order([each.task for each in read.outcomes], list(texts))
@@ -159,7 +159,7 @@
         )
         return UpstreamReply(self._upstream, read.incarnation, outcomes=outcomes)
 
-    def _read_results(self, reply: HttpReply) -> UpstreamReply:
+    def _read_results(self, reply: ClientResponse) -> UpstreamReply:
         read = msgspec.json.decode(success(reply), type=StatusReply)
         outcomes = tuple(
             TaskOutcome(TaskId.parse(each.task), each.state, each.output, each.error)
@@ -169,7 +169,7 @@
             self._upstream, read.incarnation, outcomes=outcomes, cursor=read.cursor
         )
 
-    def _read_usage(self, reply: HttpReply) -> UpstreamReply:
+    def _read_usage(self, reply: ClientResponse) -> UpstreamReply:
         read = msgspec.json.decode(success(reply), type=UsageReply)
         usage = Usage(read.slots, read.busy, read.leaving)
         return UpstreamReply(self._upstream, read.incarnation, usage=usage)
--- a/jackdawspur/adapters/_web.py
+++ b/jackdawspur/adapters/_web.py
@@ -20,7 +20,7 @@
     RequestReader,
 )
 from jackdawspur.adapters._web_sockets import ServerOwner, ServerSockets
-from jackdawspur.callers import HttpReply, reply_answer, reply_refusal
+from jackdawspur.callers import HttpResponse, answer_response, refusal_response
 from jackdawspur.model import Answer, FailureCode, JobState
 
 __all__ = ["Call", "WebServer", "WebService"]
@@ -38,21 +38,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Carry one HTTP request; `number` names it in the reply."""
+    """Carry one HTTP request; `call_id` names it in the reply."""
 
-    number: int
+    call_id: int
     method: str
     path: str
     query: str
     headers: Headers
     body: bytes
 
-    def flag(self, name: str) -> bool:
+    def query_flag(self, name: str) -> bool:
         """Tell whether the query sets a flag to true."""
         return parse_qs(self.query).get(name, [""])[-1] == "true"
 
     @property
-    def token(self) -> str | None:
+    def bearer_token(self) -> str | None:
         """Return the bearer token, if one was sent."""
         scheme, _, token = self.headers.get("Authorization", "").partition(" ")
         return token.strip() if scheme.lower() == "bearer" and token else None
@@ -62,11 +62,11 @@
     """Handle calls; replies go back through `WebServer.reply`."""
 
     @abc.abstractmethod
-    def called(self, call: Call) -> None:
+    def handle_call(self, call: Call) -> None:
         """Handle one call."""
 
     @abc.abstractmethod
-    def closed(self, number: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Note that the caller of an open call went away."""
 
 
@@ -133,9 +133,9 @@
         """Return the number of connections that stand."""
         return len(self._connections)
 
-    def reply(self, number: int, reply: HttpReply) -> None:
+    def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Send the reply of a call; a call whose caller left is ignored."""
-        connection = self._calls.pop(number, None)
+        connection = self._calls.pop(call_id, None)
         if connection is None:
             return
         request, connection.request = connection.request, None
@@ -157,14 +157,14 @@
         """Close each connection with its next reply, and idle ones when asked to."""
         self._draining = True
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections on which nothing of a request has come."""
         for connection in [c for c in self._connections.values() if c.idle]:
             self._sockets.end(connection.sock)
 
-    def drop(self, number: int) -> None:
+    def abort_call(self, call_id: int) -> None:
         """Close the connection of a call without a reply."""
-        connection = self._calls.pop(number, None)
+        connection = self._calls.pop(call_id, None)
         if connection is not None:
             self._sockets.end(connection.sock)
 
@@ -183,7 +183,7 @@
             self._sockets.end(idle.sock)
         elif count <= MAX_CONNECTIONS + MAX_REFUSED_CONNECTIONS:
             text = f"more than {MAX_CONNECTIONS} connections"
-            self._refuse(connection, reply_refusal(FailureCode.OVERLOADED, text))
+            self._refuse(connection, refusal_response(FailureCode.OVERLOADED, text))
         else:
             self._sockets.end(sock)
 
@@ -202,7 +202,7 @@
         """Forget a connection, and tell the service of its open call."""
         connection = self._connections.pop(sock)
         if self._calls.pop(connection.call, None) is not None:
-            self._service.closed(connection.call)
+            self._service.caller_disconnected(connection.call)
 
     def _reader(self) -> RequestReader:
         return RequestReader(self._max_body_bytes)
@@ -233,13 +233,13 @@
         try:
             request = connection.reader.take()
         except RequestError as error:
-            self._refuse(connection, reply_refusal(error.code, str(error)))
+            self._refuse(connection, refusal_response(error.code, str(error)))
             return
         if request is not None:
             self._call(connection, request)
         elif connection.ended:
             text = "the request ended before it was whole"
-            self._refuse(connection, reply_refusal(FailureCode.INVALID, text))
+            self._refuse(connection, refusal_response(FailureCode.INVALID, text))
         elif connection.reader.wants_continue():
             self._sockets.send(connection.sock, CONTINUE)
 
@@ -258,16 +258,16 @@
             request.body,
         )
         try:
-            self._service.called(call)
+            self._service.handle_call(call)
         except Exception:
             # circuits drops exceptions in silence, and the caller would wait.
             log.exception("call failed", extra={"path": call.path})
             text = "an internal error; whether the job ran is unknown"
             code = FailureCode.OUTCOME_UNKNOWN
             failed = Answer(JobState.FAILED, code=code, message=text)
-            self.reply(number, reply_answer(failed))
+            self.reply(number, answer_response(failed))
 
-    def _refuse(self, connection: _Connection, reply: HttpReply) -> None:
+    def _refuse(self, connection: _Connection, reply: HttpResponse) -> None:
         """Answer what was not read to its end, and close."""
         self._sockets.send(connection.sock, encode_reply(reply, None))
         self._finish(connection)
@@ -299,4 +299,4 @@
                 continue
             elif age > REQUEST_TIME_LIMIT_S:
                 text = f"the request took over {REQUEST_TIME_LIMIT_S:.0f} s to arrive"
-                self._refuse(connection, reply_refusal(FailureCode.INVALID, text))
+                self._refuse(connection, refusal_response(FailureCode.INVALID, text))
--- a/jackdawspur/adapters/tests/conftest.py
+++ b/jackdawspur/adapters/tests/conftest.py
@@ -9,10 +9,15 @@
 from circuits.net.events import close, write
 from circuits.net.sockets import TCPServer
 
-from jackdawspur.adapters import Deadlines, HttpClient, HttpLimits, HttpUpstream
+from jackdawspur.adapters import (
+    HttpClient,
+    HttpClientLimits,
+    HttpUpstreamClient,
+    TimerQueue,
+)
 from jackdawspur.external import TaskStart
 from jackdawspur.model import HostId, SubmissionId, TaskId, UpstreamId
-from jackdawspur.standins import RackSettings, make_rack
+from jackdawspur.standins import WorkerPoolSettings, make_worker_pool
 
 ANY_PORT = "127.0.0.1:0"
 HOLDER = HostId("z1", "e1", 1)
@@ -30,7 +35,7 @@
         # Only a running manager polls; run() would never give the test its turn.
         self.root._running = True
         self.poller = EPoll().register(self.root)
-        self.deadlines = Deadlines(clock=lambda: self.now).register(self.root)
+        self.timer_queue = TimerQueue(clock=lambda: self.now).register(self.root)
 
     def until(self, condition: Callable[[], object]) -> None:
         for _ in range(MAX_TICKS):
@@ -48,7 +53,7 @@
         self.settle()
 
     def client(self, address, **limits) -> HttpClient:
-        client = HttpClient(address, self.deadlines, HttpLimits(**limits))
+        client = HttpClient(address, self.timer_queue, HttpClientLimits(**limits))
         return client.register(self.root)
 
     def ask(self, call, *args):
@@ -110,16 +115,18 @@
 
 @pytest.fixture
 def worker(loop):
-    (service,) = make_rack(RackSettings((ANY_PORT,)), loop.root, loop.deadlines)
+    (service,) = make_worker_pool(
+        WorkerPoolSettings((ANY_PORT,)), loop.root, loop.timer_queue
+    )
     loop.settle()
     return service
 
 
 @pytest.fixture
 def upstream(loop, worker):
-    requests = loop.client(worker.address, connections=1)
-    polls = loop.client(worker.address, connections=1)
-    return HttpUpstream(UpstreamId("z1", "w1"), HOLDER, requests, polls)
+    requests = loop.client(worker.address, max_connections=1)
+    polls = loop.client(worker.address, max_connections=1)
+    return HttpUpstreamClient(UpstreamId("z1", "w1"), HOLDER, requests, polls)
 
 
 def task(index: int) -> TaskId:
--- a/jackdawspur/adapters/tests/test_deadlines.py
+++ b/jackdawspur/adapters/tests/test_deadlines.py
@@ -6,7 +6,7 @@
 def poll(loop):
     """Ask what a poller would be told: how long it may wait."""
     event = generate_events(loop.root._lock, -1)
-    loop.deadlines._on_generate_events(event)
+    loop.timer_queue._on_generate_events(event)
     return event.time_left
 
 
@@ -16,9 +16,9 @@
     The deadline fired the reply's event, and the poller then waited without end.
     """
     called = []
-    loop.deadlines.call_after(2.0, lambda: called.append("late"))
-    loop.deadlines.call_after(1.0, lambda: called.append("early"))
-    dropped = loop.deadlines.call_after(0.5, lambda: called.append("dropped"))
+    loop.timer_queue.call_later(2.0, lambda: called.append("late"))
+    loop.timer_queue.call_later(1.0, lambda: called.append("early"))
+    dropped = loop.timer_queue.call_later(0.5, lambda: called.append("dropped"))
     dropped.cancel()
     assert poll(loop) == 1.0
     loop.now += 1.0
--- a/jackdawspur/adapters/tests/test_http_client.py
+++ b/jackdawspur/adapters/tests/test_http_client.py
@@ -41,7 +41,9 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         # The queue of a listener that never accepts drops what is beyond its bound.
-        crowd = [loop.client(full.getsockname(), connect_s=0.5) for _ in range(4)]
+        crowd = [
+            loop.client(full.getsockname(), connect_timeout_s=0.5) for _ in range(4)
+        ]
         results = [get(each, 9.0) for each in crowd]
         loop.settle()
         loop.pass_time(0.6)
@@ -57,7 +59,7 @@
     The next request to the same upstream must not get the late reply: a caller
     would see another job's output. The connection is closed at the timeout.
     """
-    client = loop.client(address(peer), connections=1)
+    client = loop.client(address(peer), max_connections=1)
     first, second = [], []
 
     def ask_again(result):
@@ -80,7 +82,7 @@
 def test_connection_that_speaks_unasked_is_not_used_again(loop, peer):
     """A reply sent twice by its upstream would answer the request after it."""
     peer.answers = [[EMPTY_REPLY], [OK_REPLY.replace(b"A1", b"B2")]]
-    client = loop.client(address(peer), connections=1)
+    client = loop.client(address(peer), max_connections=1)
     first = get(client)
     loop.until(lambda: first)
     peer.say(peer.socks[0], OK_REPLY)
@@ -93,7 +95,7 @@
 
 def test_connection_closed_while_idle_is_replaced(loop, peer):
     peer.answers = [[OK_REPLY], [OK_REPLY]]
-    client = loop.client(address(peer), connections=1)
+    client = loop.client(address(peer), max_connections=1)
     first = get(client)
     loop.until(lambda: first)
     peer.hang_up(peer.socks[0])
@@ -111,7 +113,7 @@
     The bytes were handed to the kernel, so the outcome is unknown.
     """
     peer.answers = [[OK_REPLY]]
-    client = loop.client(address(peer), connections=1)
+    client = loop.client(address(peer), max_connections=1)
     first = get(client)
     loop.until(lambda: first)
     peer.socks[0].shutdown(socket.SHUT_RDWR)
@@ -123,7 +125,7 @@
 
 
 def test_request_that_waits_too_long_is_unavailable_and_never_sent(loop, peer):
-    client = loop.client(address(peer), connections=1, waiting=2)
+    client = loop.client(address(peer), max_connections=1, max_pending_requests=2)
     results = [get(client, 5.0)]
     loop.until(lambda: peer.requests)
     results += [get(client, timeout_s) for timeout_s in (1.0, 5.0, 5.0)]
@@ -148,7 +150,7 @@
 )
 def test_reply_that_ends_its_connection_is_taken(loop, peer, last):
     peer.answers = [[last], [OK_REPLY]]
-    client = loop.client(address(peer), connections=1)
+    client = loop.client(address(peer), max_connections=1)
     both = [get(client), get(client)]
     loop.until(lambda: all(both))
     assert [each[0].unwrap().body for each in both] == [b"A1", b"A1"]
@@ -188,7 +190,7 @@
 )
 def test_foreign_bytes_end_in_outcome_unknown(loop, peer, nonsense):
     peer.answers = [[nonsense]]
-    client = loop.client(address(peer), connections=1)
+    client = loop.client(address(peer), max_connections=1)
     results = get(client)
     loop.until(lambda: results)
     assert isinstance(results[0].unwrap_err(), OutcomeUnknown)
@@ -209,7 +211,7 @@
 
 
 def test_close_ends_every_request(loop, peer):
-    client = loop.client(address(peer), connections=1)
+    client = loop.client(address(peer), max_connections=1)
     results = [get(client), get(client)]
     loop.until(lambda: peer.requests)
     client.close()
@@ -225,11 +227,11 @@
     # Callers wait while a zone's upstreams are taken over: each connection was a
     # component, with each new one circuits forgot its table of handlers, and it walked
     # all components again for each event of each connection.
-    client = loop.client(address(peer), connections=4)
+    client = loop.client(address(peer), max_connections=4)
     get(client)
     loop.until(lambda: peer.requests)
     before = components_below(loop.root)
-    client.open_all()
+    client.connect_all()
     loop.until(lambda: all(each.connected for each in client._connections))
     assert len(client._connections) == 4
     assert components_below(loop.root) == before
--- a/jackdawspur/adapters/tests/test_log_and_list_http.py
+++ b/jackdawspur/adapters/tests/test_log_and_list_http.py
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def service(loop):
-    service = make_log(LogSettings(ANY_PORT), loop.root, loop.deadlines)
+    service = make_log(LogSettings(ANY_PORT), loop.root, loop.timer_queue)
     loop.settle()
     return service
 
@@ -86,11 +86,11 @@
         append(loop, log, body)
     fault(records_kept=2)
     error = read(loop, log, 0).unwrap_err()
-    assert isinstance(error, LogTrimmed) and error.first == 2
+    assert isinstance(error, LogTrimmed) and error.first_offset == 2
     assert [each.body for each in read(loop, log, 2).unwrap()] == ["c", "d"]
     fault(seconds_kept=60.0)
     loop.pass_time(61.0)
-    assert read(loop, log, 2).unwrap_err().first == 4
+    assert read(loop, log, 2).unwrap_err().first_offset == 4
 
 
 def test_outage_takes_nothing_and_ends(loop, log, fault):
@@ -119,7 +119,7 @@
     """A worker was told to leave, and the list still calls it live for seconds."""
     live = HostBody("z1", "w1", HostRole.UPSTREAM)
     settings = HostListSettings(ANY_PORT, lag_ms=5000.0, hosts=(live,))
-    service = make_hostlist(settings, loop.root, loop.deadlines)
+    service = make_hostlist(settings, loop.root, loop.timer_queue)
     loop.settle()
     hosts = HttpHostList(loop.client(service.address))
     leaving = HostBody("z1", "w1", HostRole.UPSTREAM, leaving=True)
--- a/jackdawspur/adapters/tests/test_reply_reader.py
+++ b/jackdawspur/adapters/tests/test_reply_reader.py
@@ -4,7 +4,7 @@
 
 from jackdawspur.adapters._reply_reader import (
     KEPT_HEAD_BYTES,
-    HttpReply,
+    ClientResponse,
     ReplyReader,
     UnreadableReply,
     _read_known_head,
@@ -16,7 +16,7 @@
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n13\r\n" + BODY + b"\r\n0\r\n\r\n"
 
 
-def read(*parts: bytes) -> HttpReply | None:
+def read(*parts: bytes) -> ClientResponse | None:
     reader = ReplyReader()
     replies = [reader.feed(part) for part in parts]
     assert not any(replies[:-1])
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("cut", range(1, len(WHOLE)))
 def test_a_reply_in_two_parts_is_read_whole(cut: int):
-    assert read(WHOLE[:cut], WHOLE[cut:]) == HttpReply(200, BODY)
+    assert read(WHOLE[:cut], WHOLE[cut:]) == ClientResponse(200, BODY)
 
 
 def test_replies_of_like_heads_are_told_apart():
@@ -36,7 +36,7 @@
 
 
 def test_a_reply_in_chunks_is_read():
-    assert read(CHUNKED) == HttpReply(200, BODY)
+    assert read(CHUNKED) == ClientResponse(200, BODY)
 
 
 def test_long_heads_are_not_kept():
--- a/jackdawspur/bench/__main__.py
+++ b/jackdawspur/bench/__main__.py
@@ -21,7 +21,7 @@
 from jackdawspur.bench._deployment import DEPLOYMENTS, SMALL
 from jackdawspur.bench._errors import BenchError
 from jackdawspur.bench._experiment import Experiment, Outcome, run_experiment
-from jackdawspur.bench._policies import OWN_POLICY, POLICIES
+from jackdawspur.bench._policies import POLICIES, PRODUCT_POLICY
 from jackdawspur.bench._report import (
     comparison_lines,
     excess_line,
@@ -81,7 +81,7 @@
 def _policies(scenario: Scenario) -> list[str]:
     names = list(POLICIES) if ALL in POLICY.value else POLICY.value
     if ALL in POLICY.value and (scenario.only_own or scenario.name in PAIRS):
-        names = [name for name in names if name == OWN_POLICY]
+        names = [name for name in names if name == PRODUCT_POLICY]
     return names
 
 
@@ -102,9 +102,9 @@
 def _show(outcome: Outcome, bounds: BoundsFile) -> list[Comparison]:
     _write(table_line(outcome))
     _write(json_line(outcome))
-    for breach in outcome.breaches:
+    for breach in outcome.violations:
         _write(f"  {breach.invariant} at {breach.at:.4f} s: {breach.detail}")
-    if outcome.experiment.policy != OWN_POLICY:
+    if outcome.experiment.policy != PRODUCT_POLICY:
         return []
     found = compare(bounds, outcome)
     if found:
@@ -127,7 +127,7 @@
             outcome = run_experiment(experiment, policy.make, policy.owns)
             outcomes.append(outcome)
             found += _show(outcome, bounds)
-            if experiment.policy == OWN_POLICY:
+            if experiment.policy == PRODUCT_POLICY:
                 broken += outcome.figures.broken_invariants
         compared = excess_line(outcomes)
         if compared is not None:
--- a/jackdawspur/bench/_baselines.py
+++ b/jackdawspur/bench/_baselines.py
@@ -12,24 +12,24 @@
 from jackdawspur.bench._dispatcher import Dispatcher
 from jackdawspur.dispatch import (
     AnswerCall,
-    AskStatus,
-    CancelAsked,
-    DrainAsked,
+    CancelRequested,
+    ClusterSpecUpdated,
+    DrainRequested,
     Effect,
     Event,
-    IdsAsked,
     IssueIds,
+    QueryTaskStatus,
     ResultsReplied,
-    StartsLost,
+    StartRequestFailed,
     StartsReplied,
     StartTasks,
-    StatusLost,
+    StatusQueryFailed,
     StatusReplied,
     StopTasks,
+    SubmissionIdsRequested,
     Submitted,
     Tick,
     UsageReplied,
-    WorldSet,
 )
 from jackdawspur.external import RefusalReason, TaskStart, UpstreamReply, Usage
 from jackdawspur.model import (
@@ -105,18 +105,18 @@
     def handle(self, event: Event, now: float) -> list[Effect]:
         effects: list[Effect] = []
         match event:
-            case WorldSet(world=world):
+            case ClusterSpecUpdated(cluster_spec=world):
                 self._workers = {
                     item.id: _Worker(item.id, item.slots) for item in world.upstreams
                 }
             case Submitted(call=call, request=request):
                 effects += self._submit(call, request, now)
-            case IdsAsked(call=call, count=count):
+            case SubmissionIdsRequested(call=call, count=count):
                 ids = tuple(self._next_id() for _ in range(count))
                 effects.append(IssueIds(call, ids))
-            case CancelAsked(call=call, submission=submission):
+            case CancelRequested(call=call, submission=submission):
                 effects += self._cancel(call, submission)
-            case DrainAsked():
+            case DrainRequested():
                 self._draining = True
             case Tick():
                 effects += self._expire(now)
@@ -128,7 +128,7 @@
         match event:
             case StartsReplied(reply=reply):
                 return self._verdicts(reply, now)
-            case StartsLost(upstream=upstream, tasks=tasks, left=left):
+            case StartRequestFailed(upstream=upstream, tasks=tasks, maybe_sent=left):
                 return self._lost(upstream, tasks, left, now)
             case (
                 ResultsReplied(reply=reply)
@@ -136,7 +136,7 @@
                 | UsageReplied(reply=reply)
             ):
                 return self._outcomes(reply, now)
-            case StatusLost(upstream=upstream, tasks=tasks):
+            case StatusQueryFailed(upstream=upstream, tasks=tasks):
                 again = now + STATUS_AGAIN_S
                 self._timers += [(again, task, upstream) for task in tasks]
         return []
@@ -223,7 +223,7 @@
     ) -> list[Effect]:
         self._workers[upstream].avoid_until = now + UNREACHABLE_S
         if left:
-            return [AskStatus(upstream, tasks)]
+            return [QueryTaskStatus(upstream, tasks)]
         for task in tasks:
             self._again(task, upstream)
         return []
@@ -298,7 +298,7 @@
         self._timers = [timer for timer in self._timers if timer[0] > now]
         for _, task, upstream in due:
             if task.submission in self._jobs:
-                effects.append(AskStatus(upstream, (task,)))
+                effects.append(QueryTaskStatus(upstream, (task,)))
         return effects
 
 
--- a/jackdawspur/bench/_checks.py
+++ b/jackdawspur/bench/_checks.py
@@ -7,7 +7,7 @@
 from jackdawspur.bench._workload import Payload, expected_output
 from jackdawspur.model import Answer, JobRequest, JobState, SubmissionId, TaskId
 
-__all__ = ["Breach", "Checker", "Invariant"]
+__all__ = ["Invariant", "InvariantChecker", "Violation"]
 
 LEAVING_GRACE_S = 3.0
 DETAILS_KEPT = 20
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     """Report one broken invariant and when, in seconds."""
 
     invariant: Invariant
@@ -52,7 +52,7 @@
     not_run: bool = False
 
 
-class Checker:
+class InvariantChecker:
     """Gather what the fakes and the callers saw, and the breaches in it."""
 
     def __init__(self) -> None:
@@ -60,10 +60,10 @@
         self._requests: dict[int, _Request] = {}
         self._versions: defaultdict[str, int] = defaultdict(lambda: -1)
         self._counts: Counter[Invariant] = Counter()
-        self._breaches: list[Breach] = []
+        self._breaches: list[Violation] = []
 
     @property
-    def breaches(self) -> tuple[Breach, ...]:
+    def violations(self) -> tuple[Violation, ...]:
         """Return the first breaches in detail."""
         return tuple(self._breaches)
 
@@ -72,20 +72,20 @@
         """Return how often each invariant broke; nothing when all held."""
         return dict(self._counts)
 
-    def call_made(self, call: int, request_number: int, asked: JobRequest) -> None:
+    def call_sent(self, call: int, request_number: int, asked: JobRequest) -> None:
         """Note that a caller sent a request; calls of one request share a number."""
         self._calls[call] = _Call(request_number)
         self._requests.setdefault(request_number, _Request(asked))
 
-    def control_made(self, call: int) -> None:
+    def control_call_sent(self, call: int) -> None:
         """Note a call that asks for no run: a cancellation, or ids in advance."""
         self._calls[call] = _Call(None)
 
-    def control_ended(self, call: int, now: float) -> None:
+    def control_call_answered(self, call: int, now: float) -> None:
         """Note that ids came for a call that asked for some."""
         self.call_answered(call, Answer(JobState.PENDING), now)
 
-    def call_lost(self, call: int, now: float, draining: bool = False) -> None:
+    def call_disconnected(self, call: int, now: float, draining: bool = False) -> None:
         """Note that a caller lost its connection before its answer."""
         record = self._calls[call]
         record.lost = True
@@ -160,4 +160,4 @@
     def _report(self, invariant: Invariant, now: float, detail: str) -> None:
         self._counts[invariant] += 1
         if len(self._breaches) < DETAILS_KEPT:
-            self._breaches.append(Breach(invariant, now, detail))
+            self._breaches.append(Violation(invariant, now, detail))
--- a/jackdawspur/bench/_clients.py
+++ b/jackdawspur/bench/_clients.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.bench._host import SimulatedHost
 from jackdawspur.bench._workload import Job
-from jackdawspur.dispatch import CancelAsked, IdsAsked, Submitted
+from jackdawspur.dispatch import CancelRequested, SubmissionIdsRequested, Submitted
 from jackdawspur.model import Answer, FailureCode, JobState, SubmissionId
 
 if TYPE_CHECKING:
@@ -78,8 +78,8 @@
             self.ended.append(Ended(job, End.REFUSED, 0.0, FailureCode.NOT_READY))
         elif self.ids_in_advance and job.request.key is None:
             call = self._call(_OpenCall(job, host, control=True))
-            self._simulation.checker.control_made(call)
-            self._send(host, IdsAsked(call, job.request.customer, 1))
+            self._simulation.checker.control_call_sent(call)
+            self._send(host, SubmissionIdsRequested(call, job.request.customer, 1))
         else:
             self._submit_to(job, host)
 
@@ -90,11 +90,11 @@
             host = self._choose(job.balance)
             if submission is not None and host is not None:
                 call = self._call(_OpenCall(job, host, control=True))
-                self._simulation.checker.control_made(call)
-                event = CancelAsked(call, job.request.customer, submission)
+                self._simulation.checker.control_call_sent(call)
+                event = CancelRequested(call, job.request.customer, submission)
                 self._send(host, event)
 
-    def issued(self, call: int, ids: tuple[SubmissionId, ...]) -> None:
+    def ids_issued(self, call: int, ids: tuple[SubmissionId, ...]) -> None:
         """Receive ids in advance, and submit under one; any host may be met."""
         self._later(lambda: self._use_id(call, ids[0]))
 
@@ -140,7 +140,7 @@
 
     def _submit_to(self, job: Job, host: SimulatedHost, again: bool = False) -> None:
         call = self._call(_OpenCall(job, host, resubmission=again))
-        self._simulation.checker.call_made(call, job.number, job.request)
+        self._simulation.checker.call_sent(call, job.number, job.request)
         self._send(host, Submitted(call, job.request))
         if self._resubmits and not again and _may_resubmit(job):
             silence = RESUBMIT_AFTER_SILENCE_S
@@ -160,7 +160,7 @@
 
     def _use_id(self, call: int, submission: SubmissionId) -> None:
         record = self._open.pop(call)
-        self._simulation.checker.control_ended(call, self._simulation.loop.now)
+        self._simulation.checker.control_call_answered(call, self._simulation.loop.now)
         job = record.job
         self._submissions[job.number] = submission
         job = replace(job, request=replace(job.request, submission=submission))
@@ -187,7 +187,7 @@
         if record is None:
             return
         now = self._simulation.loop.now
-        self._simulation.checker.call_lost(call, now, draining)
+        self._simulation.checker.call_disconnected(call, now, draining)
         if record.control or record.resubmission:
             return
         self.ended.append(Ended(record.job, End.LOST, now - record.job.at))
--- a/jackdawspur/bench/_deployment.py
+++ b/jackdawspur/bench/_deployment.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, replace
 
 from jackdawspur.model import (
+    ClusterSpec,
     Contract,
     Customer,
     EntryHost,
     Objective,
     Upstream,
     UpstreamId,
-    World,
 )
 
 __all__ = [
@@ -18,7 +18,7 @@
     "DERINSU",
     "RAMDENEE",
     "SMALL",
-    "Deployment",
+    "DeploymentSpec",
     "Kind",
     "build_world",
 ]
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deployment:
+class DeploymentSpec:
     """Describe hosts, upstreams and one-way latencies in seconds."""
 
     name: str
@@ -64,7 +64,7 @@
         return 2 * (self.client_s + self.inside_zone_s)
 
 
-RAMDENEE = Deployment(
+RAMDENEE = DeploymentSpec(
     name="ramdenee",
     hosts_by_zone=(2, 2, 2),
     upstreams_by_zone=8,
@@ -77,7 +77,7 @@
         Kind("ask_booked", 0.4, 100.0, 1000.0),
     ),
 )
-DERINSU = Deployment(
+DERINSU = DeploymentSpec(
     name="derinsu",
     hosts_by_zone=(2, 2, 1, 1),
     upstreams_by_zone=6,
@@ -97,11 +97,11 @@
 )
 
 
-def build_world(deployment: Deployment, version: int = 1) -> World:
+def build_world(deployment: DeploymentSpec, version: int = 1) -> ClusterSpec:
     """Return the configuration that every host of a deployment starts with."""
     contract = Contract(objective=deployment.objective)
     zones = [f"z{number + 1}" for number in range(len(deployment.hosts_by_zone))]
-    return World(
+    return ClusterSpec(
         version=version,
         customers=tuple(
             Customer(name, QUOTA_SLOTS, contract=contract) for name in CUSTOMER_NAMES
--- a/jackdawspur/bench/_drawn.py
+++ b/jackdawspur/bench/_drawn.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from jackdawspur.bench._front_simulation import STATED_OBJECTIVES, JobKind
-from jackdawspur.bench._simulated_upstream import Work
+from jackdawspur.bench._simulated_upstream import JobDemand
 from jackdawspur.leases import Resources
 from jackdawspur.runs import JobRequest, JobStep, Route
 
@@ -44,13 +44,13 @@
     """Keep a job, how long its tasks really take and how long its caller waits."""
 
     request: JobRequest
-    work: Work
+    work: JobDemand
     waits_s: float = LIMIT_S
 
     @property
     def longest_s(self) -> float:
         """Return what its longest task takes at a pace of 1."""
-        return max(self.work.seconds.values())
+        return max(self.work.run_times_s.values())
 
     @property
     def usable_s(self) -> float:
@@ -79,4 +79,4 @@
         objective_s = STRETCH * max(seconds.values()) + MARGIN_MS / MS_PER_S
         waits_s += STATED_OBJECTIVES * objective_s
     request = JobRequest(job, "", (step,), route)
-    return DrawnJob(request, Work(seconds, step.resources), waits_s)
+    return DrawnJob(request, JobDemand(seconds, step.resources), waits_s)
--- a/jackdawspur/bench/_experiment.py
+++ b/jackdawspur/bench/_experiment.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from jackdawspur.bench._checks import Breach
-from jackdawspur.bench._deployment import Deployment
+from jackdawspur.bench._checks import Violation
+from jackdawspur.bench._deployment import DeploymentSpec
 from jackdawspur.bench._dispatcher import DispatcherFactory
 from jackdawspur.bench._measures import Figures, measure
 from jackdawspur.bench._scenarios import Scenario, at_load
@@ -19,7 +19,7 @@
 class Experiment:
     """Name a run; equal experiments give equal outcomes."""
 
-    deployment: Deployment
+    deployment: DeploymentSpec
     scenario: Scenario
     policy: str
     load: float
@@ -39,7 +39,7 @@
 
     experiment: Experiment
     figures: Figures
-    breaches: tuple[Breach, ...]
+    violations: tuple[Violation, ...]
     broken: dict[str, int]
 
 
@@ -69,4 +69,4 @@
         resubmitted=simulation.clients.resubmitted,
         broken=sum(broken.values()),
     )
-    return Outcome(experiment, figures, simulation.checker.breaches, broken)
+    return Outcome(experiment, figures, simulation.checker.violations, broken)
--- a/jackdawspur/bench/_front_simulation.py
+++ b/jackdawspur/bench/_front_simulation.py
@@ -7,9 +7,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from jackdawspur.bench._simulated_upstream import FrontUpstream, Tally, Work
+from jackdawspur.bench._simulated_upstream import (
+    JobDemand,
+    RunCounters,
+    SimulatedUpstream,
+)
 from jackdawspur.bench._sizes import JobFate, LostJob
-from jackdawspur.leases import CallOutcome, Resources, UpstreamEntry, fence_at
+from jackdawspur.leases import CallOutcome, Resources, UpstreamEntry, next_fence
 from jackdawspur.model import HostId, UpstreamId
 from jackdawspur.runs import (
     AnswerJob,
@@ -19,8 +23,8 @@
     JobLost,
     JobRequest,
     JobStep,
-    LookAt,
     Offer,
+    PollUpstream,
     Progress,
     Route,
     StartRun,
@@ -75,7 +79,7 @@
     late: int = 0
     refused: int = 0
     failed: int = 0
-    tally: Tally = field(default_factory=Tally)
+    counters: RunCounters = field(default_factory=RunCounters)
     fates: list[JobFate] = field(default_factory=list)
 
     @property
@@ -87,13 +91,13 @@
 @dataclass(frozen=True, slots=True)
 class _Asked:
     offer: Offer
-    work: Work
+    work: JobDemand
     objective_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class _Look:
-    order: LookAt
+    order: PollUpstream
     leader: Dispatcher
     until: float
 
@@ -144,7 +148,7 @@
 
     def change_leader(self) -> None:
         """Let another host lead, and offer it all jobs that are not answered."""
-        crashes = self.dispatcher.fleet.crashes
+        crashes = self.dispatcher.upstream_pool.crashes
         told = self.dispatcher.open_jobs.progress_by_host(crashes)
         progress = {job: one for jobs in told.values() for job, one in jobs.items()}
         self.dispatcher = self._new_leader()
@@ -165,11 +169,11 @@
         leader = self._policy(HostId("z1", "h1", 1), self.now)
         entries = [one.entry for one in self.upstreams.values()]
         leader.set_upstreams(entries, self.now - LISTED_FOR_S)
-        self._fence = fence_at(UNIX_MS, "h1", self._fence)
-        leader.lead(self._fence, self.now)
+        self._fence = next_fence(UNIX_MS, "h1", self._fence)
+        leader.start_leading(self._fence, self.now)
         return leader
 
-    def _make_upstreams(self) -> list[FrontUpstream]:
+    def _make_upstreams(self) -> list[SimulatedUpstream]:
         made = []
         for number in range(24):
             cpu = 48_000 if number % 3 == 2 else 32_000
@@ -182,7 +186,7 @@
                 (),
                 False,
             )
-            made.append(FrontUpstream(entry, pace, self.result.tally, self.rng))
+            made.append(SimulatedUpstream(entry, pace, self.result.counters, self.rng))
         return made
 
     def _every(self, seconds: float, act: Callable[[], None]) -> None:
@@ -228,7 +232,7 @@
         if self._states_waits:
             waits_s += STATED_OBJECTIVES * objective_s
         offer = Offer(request, "h2", 1, self.now, self.now + waits_s)
-        work = Work(seconds, step.resources)
+        work = JobDemand(seconds, step.resources)
         self._asked[job_id] = _Asked(offer, work, objective_s)
         self.dispatcher.offer(offer, self.now)
 
@@ -241,7 +245,7 @@
             self._start(effect)
         elif isinstance(effect, StopRun):
             self._stop(effect)
-        elif isinstance(effect, LookAt):
+        elif isinstance(effect, PollUpstream):
             self._look(effect)
         elif isinstance(effect, JobLost):
             self._lost[effect.job] = effect
@@ -254,7 +258,7 @@
 
         def arrive() -> None:
             outcome = upstream.start(
-                order.run, order.until_ms, order.fence, work, self.now
+                order.run, order.lease_until_ms, order.fence, work, self.now
             )
             leader.start_replied(order, outcome, self.now)
 
@@ -262,7 +266,7 @@
             leader.start_replied(order, CallOutcome.UNKNOWN, self.now)
 
         if upstream.silent or self._is_late():
-            self.at(self.now + order.limit_s, give_up)
+            self.at(self.now + order.timeout_s, give_up)
             late_s = self.rng.uniform(*LATE_S)
             self.at(self.now + late_s, lambda: self._late_start(order, work))
         else:
@@ -272,13 +276,13 @@
         """Draw whether an order gets no reply and is carried out late."""
         return self.late_orders > 0.0 and self.rng.random() < self.late_orders
 
-    def _late_start(self, order: StartRun, work: Work) -> None:
+    def _late_start(self, order: StartRun, work: JobDemand) -> None:
         upstream = self.upstreams[order.upstream]
-        upstream.start(order.run, order.until_ms, order.fence, work, self.now)
+        upstream.start(order.run, order.lease_until_ms, order.fence, work, self.now)
 
-    def _work_of(self, task: str) -> Work:
+    def _work_of(self, task: str) -> JobDemand:
         asked = self._asked.get(task.split(".", 1)[0])
-        return asked.work if asked else Work({task: 0.1}, Resources())
+        return asked.work if asked else JobDemand({task: 0.1}, Resources())
 
     def _stop(self, order: StopRun) -> None:
         upstream, leader = self.upstreams[order.upstream], self.dispatcher
@@ -290,17 +294,17 @@
             leader.stop_replied(order, outcome, self.now)
 
         lost = upstream.silent or self._is_late()
-        self.at(self.now + (order.limit_s if lost else CALL_S), arrive)
+        self.at(self.now + (order.timeout_s if lost else CALL_S), arrive)
 
-    def _look(self, order: LookAt) -> None:
+    def _look(self, order: PollUpstream) -> None:
         upstream, leader = self.upstreams[order.upstream], self.dispatcher
 
         def fail(outcome: CallOutcome) -> None:
-            leader.look_replied(order, outcome, self.now)
+            leader.poll_replied(order, outcome, self.now)
 
         def arrive() -> None:
             outcome = upstream.hold(
-                order.fence, order.last_seen, order.until_ms, self.now
+                order.fence, order.last_seen, order.lease_until_ms, self.now
             )
             if outcome is not CallOutcome.OK:
                 fail(outcome)
@@ -310,7 +314,7 @@
             self._answer_looks()
 
         if upstream.silent or self._is_late():
-            wait = order.limit_s
+            wait = order.timeout_s
             self.at(self.now + wait, lambda: fail(CallOutcome.UNKNOWN))
         else:
             self.at(self.now + CALL_S, arrive)
@@ -320,13 +324,13 @@
         for look in waiting:
             order = look.order
             upstream = self.upstreams[order.upstream]
-            if not upstream.unseen and self.now < look.until:
+            if not upstream.has_unacknowledged_ends and self.now < look.until:
                 self._waiting.append(look)
                 continue
             result = upstream.report(self.now)
             if upstream.silent:
                 result = CallOutcome.UNKNOWN
-            look.leader.look_replied(order, result, self.now)
+            look.leader.poll_replied(order, result, self.now)
 
     def _answered(self, answer: AnswerJob) -> None:
         asked = self._asked.pop(answer.job, None)
@@ -351,7 +355,7 @@
 def _fate(
     asked: _Asked, end: JobEnd, paces: list[float], lost: JobLost | None
 ) -> JobFate:
-    seconds = asked.work.seconds.values()
+    seconds = asked.work.run_times_s.values()
     cores = asked.work.resources.cpu_millis / MILLIS_PER_CORE
     longest_s, served = max(seconds), end is JobEnd.COMPLETE
     waits_s = asked.offer.deadline - asked.offer.arrived
--- a/jackdawspur/bench/_host.py
+++ b/jackdawspur/bench/_host.py
@@ -7,28 +7,28 @@
 from jackdawspur.dispatch import (
     AnswerCall,
     AppendClaim,
-    AskStatus,
-    ClaimEnded,
+    ClaimAppendCompleted,
     ClaimsRead,
+    ClusterSpecUpdated,
     Effect,
     Event,
-    HostsListed,
+    HostListUpdated,
     IssueIds,
-    PeerReceived,
+    PeerMessageReceived,
+    QueryTaskStatus,
     ResultsReplied,
-    SendPeer,
-    StartsLost,
+    SendPeerMessage,
+    StartRequestFailed,
     StartsReplied,
     StartTasks,
-    StatusLost,
+    StatusQueryFailed,
     StatusReplied,
     StopTasks,
     Tick,
-    WorldSet,
 )
 from jackdawspur.external import UpstreamReply
 from jackdawspur.messages import Heartbeat, RecordsPassed, RecordsWanted
-from jackdawspur.model import HostId, TaskId, TaskOutcome, TaskState, World
+from jackdawspur.model import ClusterSpec, HostId, TaskId, TaskOutcome, TaskState
 
 if TYPE_CHECKING:
     from jackdawspur.bench._simulation import Simulation
@@ -72,7 +72,7 @@
         """Tell whether the process runs, paused or not."""
         return self._alive
 
-    def boot(self, world: World | None) -> None:
+    def boot(self, world: ClusterSpec | None) -> None:
         """Start a new run with a configuration, if one can be had."""
         self._id = HostId(self._id.zone, self._id.name, self._id.incarnation + 1)
         rng = random.Random(f"{self._simulation.seed} {self._id}")
@@ -84,7 +84,7 @@
         self._seen.clear()
         self._wake_at = None
         if world is not None:
-            self._handle(WorldSet(world))
+            self._handle(ClusterSpecUpdated(world))
         self.read_hosts()
         self.read_claims()
 
@@ -103,7 +103,7 @@
         for arrived, event in inbox:
             # Links drop what waited too long, as the real ones do.
             age = self._simulation.loop.now - arrived
-            if not isinstance(event, PeerReceived) or age <= LINK_MAX_AGE_S:
+            if not isinstance(event, PeerMessageReceived) or age <= LINK_MAX_AGE_S:
                 self._handle(event)
         self._handle(Tick())
 
@@ -120,7 +120,7 @@
         """Read the platform's list of hosts."""
         listed = self._simulation.host_list.fetch()
         if listed is not None and self._reaches_platform():
-            self.receive(self._id, HostsListed(listed))
+            self.receive(self._id, HostListUpdated(listed))
 
     def read_claims(self) -> None:
         """Read new claims from the log."""
@@ -175,7 +175,7 @@
             case StartTasks():
                 traffic.starts += len(effect.starts)
                 self._send_starts(effect)
-            case AskStatus():
+            case QueryTaskStatus():
                 traffic.status_queries += 1
                 self._send_control(effect, seal=True)
             case StopTasks():
@@ -184,8 +184,8 @@
             case AnswerCall(call=call, answer=answer):
                 self._simulation.clients.answered(call, answer)
             case IssueIds(call=call, ids=ids):
-                self._simulation.clients.issued(call, ids)
-            case SendPeer():
+                self._simulation.clients.ids_issued(call, ids)
+            case SendPeerMessage():
                 traffic.count_peer(effect)
                 self._send_peer(effect)
             case AppendClaim(claim=claim):
@@ -203,23 +203,25 @@
         simulation, run = self._simulation, self._id
         tasks = tuple(start.task for start in effect.starts)
         upstream = simulation.upstreams[effect.upstream]
-        if not simulation.links.joined(run.zone, effect.upstream.zone):
+        if not simulation.links.is_connected(run.zone, effect.upstream.zone):
             # Bytes may leave for a cut link before the sender notices.
             left = simulation.rng.random() < LEFT_SHARE
-            self._later(LOST_REPLY_S, StartsLost(effect.upstream, tasks, left))
+            self._later(LOST_REPLY_S, StartRequestFailed(effect.upstream, tasks, left))
             return
         delay = self._delay(effect.upstream.zone)
 
         def arrive() -> None:
             if not upstream.alive:
-                self._later(delay, StartsLost(effect.upstream, tasks, left=False))
+                self._later(
+                    delay, StartRequestFailed(effect.upstream, tasks, maybe_sent=False)
+                )
                 return
             verdicts = tuple(upstream.start(run, effect.starts))
             simulation.traffic.refused_starts += sum(
                 verdict.refusal is not None for verdict in verdicts
             )
-            if simulation.reply_lost(run, upstream):
-                lost = StartsLost(effect.upstream, tasks, left=True)
+            if simulation.should_drop_reply(run, upstream):
+                lost = StartRequestFailed(effect.upstream, tasks, maybe_sent=True)
                 self._later(LOST_REPLY_S, lost)
                 return
             reply = UpstreamReply(effect.upstream, upstream.incarnation, verdicts)
@@ -227,19 +229,19 @@
 
         simulation.loop.after(delay, arrive)
 
-    def _send_control(self, effect: AskStatus | StopTasks, seal: bool) -> None:
+    def _send_control(self, effect: QueryTaskStatus | StopTasks, seal: bool) -> None:
         simulation, run = self._simulation, self._id
         upstream = simulation.upstreams[effect.upstream]
         delay = self._delay(effect.upstream.zone)
-        lost = StatusLost(effect.upstream, effect.tasks)
+        lost = StatusQueryFailed(effect.upstream, effect.tasks)
 
         def arrive() -> None:
-            joined = simulation.links.joined(run.zone, effect.upstream.zone)
+            joined = simulation.links.is_connected(run.zone, effect.upstream.zone)
             outcomes: tuple[TaskOutcome, ...] = ()
             if joined and upstream.alive:
                 ask = upstream.status if seal else upstream.stop
                 outcomes = tuple(ask(effect.tasks, seal) if seal else ask(effect.tasks))
-            if not outcomes or simulation.reply_lost(run, upstream):
+            if not outcomes or simulation.should_drop_reply(run, upstream):
                 if seal:
                     self._later(LOST_REPLY_S, lost)
                 return
@@ -255,18 +257,18 @@
             self._count_repeats(reply.outcomes)
             self.receive(run, StatusReplied(reply))
 
-    def _send_peer(self, effect: SendPeer) -> None:
+    def _send_peer(self, effect: SendPeerMessage) -> None:
         simulation, run = self._simulation, self._id
         if isinstance(effect.message, Heartbeat):
             simulation.checker.version_seen(
                 f"{run.zone}.{run.name}", effect.message.version, simulation.loop.now
             )
         peer = simulation.hosts.get((effect.to.zone, effect.to.name))
-        if peer is None or not simulation.links.joined(run.zone, effect.to.zone):
+        if peer is None or not simulation.links.is_connected(run.zone, effect.to.zone):
             return
         if simulation.links.loses_peer_message():
             return
-        event = PeerReceived(run, effect.message)
+        event = PeerMessageReceived(run, effect.message)
         delay = self._delay(effect.to.zone)
         to = effect.to
 
@@ -281,9 +283,9 @@
         run = self._id
 
         def reported(appended: bool | None) -> None:
-            self.receive(run, ClaimEnded(claim, appended))
+            self.receive(run, ClaimAppendCompleted(claim, appended))
 
         if self._reaches_platform():
             self._simulation.log.append(claim, reported)
         else:
-            self._later(LOST_REPLY_S, ClaimEnded(claim, False))
+            self._later(LOST_REPLY_S, ClaimAppendCompleted(claim, False))
--- a/jackdawspur/bench/_links.py
+++ b/jackdawspur/bench/_links.py
@@ -2,7 +2,7 @@
 
 import random
 
-from jackdawspur.bench._deployment import Deployment
+from jackdawspur.bench._deployment import DeploymentSpec
 
 __all__ = ["FakeLinks"]
 
@@ -14,7 +14,7 @@
     the share of messages between entry hosts that get lost.
     """
 
-    def __init__(self, deployment: Deployment, rng: random.Random) -> None:
+    def __init__(self, deployment: DeploymentSpec, rng: random.Random) -> None:
         self.jitter_s = 0.0
         self.peer_loss = 0.0
         self._rng = rng
@@ -22,19 +22,21 @@
         self._cut_from_zones: set[str] = set()
         self._cut_from_platform: set[str] = set()
 
-    def cut(self, zone: str, zones: bool = True, platform: bool = True) -> None:
+    def partition_zone(
+        self, zone: str, zones: bool = True, platform: bool = True
+    ) -> None:
         """Cut a zone off from the other zones, from the platform, or from both."""
         if zones:
             self._cut_from_zones.add(zone)
         if platform:
             self._cut_from_platform.add(zone)
 
-    def heal(self, zone: str) -> None:
+    def heal_zone(self, zone: str) -> None:
         """End every cut of a zone."""
         self._cut_from_zones.discard(zone)
         self._cut_from_platform.discard(zone)
 
-    def joined(self, zone: str, other: str) -> bool:
+    def is_connected(self, zone: str, other: str) -> bool:
         """Tell whether messages pass between two zones."""
         return zone == other or not {zone, other} & self._cut_from_zones
 
--- a/jackdawspur/bench/_measures.py
+++ b/jackdawspur/bench/_measures.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from jackdawspur.bench._clients import End, Ended
-from jackdawspur.bench._deployment import Deployment
+from jackdawspur.bench._deployment import DeploymentSpec
 from jackdawspur.bench._traffic import Traffic
 from jackdawspur.model import FailureCode
 
@@ -57,7 +57,7 @@
 
 
 def measure(
-    deployment: Deployment,
+    deployment: DeploymentSpec,
     ended: Sequence[Ended],
     traffic: Traffic,
     *,
@@ -98,7 +98,7 @@
     )
 
 
-def _ratios(deployment: Deployment, ended: Sequence[Ended]) -> list[float]:
+def _ratios(deployment: DeploymentSpec, ended: Sequence[Ended]) -> list[float]:
     return sorted(
         item.response_s / (item.job.longest_ms / 1000 + deployment.round_trip_s)
         for item in ended
--- a/jackdawspur/bench/_own.py
+++ b/jackdawspur/bench/_own.py
@@ -6,10 +6,10 @@
 from jackdawspur.dispatch import TICK_S, Effect, EntryCore, Event, Tick
 from jackdawspur.model import HostId
 
-__all__ = ["OwnDispatcher"]
+__all__ = ["ProductDispatcher"]
 
 
-class OwnDispatcher(Dispatcher):
+class ProductDispatcher(Dispatcher):
     """Drive an `EntryCore` with ticks as often as it asks for."""
 
     def __init__(self, host: HostId, rng: random.Random, now: float) -> None:
--- a/jackdawspur/bench/_policies.py
+++ b/jackdawspur/bench/_policies.py
@@ -4,11 +4,11 @@
 
 from jackdawspur.bench._baselines import BASELINES
 from jackdawspur.bench._dispatcher import DispatcherFactory
-from jackdawspur.bench._own import OwnDispatcher
+from jackdawspur.bench._own import ProductDispatcher
 
-__all__ = ["OWN_POLICY", "POLICIES", "Policy"]
+__all__ = ["POLICIES", "PRODUCT_POLICY", "Policy"]
 
-OWN_POLICY = "own"
+PRODUCT_POLICY = "own"
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,6 +21,6 @@
 
 
 POLICIES = {
-    OWN_POLICY: Policy(OWN_POLICY, OwnDispatcher, owns=True),
+    PRODUCT_POLICY: Policy(PRODUCT_POLICY, ProductDispatcher, owns=True),
     **{name: Policy(name, make) for name, make in BASELINES.items()},
 }
--- a/jackdawspur/bench/_report.py
+++ b/jackdawspur/bench/_report.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.bench._bounds import BoundsFile, Comparison
 from jackdawspur.bench._experiment import Outcome
-from jackdawspur.bench._policies import OWN_POLICY
+from jackdawspur.bench._policies import PRODUCT_POLICY
 
 __all__ = [
     "comparison_lines",
@@ -47,7 +47,7 @@
         last = kept[name].last if name in kept else None
         return f"{NOT_KEPT if last is None else format(last, '.3f'):>10}"
 
-    label = key.removesuffix(OWN_POLICY) + "previous"
+    label = key.removesuffix(PRODUCT_POLICY) + "previous"
     counts = f"{NOT_KEPT:>10}" * len(COLUMNS)
     return f"{label:64}{counts}{''.join(show(name) for name in RATIOS)}"
 
@@ -90,8 +90,8 @@
 
     None unless both ran.
     """
-    own = [item for item in outcomes if item.experiment.policy == OWN_POLICY]
-    others = [item for item in outcomes if item.experiment.policy != OWN_POLICY]
+    own = [item for item in outcomes if item.experiment.policy == PRODUCT_POLICY]
+    others = [item for item in outcomes if item.experiment.policy != PRODUCT_POLICY]
     if not own or not others:
         return None
     best = min(others, key=lambda item: item.figures.p99)
--- a/jackdawspur/bench/_scenarios.py
+++ b/jackdawspur/bench/_scenarios.py
@@ -133,8 +133,10 @@
     def inject(simulation: Simulation, jobs: list[Job]) -> None:
         zone = _worker(simulation).zone
         links = simulation.links
-        simulation.loop.at(FAULT_AT_S, lambda: links.cut(zone, zones, platform))
-        simulation.loop.at(FAULT_AT_S + CUT_S, lambda: links.heal(zone))
+        simulation.loop.at(
+            FAULT_AT_S, lambda: links.partition_zone(zone, zones, platform)
+        )
+        simulation.loop.at(FAULT_AT_S + CUT_S, lambda: links.heal_zone(zone))
 
     return inject
 
--- a/jackdawspur/bench/_simulated_upstream.py
+++ b/jackdawspur/bench/_simulated_upstream.py
@@ -6,15 +6,15 @@
 from jackdawspur.leases import (
     CallOutcome,
     EndedRun,
-    Ending,
-    LookReport,
+    PollReport,
     Resources,
     RunId,
     RunningRun,
+    RunResult,
     UpstreamEntry,
 )
 
-__all__ = ["FrontUpstream", "Tally", "Work"]
+__all__ = ["JobDemand", "RunCounters", "SimulatedUpstream"]
 
 MS_PER_S = 1000.0
 # Clocks of upstreams start anywhere.
@@ -22,21 +22,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class JobDemand:
     """Say how long each task of a job takes at a pace of one, in seconds."""
 
-    seconds: dict[str, float]
+    run_times_s: dict[str, float]
     resources: Resources
 
 
 @dataclass
-class Tally:
+class RunCounters:
     """Count what must never happen, over all upstreams."""
 
     starts: int = 0
     two_at_once: int = 0
     over_capacity: int = 0
-    running: dict[str, int] = field(default_factory=dict)
+    running_by_task: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(eq=False, slots=True)
@@ -47,7 +47,7 @@
     cpu: int
 
 
-class FrontUpstream:
+class SimulatedUpstream:
     """Run tasks under fences and leases; faults are set from outside.
 
     `pace` and `slow` multiply run times, `hangs` stops all progress of new runs,
@@ -55,7 +55,11 @@
     """
 
     def __init__(
-        self, entry: UpstreamEntry, pace: float, tally: Tally, rng: random.Random
+        self,
+        entry: UpstreamEntry,
+        pace: float,
+        counters: RunCounters,
+        rng: random.Random,
     ) -> None:
         self.entry = entry
         self.slow = 1.0
@@ -63,27 +67,27 @@
         self.fails = 0.0
         self.silent = False
         self.pace = pace
-        self._tally = tally
+        self._counters = counters
         self._rng = rng
-        self._clock_at_0 = rng.randrange(CLOCK_SPAN_MS)
+        self._clock_offset_ms = rng.randrange(CLOCK_SPAN_MS)
         self._fence = 0
         self._lease_ms = 0
         self._tasks: dict[RunId, _Running] = {}
-        self._last: dict[str, int] = {}
-        self._ended: list[EndedRun] = []
-        self._ends = 0
+        self._last_run_number: dict[str, int] = {}
+        self._unacknowledged_ends: list[EndedRun] = []
+        self._end_count = 0
 
     @property
-    def unseen(self) -> bool:
+    def has_unacknowledged_ends(self) -> bool:
         """Tell whether there are ends that nobody has taken note of."""
-        return bool(self._ended)
+        return bool(self._unacknowledged_ends)
 
     def clock_ms(self, now: float) -> int:
         """Return the upstream's own clock."""
-        return self._clock_at_0 + int(now * MS_PER_S)
+        return self._clock_offset_ms + int(now * MS_PER_S)
 
     def start(
-        self, run: RunId, until_ms: int, fence: int, work: Work, now: float
+        self, run: RunId, until_ms: int, fence: int, work: JobDemand, now: float
     ) -> CallOutcome:
         """Start a run unless a fence, the lease or an earlier run forbids it."""
         if fence < self._fence:
@@ -94,14 +98,14 @@
         self._lease_ms = max(self._lease_ms, until_ms)
         if run in self._tasks:
             return CallOutcome.OK
-        if run.number <= self._last.get(run.task, 0):
+        if run.number <= self._last_run_number.get(run.task, 0):
             return CallOutcome.OLD_RUN
-        whole_s = work.seconds[run.task] * self.pace * self.slow
+        whole_s = work.run_times_s[run.task] * self.pace * self.slow
         if self.hangs:
             whole_s = float("inf")
         cpu = work.resources.cpu_millis
         self._tasks[run] = _Running(run, now, whole_s, cpu)
-        self._count(run, cpu)
+        self._count_start(run, cpu)
         return CallOutcome.OK
 
     def stop(self, run: RunId, fence: int, now: float) -> CallOutcome:
@@ -109,9 +113,11 @@
         if fence < self._fence:
             return CallOutcome.FENCED
         self._fence = fence
-        self._last[run.task] = max(run.number, self._last.get(run.task, 0))
+        self._last_run_number[run.task] = max(
+            run.number, self._last_run_number.get(run.task, 0)
+        )
         if run in self._tasks:
-            self._end(self._tasks[run], Ending.STOPPED)
+            self._end_run(self._tasks[run], RunResult.STOPPED)
         return CallOutcome.OK
 
     def hold(
@@ -121,39 +127,45 @@
         if fence < self._fence:
             return CallOutcome.FENCED
         self._fence = fence
-        self._ended = [one for one in self._ended if one.number > last_seen]
+        self._unacknowledged_ends = [
+            one for one in self._unacknowledged_ends if one.number > last_seen
+        ]
         if until_ms is not None:
             self._lease_ms = max(self._lease_ms, until_ms)
         return CallOutcome.OK
 
-    def report(self, now: float) -> LookReport:
+    def report(self, now: float) -> PollReport:
         """Report all runs and the ends not yet taken note of."""
         rows = tuple(
             RunningRun(one.run, "", int(100.0 * (now - one.began) / one.whole_s))
             for one in self._tasks.values()
         )
-        return LookReport(self.clock_ms(now), rows, tuple(self._ended))
+        return PollReport(self.clock_ms(now), rows, tuple(self._unacknowledged_ends))
 
     def advance(self, now: float) -> None:
         """End what is done, and everything when the lease is over."""
         for one in list(self._tasks.values()):
             if now >= one.began + one.whole_s:
                 failed = self._rng.random() < self.fails
-                self._end(one, Ending.FAILED if failed else Ending.DONE)
+                self._end_run(one, RunResult.FAILED if failed else RunResult.DONE)
             elif self.clock_ms(now) >= self._lease_ms:
-                self._end(one, Ending.LAPSED)
-
-    def _count(self, run: RunId, cpu: int) -> None:
-        tally = self._tally
-        tally.starts += 1
-        tally.two_at_once += tally.running.get(run.task, 0) > 0
-        tally.running[run.task] = tally.running.get(run.task, 0) + 1
+                self._end_run(one, RunResult.LAPSED)
+
+    def _count_start(self, run: RunId, cpu: int) -> None:
+        counters = self._counters
+        counters.starts += 1
+        counters.two_at_once += counters.running_by_task.get(run.task, 0) > 0
+        counters.running_by_task[run.task] = (
+            counters.running_by_task.get(run.task, 0) + 1
+        )
         taken = sum(one.cpu for one in self._tasks.values())
-        tally.over_capacity += taken > self.entry.capacity.cpu_millis
+        counters.over_capacity += taken > self.entry.capacity.cpu_millis
 
-    def _end(self, one: _Running, ending: Ending) -> None:
+    def _end_run(self, one: _Running, ending: RunResult) -> None:
         del self._tasks[one.run]
-        self._tally.running[one.run.task] -= 1
-        self._last[one.run.task] = max(one.run.number, self._last.get(one.run.task, 0))
-        self._ends += 1
-        self._ended.append(EndedRun(self._ends, one.run, ending, ""))
+        self._counters.running_by_task[one.run.task] -= 1
+        self._last_run_number[one.run.task] = max(
+            one.run.number, self._last_run_number.get(one.run.task, 0)
+        )
+        self._end_count += 1
+        self._unacknowledged_ends.append(EndedRun(self._end_count, one.run, ending, ""))
--- a/jackdawspur/bench/_simulation.py
+++ b/jackdawspur/bench/_simulation.py
@@ -3,9 +3,9 @@
 import random
 from collections.abc import Sequence
 
-from jackdawspur.bench._checks import Checker
+from jackdawspur.bench._checks import InvariantChecker
 from jackdawspur.bench._clients import Clients
-from jackdawspur.bench._deployment import Deployment, build_world
+from jackdawspur.bench._deployment import DeploymentSpec, build_world
 from jackdawspur.bench._dispatcher import DispatcherFactory
 from jackdawspur.bench._host import SimulatedHost
 from jackdawspur.bench._links import FakeLinks
@@ -14,9 +14,9 @@
 from jackdawspur.bench._traffic import Traffic
 from jackdawspur.bench._upstream import FakeUpstream
 from jackdawspur.bench._workload import Job
-from jackdawspur.dispatch import DrainAsked, UsageReplied, WorldSet
+from jackdawspur.dispatch import ClusterSpecUpdated, DrainRequested, UsageReplied
 from jackdawspur.external import HostRole, ListedHost, UpstreamReply
-from jackdawspur.model import HostId, TaskOutcome, UpstreamId, World
+from jackdawspur.model import ClusterSpec, HostId, TaskOutcome, UpstreamId
 
 __all__ = ["Simulation"]
 
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        deployment: Deployment,
+        deployment: DeploymentSpec,
         make: DispatcherFactory,
         seed: int,
         list_lag_s: float = LIST_LAG_S,
@@ -43,7 +43,7 @@
         self.seed = seed
         self.rng = random.Random(f"simulation {seed}")
         self.loop = VirtualLoop()
-        self.checker = Checker()
+        self.checker = InvariantChecker()
         self.traffic = Traffic()
         self.links = FakeLinks(deployment, self.rng)
         self.host_list = FakeHostList(self.loop, list_lag_s)
@@ -75,11 +75,11 @@
         self.loop.run(self.loop.now + LATE_START_S)
         self.checker.finish(self.loop.now)
 
-    def set_world(self, world: World) -> None:
+    def set_cluster_spec(self, world: ClusterSpec) -> None:
         """Bring a configuration to every host that lives."""
         self.world = world
         for host in self.hosts.values():
-            host.receive(host.id, WorldSet(world))
+            host.receive(host.id, ClusterSpecUpdated(world))
 
     def leave(self, upstream: UpstreamId) -> None:
         """Have an upstream leave, and the platform list it, with its lag."""
@@ -103,12 +103,12 @@
     def drain(self, host: SimulatedHost) -> None:
         """Ask a host to stop, and replace it when its time is over."""
         host.draining_since = self.loop.now
-        host.receive(host.id, DrainAsked(DRAIN_BOUND_S * 1000))
+        host.receive(host.id, DrainRequested(DRAIN_BOUND_S * 1000))
         self.loop.after(DRAIN_BOUND_S + RESTART_S, lambda: self.kill(host))
 
-    def reply_lost(self, run: HostId, upstream: FakeUpstream) -> bool:
+    def should_drop_reply(self, run: HostId, upstream: FakeUpstream) -> bool:
         """Decide whether an upstream's reply is lost after the effect."""
-        cut = not self.links.joined(run.zone, upstream.spec.id.zone)
+        cut = not self.links.is_connected(run.zone, upstream.spec.id.zone)
         return cut or self.rng.random() < upstream.faults.lost_replies
 
     def _boot(self, host: SimulatedHost) -> None:
@@ -137,7 +137,7 @@
         def arrive() -> None:
             if host.id != holder or not self.upstreams[reply.upstream].alive:
                 return
-            if self.links.joined(holder.zone, reply.upstream.zone):
+            if self.links.is_connected(holder.zone, reply.upstream.zone):
                 host.take_results(reply)
             else:
                 self._deliver(holder, reply, REDELIVER_S)
@@ -152,7 +152,7 @@
             for upstream in self.upstreams.values():
                 if not upstream.alive:
                     continue
-                if self.links.joined(host.id.zone, upstream.spec.id.zone):
+                if self.links.is_connected(host.id.zone, upstream.spec.id.zone):
                     reply = UpstreamReply(
                         upstream.spec.id, upstream.incarnation, usage=upstream.usage
                     )
--- a/jackdawspur/bench/_traffic.py
+++ b/jackdawspur/bench/_traffic.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from jackdawspur.dispatch import Effect, SendPeer
+from jackdawspur.dispatch import Effect, SendPeerMessage
 from jackdawspur.messages import (
     CancelForward,
     Delegate,
@@ -41,7 +41,7 @@
 
     def count_peer(self, effect: Effect) -> None:
         """Count a message to another entry host by its kind."""
-        if not isinstance(effect, SendPeer):
+        if not isinstance(effect, SendPeerMessage):
             return
         if isinstance(effect.message, LENDING):
             self.lending += 1
--- a/jackdawspur/bench/_upstream.py
+++ b/jackdawspur/bench/_upstream.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from jackdawspur.bench._checks import Checker
+from jackdawspur.bench._checks import InvariantChecker
 from jackdawspur.bench._loop import VirtualLoop
 from jackdawspur.bench._workload import Payload, expected_output
 from jackdawspur.external import RefusalReason, StartVerdict, TaskStart, Usage
@@ -42,7 +42,11 @@
     """Run tasks under leases, with the verdicts of the real interface."""
 
     def __init__(
-        self, spec: Upstream, loop: VirtualLoop, rng: random.Random, checker: Checker
+        self,
+        spec: Upstream,
+        loop: VirtualLoop,
+        rng: random.Random,
+        checker: InvariantChecker,
     ) -> None:
         self.spec = spec
         self.faults = UpstreamFaults()
--- a/jackdawspur/bench/_workload.py
+++ b/jackdawspur/bench/_workload.py
@@ -4,7 +4,7 @@
 import random
 from dataclasses import dataclass
 
-from jackdawspur.bench._deployment import CUSTOMER_NAMES, Deployment, Kind
+from jackdawspur.bench._deployment import CUSTOMER_NAMES, DeploymentSpec, Kind
 from jackdawspur.model import JobRequest, TaskSpec
 
 __all__ = [
@@ -77,7 +77,7 @@
     return f"done {payload}"
 
 
-def jobs_per_second(deployment: Deployment, load: float) -> float:
+def jobs_per_second(deployment: DeploymentSpec, load: float) -> float:
     """Return the rate whose offered slot time is `load` of all slots."""
     tasks = sum(share * (low + high) / 2 for share, low, high in SIZE_MIX)
     usual_ms = sum(kind.share * _mean_ms(kind) for kind in deployment.kinds)
@@ -86,7 +86,7 @@
     return load * deployment.total_slots / (tasks * task_ms / 1000)
 
 
-def draw_jobs(deployment: Deployment, workload: Workload, seed: int) -> list[Job]:
+def draw_jobs(deployment: DeploymentSpec, workload: Workload, seed: int) -> list[Job]:
     """Draw Poisson arrivals for a run, in order of time."""
     rng = random.Random(f"jobs {seed}")
     rate = jobs_per_second(deployment, workload.load)
@@ -110,7 +110,7 @@
 def _draw_job(
     number: int,
     now: float,
-    deployment: Deployment,
+    deployment: DeploymentSpec,
     workload: Workload,
     rng: random.Random,
 ) -> Job:
--- a/jackdawspur/bench/_zone.py
+++ b/jackdawspur/bench/_zone.py
@@ -8,7 +8,11 @@
 from typing import Protocol
 
 from jackdawspur.bench._drawn import CALL_S, SLOWER
-from jackdawspur.bench._simulated_upstream import FrontUpstream, Tally, Work
+from jackdawspur.bench._simulated_upstream import (
+    JobDemand,
+    RunCounters,
+    SimulatedUpstream,
+)
 from jackdawspur.leases import CallOutcome, Fence, Resources, UpstreamEntry
 from jackdawspur.model import HostId, UpstreamId
 from jackdawspur.runs import (
@@ -16,12 +20,12 @@
     Dispatcher,
     Effect,
     JobLost,
-    LookAt,
     Offer,
-    PassJobOn,
-    Place,
+    PollUpstream,
     Progress,
-    SpareRoom,
+    RedirectJob,
+    RemoteLeader,
+    SpareCapacity,
     StartRun,
     StopRun,
 )
@@ -67,7 +71,7 @@
 class ZoneOwner(Protocol):
     """Hear of what a leading host does with jobs."""
 
-    def work_of(self, task: str) -> Work:
+    def demand_of(self, task: str) -> JobDemand:
         """Return how long a task takes."""
 
     def started(self, order: StartRun, pace: float, believed: float) -> None:
@@ -76,7 +80,7 @@
     def answered(self, answer: AnswerJob) -> None:
         """Take in how a job ended."""
 
-    def passed_on(self, order: PassJobOn) -> None:
+    def passed_on(self, order: RedirectJob) -> None:
         """Take in that a job is to go to another zone."""
 
     def lost(self, lost: JobLost) -> None:
@@ -85,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Look:
-    order: LookAt
+    order: PollUpstream
     replied: Callable
     until: float
 
@@ -104,11 +108,11 @@
         number: int,
         upstreams: int,
         pass_s: float,
-        tally: Tally,
+        counters: RunCounters,
         rng: random.Random,
     ) -> None:
         self.name = f"z{number}"
-        self.place = Place(f"h{number}", (number + 1) << 40)
+        self.place = RemoteLeader(f"h{number}", (number + 1) << 40)
         self.load = 1.0
         self._owner = owner
         self._time = time
@@ -116,7 +120,7 @@
         self._rng = rng
         self._inbox: list[Callable[[], None]] = []
         self._flush_due = NEVER_S
-        made = [self._make(n, tally) for n in range(upstreams)]
+        made = [self._make(n, counters) for n in range(upstreams)]
         self.upstreams = {one.entry.id: one for one in made}
         self._looks: dict[UpstreamId, list[_Look]] = {one: [] for one in self.upstreams}
         self._fence = self.place.fence
@@ -131,19 +135,19 @@
         entries = [one.entry for one in self.upstreams.values()]
         self.dispatcher.set_upstreams(entries, self._time.now)
 
-    def _make(self, number: int, tally: Tally) -> FrontUpstream:
+    def _make(self, number: int, counters: RunCounters) -> SimulatedUpstream:
         cpu = 48_000 if number % 3 == 2 else 32_000
         pace = SLOWER if number // 3 % 3 == 0 else 1.0
         one = UpstreamId(self.name, f"u{number}")
         room = Resources(cpu, 131_072, 0)
         entry = UpstreamEntry(one, "service", "127.0.0.1:1", room, (), False)
-        return FrontUpstream(entry, pace, tally, self._rng)
+        return SimulatedUpstream(entry, pace, counters, self._rng)
 
     def _lead(self, fence: Fence) -> Dispatcher:
         leader = Dispatcher(HostId(self.name, self.place.leader, 1), self._time.now)
         entries = [one.entry for one in self.upstreams.values()]
         leader.set_upstreams(entries, self._time.now - LISTED_FOR_S)
-        leader.lead(fence, self._time.now)
+        leader.start_leading(fence, self._time.now)
         return leader
 
     def post(self, act: Callable[[], None]) -> None:
@@ -157,16 +161,18 @@
 
     def lead_anew(self) -> dict[str, Progress]:
         """Let another host lead, and return what the last one told of its jobs."""
-        crashes = self.dispatcher.fleet.crashes
+        crashes = self.dispatcher.upstream_pool.crashes
         told = self.dispatcher.open_jobs.progress_by_host(crashes)
         self._fence += 1
         self.dispatcher = self._lead(self._fence)
         return {job: one for jobs in told.values() for job, one in jobs.items()}
 
-    def hear_room(self, zone: "Zone", room: dict[str, SpareRoom]) -> None:
+    def hear_room(self, zone: "Zone", room: dict[str, SpareCapacity]) -> None:
         """Take in the room that another zone offers."""
         now = self._time.now
-        self.post(lambda: self.dispatcher.room_offered(zone.place, room, now))
+        self.post(
+            lambda: self.dispatcher.update_offered_capacity(zone.place, room, now)
+        )
 
     def offer(self, offer: Offer) -> None:
         """Offer a job."""
@@ -196,11 +202,11 @@
             self._start(effect)
         elif isinstance(effect, StopRun):
             self._stop(effect)
-        elif isinstance(effect, LookAt):
+        elif isinstance(effect, PollUpstream):
             self._look(effect)
         elif isinstance(effect, AnswerJob):
             self._owner.answered(effect)
-        elif isinstance(effect, PassJobOn):
+        elif isinstance(effect, RedirectJob):
             self._owner.passed_on(effect)
         elif isinstance(effect, JobLost):
             self._owner.lost(effect)
@@ -209,7 +215,7 @@
 
     def _call(self, order, act: Callable[[], None], replied: Callable) -> None:
         if self.upstreams[order.upstream].silent:
-            self._reply(replied, order, CallOutcome.UNKNOWN, order.limit_s)
+            self._reply(replied, order, CallOutcome.UNKNOWN, order.timeout_s)
         else:
             self._time.at(self._time.now + CALL_S, act)
 
@@ -226,15 +232,19 @@
             self.upstreams[order.upstream],
             self.dispatcher.start_replied,
         )
-        work = self._owner.work_of(order.run.task)
-        believed = self.dispatcher.estimates.pace(order.upstream)
+        work = self._owner.demand_of(order.run.task)
+        believed = self.dispatcher.estimates.slowdown(order.upstream)
 
         def arrive() -> None:
             now = self._time.now
             upstream.advance(now)
-            outcome = upstream.start(order.run, order.until_ms, order.fence, work, now)
+            outcome = upstream.start(
+                order.run, order.lease_until_ms, order.fence, work, now
+            )
             if outcome is CallOutcome.OK:
-                whole_s = work.seconds[order.run.task] * upstream.pace * upstream.slow
+                whole_s = (
+                    work.run_times_s[order.run.task] * upstream.pace * upstream.slow
+                )
                 self._time.at(now + whole_s, lambda: self._advance(upstream))
                 self._owner.started(order, upstream.pace, believed)
             self._reply(replied, order, outcome)
@@ -252,13 +262,13 @@
 
         self._call(order, arrive, replied)
 
-    def _look(self, order: LookAt) -> None:
-        upstream, replied = self.upstreams[order.upstream], self.dispatcher.look_replied
+    def _look(self, order: PollUpstream) -> None:
+        upstream, replied = self.upstreams[order.upstream], self.dispatcher.poll_replied
 
         def arrive() -> None:
             now = self._time.now
             upstream.advance(now)
-            last, until_ms = order.last_seen, order.until_ms
+            last, until_ms = order.last_seen, order.lease_until_ms
             outcome = upstream.hold(order.fence, last, until_ms, now)
             if outcome is not CallOutcome.OK:
                 self._reply(replied, order, outcome)
@@ -270,12 +280,15 @@
 
         self._call(order, arrive, replied)
 
-    def _answer_looks(self, upstream: FrontUpstream) -> None:
+    def _answer_looks(self, upstream: SimulatedUpstream) -> None:
         """Answer the looks that waited long enough, or for an end that is there."""
         waiting = self._looks[upstream.entry.id]
         now, report = self._time.now, None
         for look in waiting[:]:
-            if not (now >= look.until or (upstream.unseen and not upstream.silent)):
+            if not (
+                now >= look.until
+                or (upstream.has_unacknowledged_ends and not upstream.silent)
+            ):
                 continue
             waiting.remove(look)
             if upstream.silent:
@@ -283,7 +296,7 @@
             report = report or upstream.report(now)
             self._reply(look.replied, look.order, report)
 
-    def _advance(self, upstream: FrontUpstream) -> None:
+    def _advance(self, upstream: SimulatedUpstream) -> None:
         upstream.advance(self._time.now)
         self._answer_looks(upstream)
 
--- a/jackdawspur/bench/_zones.py
+++ b/jackdawspur/bench/_zones.py
@@ -8,7 +8,7 @@
 
 from jackdawspur.bench._drawn import ANSWER_S, HOP_S, LIMIT_S, DrawnJob, draw
 from jackdawspur.bench._front_simulation import JobKind
-from jackdawspur.bench._simulated_upstream import Tally, Work
+from jackdawspur.bench._simulated_upstream import JobDemand, RunCounters
 from jackdawspur.bench._sizes import JobFate, LostJob
 from jackdawspur.bench._zone import Timeline, Zone
 from jackdawspur.leases import Resources
@@ -17,11 +17,11 @@
     JobEnd,
     JobLost,
     Offer,
-    PassJobOn,
     Progress,
-    SpareRoom,
+    RedirectJob,
+    SpareCapacity,
     StartRun,
-    deal,
+    split_round_robin,
 )
 
 __all__ = ["ZonesResult", "ZonesSimulation"]
@@ -40,7 +40,7 @@
 
     offered: int = 0
     passed_on: int = 0
-    tally: Tally = field(default_factory=Tally)
+    counters: RunCounters = field(default_factory=RunCounters)
     fates: list[JobFate] = field(default_factory=list)
 
 
@@ -83,7 +83,7 @@
         self._kinds = kinds
         rng = random.Random(f"zones {seed}")
         self.zones = [
-            Zone(self, self.time, n, upstreams, pass_s, self.result.tally, rng)
+            Zone(self, self.time, n, upstreams, pass_s, self.result.counters, rng)
             for n in range(zones)
         ]
         self._by_leader = {zone.place.leader: zone for zone in self.zones}
@@ -110,7 +110,7 @@
             if asked.zone is zone:
                 offer = asked.offer
                 told = progress.get(offer.request.id, Progress())
-                asked.offer = self._offer_of(asked, offer.handed + 1, told)
+                asked.offer = self._offer_of(asked, offer.handovers + 1, told)
                 zone.offer(asked.offer)
 
     # Callers.
@@ -148,7 +148,7 @@
             last.deadline,
             handed,
             told,
-            far=last.far,
+            from_other_group=last.from_other_group,
             attempt=last.attempt,
         )
 
@@ -167,10 +167,10 @@
 
     # What leading hosts decide.
 
-    def work_of(self, task: str) -> Work:
+    def demand_of(self, task: str) -> JobDemand:
         """Return how long the tasks of a task's job take."""
         asked = self._asked.get(task.split(".", 1)[0])
-        return asked.drawn.work if asked else Work({task: 0.1}, Resources())
+        return asked.drawn.work if asked else JobDemand({task: 0.1}, Resources())
 
     def started(self, order: StartRun, pace: float, believed: float) -> None:
         """Take in that a run began on an upstream of a pace, and what was believed."""
@@ -193,21 +193,21 @@
             when = self.time.now + HOP_S
             self.time.at(when, lambda: self._end(answer.job, complete))
 
-    def passed_on(self, order: PassJobOn) -> None:
+    def passed_on(self, order: RedirectJob) -> None:
         """Let a job's host offer it to the leading host of another zone."""
         self.result.passed_on += 1
         asked = self._asked.get(order.job)
         if asked is None:
             return
         last = asked.offer
-        asked.zone = self._by_leader[order.place.leader]
+        asked.zone = self._by_leader[order.remote_leader.leader]
         asked.offer = Offer(
             last.request,
             last.host,
             last.call,
             last.arrived,
             last.deadline,
-            far=True,
+            from_other_group=True,
             attempt=last.attempt + 1,
         )
         zone, offer = asked.zone, asked.offer
@@ -217,16 +217,19 @@
         for zone in self.zones:
             now = self.time.now
             others = [one for one in self.zones if one is not zone]
-            wanting = [one for one in others if one.dispatcher.wants_room(now)]
+            wanting = [one for one in others if one.dispatcher.needs_capacity(now)]
             names = [one.place.leader for one in wanting or others]
             dealt = {
-                service: (deal(spare.fast, names), deal(spare.slow, names))
-                for service, spare in zone.dispatcher.spare_room(now).items()
+                service: (
+                    split_round_robin(spare.fast, names),
+                    split_round_robin(spare.slow, names),
+                )
+                for service, spare in zone.dispatcher.spare_capacity(now).items()
             }
             for other in others:
                 name = other.place.leader
                 room = {
-                    service: SpareRoom(fast.get(name, ()), slow.get(name, ()))
+                    service: SpareCapacity(fast.get(name, ()), slow.get(name, ()))
                     for service, (fast, slow) in dealt.items()
                 }
                 when = now + HOP_S
@@ -241,7 +244,7 @@
         drawn = asked.drawn
         served = complete and self.time.now - asked.came <= drawn.usable_s
         cores = drawn.work.resources.cpu_millis / MILLIS_PER_CORE
-        seconds = drawn.work.seconds.values()
+        seconds = drawn.work.run_times_s.values()
         self.result.fates.append(
             JobFate(
                 drawn.request.route.name,
@@ -268,7 +271,7 @@
             after_ms=round((self.time.now - asked.came) * MS_PER_S),
             believed=_believed(asked),
             came_s=round(asked.came, 1),
-            far=asked.offer.far,
+            far=asked.offer.from_other_group,
         )
 
 
@@ -278,7 +281,7 @@
         return "not begun"
     if len(asked.runs) > len(Counter(run.task for run in asked.runs)):
         return "run again"
-    seconds = asked.drawn.work.seconds
+    seconds = asked.drawn.work.run_times_s
     if len(asked.runs) < len(seconds):
         return "not all begun"
     begun = [(run.at - asked.came, seconds[run.task], run.pace) for run in asked.runs]
@@ -292,6 +295,6 @@
 
 def _believed(asked: _Asked) -> float:
     """Return the pace that was believed of the upstream whose task ends last."""
-    seconds = asked.drawn.work.seconds
+    seconds = asked.drawn.work.run_times_s
     ends = [(run.at + seconds[run.task] * run.pace, run.believed) for run in asked.runs]
     return round(max(ends, default=(0.0, 0.0))[1], 2)
--- a/jackdawspur/bench/front.py
+++ b/jackdawspur/bench/front.py
@@ -54,13 +54,13 @@
     def __init__(self, own: HostId, now: float) -> None:
         super().__init__(own, now)
         self._placer = ArrivalPlacer(
-            self._fleet, self._starts, self._estimates, self._begun, self._passing_on
+            self._fleet, self._starts, self._estimates, self._begun, self._redirector
         )
 
     def _review(self, job: Job, now: float) -> None:
         pass
 
-    def _refuse_beyond_use(self, now: float) -> None:
+    def _refuse_unservable(self, now: float) -> None:
         pass
 
     def _refuse(self, job: Job, now: float, ahead_s: float = 0.0) -> None:
@@ -186,7 +186,7 @@
 
 
 def _line(scenario: Scenario, policy: str, result: FrontResult) -> bytes:
-    tally = result.tally
+    counters = result.counters
     long = [one for one in result.fates if one.kind == LONG_KIND]
     largest = largest_tenth(result.fates, LONG_KIND)
     fields = {
@@ -203,8 +203,8 @@
         "largest_possible": possible_share(largest, PATIENCE_S),
         "long_servable": servable(long),
         "largest_servable": servable(largest),
-        "two_at_once": tally.two_at_once,
-        "over_capacity": tally.over_capacity,
+        "two_at_once": counters.two_at_once,
+        "over_capacity": counters.over_capacity,
     }
     return msgspec.json.encode(fields) + b"\n"
 
@@ -218,7 +218,7 @@
         first = run_scenario(scenario, ArrivalOrder)
         sys.stdout.buffer.write(_line(scenario, "arrival order", first))
         broken += own.on_time_share < scenario.least_on_time
-        broken += own.tally.two_at_once + own.tally.over_capacity > 0
+        broken += own.counters.two_at_once + own.counters.over_capacity > 0
     return 1 if broken else 0
 
 
--- a/jackdawspur/bench/tests/conftest.py
+++ b/jackdawspur/bench/tests/conftest.py
@@ -8,8 +8,8 @@
     POLICIES,
     SCENARIOS,
     SMALL,
-    Checker,
     Experiment,
+    InvariantChecker,
     Outcome,
     run_experiment,
 )
@@ -41,10 +41,10 @@
 @pytest.fixture
 def checker():
     """Return a checker that knows call 1 of request 0, non-idempotent, two tasks."""
-    tested = Checker()
+    tested = InvariantChecker()
     tasks = (TaskSpec("100.0 0 0"), TaskSpec("100.0 0 1"))
     asked = JobRequest("alpha", "reassign", tasks, 1000.0, idempotent=False)
-    tested.call_made(1, 0, asked)
+    tested.call_sent(1, 0, asked)
     return tested
 
 
--- a/jackdawspur/bench/tests/test_checks.py
+++ b/jackdawspur/bench/tests/test_checks.py
@@ -63,7 +63,7 @@
 
 
 def test_two_answers_and_none_are_caught(checker):
-    checker.control_made(2)
+    checker.control_call_sent(2)
     checker.call_answered(1, NOT_RUN, 0.1)
     checker.call_answered(1, NOT_RUN, 0.2)
     checker.finish(1.0)
@@ -87,5 +87,5 @@
 
 
 def test_call_cut_by_a_shutdown_is_caught(checker):
-    checker.call_lost(1, 0.2, draining=True)
+    checker.call_disconnected(1, 0.2, draining=True)
     assert checker.counts == {Invariant.CUT_BY_SHUTDOWN: 1}
--- a/jackdawspur/bench/tests/test_disorder.py
+++ b/jackdawspur/bench/tests/test_disorder.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings, strategies as st
 
 from jackdawspur.bench import (
-    OWN_POLICY,
     POLICIES,
+    PRODUCT_POLICY,
     SMALL,
     Simulation,
     Workload,
@@ -34,11 +34,11 @@
 
 
 def cut(zone, zones, platform):
-    return lambda simulation: simulation.links.cut(zone, zones, platform)
+    return lambda simulation: simulation.links.partition_zone(zone, zones, platform)
 
 
 def heal(zone):
-    return lambda simulation: simulation.links.heal(zone)
+    return lambda simulation: simulation.links.heal_zone(zone)
 
 
 def fail_all(place):
@@ -81,7 +81,7 @@
     and return, upstreams restart, zones are cut off. Keyed requests and those with
     ids in advance are sent again meanwhile.
     """
-    make = POLICIES[OWN_POLICY].make
+    make = POLICIES[PRODUCT_POLICY].make
     simulation = Simulation(SMALL, make, seed, resubmits=True)
     simulation.clients.ids_in_advance = True
     simulation.links.jitter_s = jitter_s
@@ -94,7 +94,7 @@
     deadline_ms = DEADLINE_S * 1000
     workload = Workload(load=0.7, seconds=SECONDS, deadline_ms=deadline_ms)
     simulation.run(draw_jobs(SMALL, workload, seed), SECONDS, GRACE_S)
-    assert simulation.checker.counts == {}, simulation.checker.breaches
+    assert simulation.checker.counts == {}, simulation.checker.violations
 
 
 def _host(simulation, place):
--- a/jackdawspur/bench/tests/test_fakes.py
+++ b/jackdawspur/bench/tests/test_fakes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jackdawspur.bench import DEPLOYMENTS, Checker, Workload, draw_jobs
+from jackdawspur.bench import DEPLOYMENTS, InvariantChecker, Workload, draw_jobs
 from jackdawspur.bench._loop import VirtualLoop
 from jackdawspur.bench._upstream import FakeUpstream
 from jackdawspur.external import RefusalReason, TaskStart
@@ -29,9 +29,9 @@
 @pytest.fixture
 def upstream(loop):
     """Return an upstream of one slot, with request 0 of four tasks known."""
-    checker = Checker()
+    checker = InvariantChecker()
     tasks = tuple(TaskSpec(f"100.0 0 {index}") for index in range(4))
-    checker.call_made(1, 0, JobRequest("alpha", "spot", tasks, 1000.0))
+    checker.call_sent(1, 0, JobRequest("alpha", "spot", tasks, 1000.0))
     spec = Upstream(UpstreamId("z1", "u1"), "", slots=1)
     return FakeUpstream(spec, loop, random.Random(1), checker)
 
--- a/jackdawspur/bench/tests/test_faults.py
+++ b/jackdawspur/bench/tests/test_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from jackdawspur.bench import OWN_POLICY
+from jackdawspur.bench import PRODUCT_POLICY
 
 FAULT_S = 6.5
 
@@ -16,7 +16,7 @@
     """Run a scenario at the small sizes and return the broken invariants."""
 
     def outcome(scenario):
-        ended = run(scenario, OWN_POLICY, "small", load=0.5, seconds=FAULT_S)
+        ended = run(scenario, PRODUCT_POLICY, "small", load=0.5, seconds=FAULT_S)
         assert ended.figures.complete > 0
         return ended.broken
 
--- a/jackdawspur/bench/tests/test_front.py
+++ b/jackdawspur/bench/tests/test_front.py
@@ -22,9 +22,9 @@
     # A cooperative is billed twice: replies are lost and starts carried out late, the
     # leading host changes, upstreams go silent and slow.
     result = run_scenario(BY_NAME[name], seconds=SHORT_S)
-    assert result.tally.starts > 100
-    assert result.tally.two_at_once == 0
-    assert result.tally.over_capacity == 0
+    assert result.counters.starts > 100
+    assert result.counters.two_at_once == 0
+    assert result.counters.over_capacity == 0
 
 
 def test_a_burst_is_served_better_than_in_order_of_arrival():
--- a/jackdawspur/bench/tests/test_own_policy.py
+++ b/jackdawspur/bench/tests/test_own_policy.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from jackdawspur.bench import OWN_POLICY
+from jackdawspur.bench import PRODUCT_POLICY
 
 FAULTS_OVER_S = 6.0
 # More than an ejection needs, far less than the jobs that a fault meets.
@@ -22,7 +22,7 @@
     Jobs arrive at six hosts which share the zone's slots without a coordinator. Were
     two hosts to believe in the same free slot, an upstream would refuse a start.
     """
-    outcome = run("steady", OWN_POLICY, deployment, load=0.3)
+    outcome = run("steady", PRODUCT_POLICY, deployment, load=0.3)
     assert outcome.broken == {}
     assert outcome.figures.failed == outcome.figures.lost == 0
     assert outcome.figures.wasted_per_job < 0.01
@@ -34,7 +34,7 @@
 
     At 70 % load each host alone often lacks slots that others have to spare.
     """
-    outcome = run("steady", OWN_POLICY, deployment, seconds=FAULTS_OVER_S)
+    outcome = run("steady", PRODUCT_POLICY, deployment, seconds=FAULTS_OVER_S)
     assert outcome.broken == {}
     assert outcome.figures.refused == outcome.figures.failed == 0
     assert outcome.figures.p99 <= most
@@ -47,7 +47,7 @@
     From the fourth second on one upstream fails at once whatever it starts, and looks
     the freest of all. Without ejection it would draw most jobs to itself.
     """
-    outcome = run("worker_fails_all", OWN_POLICY, seconds=FAULTS_OVER_S)
+    outcome = run("worker_fails_all", PRODUCT_POLICY, seconds=FAULTS_OVER_S)
     assert outcome.broken == {}
     assert outcome.figures.jobs_lost <= JOBS_LOST_TO_A_BAD_WORKER
 
@@ -58,7 +58,7 @@
     One reply in fifty is lost after its effect: starts, status queries, results and
     appends to the log. A start sent again would run its task twice.
     """
-    outcome = run("lost_replies", OWN_POLICY)
+    outcome = run("lost_replies", PRODUCT_POLICY)
     assert outcome.broken == {}
     assert outcome.figures.status_queries > 0
     assert outcome.figures.jobs_lost == 0
--- a/jackdawspur/bench/tests/test_zones.py
+++ b/jackdawspur/bench/tests/test_zones.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.bench._drawn import draw
 from jackdawspur.bench._front_simulation import JobKind
-from jackdawspur.bench._simulated_upstream import Tally
+from jackdawspur.bench._simulated_upstream import RunCounters
 from jackdawspur.bench._sizes import JobFate, LostJob, largest_tenth, servable
 from jackdawspur.bench._zone import Timeline, Zone
 from jackdawspur.bench.zones import LONG_KIND, SCENARIOS, play
@@ -18,7 +18,7 @@
 
 def zone(pass_s: float) -> tuple[Timeline, Zone]:
     time = Timeline()
-    return time, Zone(None, time, 0, 2, pass_s, Tally(), random.Random(3))
+    return time, Zone(None, time, 0, 2, pass_s, RunCounters(), random.Random(3))
 
 
 def test_tasks_and_estimates_of_a_job_differ_as_those_of_callers_do():
@@ -29,7 +29,7 @@
     jobs = [draw(kind, f"{number:016x}", rng) for number in range(3000)]
     shares, declared = [], []
     for job in jobs:
-        seconds = list(job.work.seconds.values())
+        seconds = list(job.work.run_times_s.values())
         if len(seconds) == 4:
             middle = statistics.mean(seconds)
             shares += [one / middle for one in seconds]
@@ -37,7 +37,7 @@
     # Of four tasks about their own mean: 0.15 times the root of three quarters.
     assert 0.12 < statistics.pstdev(shares) < 0.14
     assert max(shares) > 1.3
-    assert 0.85 < statistics.mean(max(j.work.seconds.values()) for j in jobs) < 1.2
+    assert 0.85 < statistics.mean(max(j.work.run_times_s.values()) for j in jobs) < 1.2
     assert max(declared) > 3.0
 
 
@@ -66,9 +66,9 @@
 def test_zones_pass_jobs_on_and_run_no_task_twice(name: str):
     result = play(BY_NAME[name], seed=11, seconds=7.0)
     assert result.passed_on > 0
-    assert result.tally.starts > 100
-    assert result.tally.two_at_once == 0
-    assert result.tally.over_capacity == 0
+    assert result.counters.starts > 100
+    assert result.counters.two_at_once == 0
+    assert result.counters.over_capacity == 0
 
 
 def test_every_job_is_told_once_and_each_lost_one_with_its_cause():
--- a/jackdawspur/bench/zones.py
+++ b/jackdawspur/bench/zones.py
@@ -149,8 +149,8 @@
         "passed_on": sum(one.passed_on for one in results),
         "long": servable([one for each in results for one in _long(each)]),
         "largest": servable(largest_of(results)),
-        "two_at_once": sum(one.tally.two_at_once for one in results),
-        "over_capacity": sum(one.tally.over_capacity for one in results),
+        "two_at_once": sum(one.counters.two_at_once for one in results),
+        "over_capacity": sum(one.counters.over_capacity for one in results),
     }
     fields["long"] = {n: v for n, v in asdict(fields["long"]).items() if n != "lost"}
     return msgspec.json.encode(fields) + b"\n"
@@ -166,8 +166,8 @@
         results = [play(scenario, seed) for seed in SEEDS]
         sys.stdout.buffer.write(_line(scenario, results))
         sys.stdout.buffer.flush()
-        broken += sum(one.tally.two_at_once for one in results)
-        broken += sum(one.tally.over_capacity for one in results)
+        broken += sum(one.counters.two_at_once for one in results)
+        broken += sum(one.counters.over_capacity for one in results)
     return 1 if broken else 0
 
 
--- a/jackdawspur/callers/_bodies.py
+++ b/jackdawspur/callers/_bodies.py
@@ -6,13 +6,13 @@
 from pydantic import ConfigDict, Field, TypeAdapter, ValidationError
 
 from jackdawspur.exceptions import JackdawspurError
-from jackdawspur.model import MAX_TASKS, JobRequest, SubmissionId, TaskSpec
+from jackdawspur.model import MAX_TASKS_PER_JOB, JobRequest, SubmissionId, TaskSpec
 
 __all__ = [
     "BodyError",
     "IdsBody",
     "JobBody",
-    "Standing",
+    "JobClassSettings",
     "TaskBody",
     "read_ids_body",
     "read_job_body",
@@ -59,7 +59,9 @@
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
     job_class: Annotated[str, Field(min_length=1, max_length=64)]
-    tasks: Annotated[tuple[TaskBody, ...], Field(min_length=1, max_length=MAX_TASKS)]
+    tasks: Annotated[
+        tuple[TaskBody, ...], Field(min_length=1, max_length=MAX_TASKS_PER_JOB)
+    ]
     deadline_ms: Annotated[
         float | None, Field(gt=0, le=MAX_DEADLINE_MS, strict=False)
     ] = None
@@ -67,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class JobClassSettings:
     """Hold the standing settings of a class of jobs; `deadline_ms` in milliseconds."""
 
     deadline_ms: float
@@ -103,7 +105,7 @@
 def to_request(
     body: JobBody,
     customer: str,
-    standing: Standing,
+    job_class_settings: JobClassSettings,
     key: str | None = None,
     submission: SubmissionId | None = None,
 ) -> JobRequest:
@@ -111,8 +113,11 @@
 
     A class that is not idempotent makes all its jobs so, whatever their body says.
     """
-    if len(body.tasks) > standing.max_tasks:
-        text = f"tasks: {body.job_class} allows {standing.max_tasks} a job at most"
+    if len(body.tasks) > job_class_settings.max_tasks:
+        text = (
+            f"tasks: {body.job_class} allows {job_class_settings.max_tasks}"
+            " a job at most"
+        )
         raise BodyError(text)
     tasks = tuple(
         TaskSpec(t.payload, t.run_ms, t.cpus, t.memory_mb, t.accelerators)
@@ -122,8 +127,8 @@
         customer,
         body.job_class,
         tasks,
-        body.deadline_ms or standing.deadline_ms,
-        standing.idempotent and body.idempotent is not False,
+        body.deadline_ms or job_class_settings.deadline_ms,
+        job_class_settings.idempotent and body.idempotent is not False,
         key,
         submission,
     )
--- a/jackdawspur/callers/_replies.py
+++ b/jackdawspur/callers/_replies.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.model import Answer, FailureCode, JobState, SubmissionId
 
-__all__ = ["HttpReply", "reply_answer", "reply_ids", "reply_refusal"]
+__all__ = ["HttpResponse", "answer_response", "ids_response", "refusal_response"]
 
 STATUS_OF_CODE = {
     FailureCode.INVALID: 400,
@@ -31,7 +31,7 @@
     FailureCode.DEADLINE: 504,
 }
 STATUS_OF_STATE = {JobState.COMPLETE: 200, JobState.PENDING: 202}
-PAGE_OF_CODE = {
+DOC_PAGE_BY_CODE = {
     FailureCode.INVALID: "requests",
     FailureCode.UNAUTHORIZED: "requests",
     FailureCode.FORBIDDEN: "requests",
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpReply:
+class HttpResponse:
     """Carry one HTTP reply; `retry_after_s` zero sends no such header."""
 
     status: int
@@ -82,7 +82,7 @@
     ids: tuple[str, ...]
 
 
-def reply_answer(answer: Answer) -> HttpReply:
+def answer_response(answer: Answer) -> HttpResponse:
     """Return the reply that tells a caller its answer."""
     code = answer.code
     body = _AnswerBody(
@@ -93,20 +93,20 @@
         code,
         answer.message,
         answer.retry_after_ms,
-        f"docs/operators/{PAGE_OF_CODE[code]}.md" if code else None,
+        f"docs/operators/{DOC_PAGE_BY_CODE[code]}.md" if code else None,
     )
     status = STATUS_OF_CODE[code] if code else STATUS_OF_STATE[answer.state]
     retry_after = math.ceil(answer.retry_after_ms / MS_PER_S)
-    return HttpReply(status, msgspec.json.encode(body), retry_after)
+    return HttpResponse(status, msgspec.json.encode(body), retry_after)
 
 
-def reply_refusal(code: FailureCode, message: str) -> HttpReply:
+def refusal_response(code: FailureCode, message: str) -> HttpResponse:
     """Return the reply to a request that was refused before it became a job."""
     answer = Answer(JobState.REFUSED, code=code, message=message, not_run=True)
-    return reply_answer(answer)
+    return answer_response(answer)
 
 
-def reply_ids(ids: tuple[SubmissionId, ...]) -> HttpReply:
+def ids_response(ids: tuple[SubmissionId, ...]) -> HttpResponse:
     """Return the reply that hands out submission ids."""
     body = _IdsReplyBody(tuple(str(submission) for submission in ids))
-    return HttpReply(201, msgspec.json.encode(body))
+    return HttpResponse(201, msgspec.json.encode(body))
--- a/jackdawspur/cli/_check.py
+++ b/jackdawspur/cli/_check.py
@@ -11,10 +11,10 @@
 from jackdawspur.configuration import InvalidConfiguration, load_configuration
 from jackdawspur.settings import (
     EntrySettings,
-    HostListStandin,
-    LogStandin,
-    PlatformStandin,
-    RackStandin,
+    HostListStandinSettings,
+    LogStandinSettings,
+    PlatformStandinSettings,
+    WorkerPoolStandinSettings,
     load_host_settings,
     load_settings,
 )
@@ -27,10 +27,10 @@
 HOST = "front"
 KINDS = {
     "entry": EntrySettings,
-    "platform": PlatformStandin,
-    "rack": RackStandin,
-    "log": LogStandin,
-    "hostlist": HostListStandin,
+    "platform": PlatformStandinSettings,
+    "rack": WorkerPoolStandinSettings,
+    "log": LogStandinSettings,
+    "hostlist": HostListStandinSettings,
 }
 
 
--- a/jackdawspur/cli/_front.py
+++ b/jackdawspur/cli/_front.py
@@ -19,21 +19,21 @@
 
 def read_host_settings(json_path: str | None, path: str | None = None) -> HostSettings:
     """Return settings of a file in JSON, or else of the platform's own file."""
-    from jackdawspur.platform import read_platform_settings
+    from jackdawspur.platform import load_platform_settings
 
     if json_path:
         return load_host_settings(json_path)
-    return read_platform_settings(path)
+    return load_platform_settings(path)
 
 
 def run(values: flags.FlagValues, _rest: Sequence[str]) -> ExitCode:
     """Run until told to stop."""
-    from jackdawspur.adapters import Deadlines
-    from jackdawspur.front import Ports, run_front
+    from jackdawspur.adapters import TimerQueue
+    from jackdawspur.front import PlatformPorts, run_front
     from jackdawspur.platform import (
-        PlatformCallers,
+        PlatformCallerCodec,
         PlatformStore,
-        PlatformUpstreams,
+        PlatformUpstreamClient,
     )
 
     def read_settings() -> HostSettings:
@@ -42,11 +42,11 @@
     settings = read_settings()
     set_up_bounded_logs(settings.log_level, settings.name)
 
-    def make_ports(owner, deadlines: Deadlines) -> Ports:
-        return Ports(
-            PlatformCallers(),
-            PlatformUpstreams(owner, deadlines),
-            PlatformStore(settings.store, owner, deadlines),
+    def make_ports(owner, timer_queue: TimerQueue) -> PlatformPorts:
+        return PlatformPorts(
+            PlatformCallerCodec(),
+            PlatformUpstreamClient(owner, timer_queue),
+            PlatformStore(settings.store, owner, timer_queue),
         )
 
     run_front(settings, make_ports, read_settings)
--- a/jackdawspur/cli/_load.py
+++ b/jackdawspur/cli/_load.py
@@ -58,7 +58,7 @@
         token=values.token,
         entry_hosts=tuple(host.http for host in configuration.entry_hosts),
         upstreams=tuple(upstream.address for upstream in configuration.upstreams),
-        rate=values.load * slots / mix.slot_seconds(),
+        rate=values.load * slots / mix.mean_slot_seconds(),
         seconds=values.seconds,
         seed=values.seed,
         other_tasks=values.other_tasks,
@@ -79,26 +79,26 @@
     from circuits import Component
     from circuits.core.pollers import EPoll
 
-    from jackdawspur.adapters import Deadlines
-    from jackdawspur.load import LoadDriver, Tally
+    from jackdawspur.adapters import TimerQueue
+    from jackdawspur.load import LoadCounters, LoadDriver
 
     root = Component()
     EPoll().register(root)
     reports = []
 
-    def finished(tally: Tally, upstreams, open_jobs: int) -> None:
+    def finished(tally: LoadCounters, upstreams, open_jobs: int) -> None:
         reports.append(
             tally.report(plan.deployment, upstreams, open_jobs, plan.other_tasks)
         )
         root.stop()
 
-    deadlines = Deadlines().register(root)
-    LoadDriver(plan, deadlines, _say, finished).register(root)
+    timer_queue = TimerQueue().register(root)
+    LoadDriver(plan, timer_queue, _say, finished).register(root)
     root.run()
     if not reports:
         return ExitCode.INTERRUPTED
     sys.stdout.write(msgspec.json.encode(reports[0]).decode() + "\n")
-    return ExitCode.OK if reports[0].sound else ExitCode.BROKEN
+    return ExitCode.OK if reports[0].invariants_held else ExitCode.BROKEN
 
 
 def _say(text: str) -> None:
--- a/jackdawspur/cli/_logs.py
+++ b/jackdawspur/cli/_logs.py
@@ -6,12 +6,12 @@
 
 from jackdawspur.cli._bounded_output import BoundedOutput
 
-__all__ = ["json_lines", "set_up_bounded_logs", "set_up_logs"]
+__all__ = ["json_formatter", "set_up_bounded_logs", "set_up_logs"]
 
 FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
-def json_lines(host: str) -> JsonFormatter:
+def json_formatter(host: str) -> JsonFormatter:
     """Return what turns a record into a JSON object, with the host's name in it."""
     return JsonFormatter(
         FIELDS,
@@ -31,7 +31,7 @@
 
 
 def _use(output: logging.Handler, level: str, host: str) -> None:
-    output.setFormatter(json_lines(host))
+    output.setFormatter(json_formatter(host))
     root = logging.getLogger()
     root.handlers = [output]
     root.setLevel(level)
--- a/jackdawspur/cli/_standin.py
+++ b/jackdawspur/cli/_standin.py
@@ -6,10 +6,10 @@
 
 from jackdawspur.cli._exit import ExitCode, UsageError
 from jackdawspur.settings import (
-    HostListStandin,
-    LogStandin,
-    PlatformStandin,
-    RackStandin,
+    HostListStandinSettings,
+    LogStandinSettings,
+    PlatformStandinSettings,
+    WorkerPoolStandinSettings,
     load_settings,
 )
 
@@ -37,9 +37,9 @@
 
 
 def _worker(path: str) -> None:
-    from jackdawspur.standins import RackSettings, WorkerSettings, run_worker
+    from jackdawspur.standins import WorkerPoolSettings, WorkerSettings, run_worker
 
-    settings = load_settings(RackStandin, path)
+    settings = load_settings(WorkerPoolStandinSettings, path)
     worker = WorkerSettings(
         slots=settings.slots,
         cpus=settings.cpus,
@@ -47,13 +47,13 @@
         accelerators=settings.accelerators,
         usage_lag_ms=settings.usage_lag_ms,
     )
-    run_worker(RackSettings(settings.addresses, worker, settings.seed))
+    run_worker(WorkerPoolSettings(settings.addresses, worker, settings.seed))
 
 
 def _log(path: str) -> None:
     from jackdawspur.standins import LogSettings, run_log
 
-    settings = load_settings(LogStandin, path)
+    settings = load_settings(LogStandinSettings, path)
     run_log(
         LogSettings(
             settings.address,
@@ -68,7 +68,7 @@
 def _platform(path: str) -> None:
     from jackdawspur.standins import PlatformSettings, run_platform
 
-    settings = load_settings(PlatformStandin, path)
+    settings = load_settings(PlatformStandinSettings, path)
     run_platform(
         PlatformSettings(
             settings.store,
@@ -86,6 +86,6 @@
     from jackdawspur.standins import HostListSettings, run_hostlist
     from jackdawspur.wire import HostBody
 
-    settings = load_settings(HostListStandin, path)
+    settings = load_settings(HostListStandinSettings, path)
     hosts = tuple(HostBody(h.zone, h.name, HostRole(h.role)) for h in settings.hosts)
     run_hostlist(HostListSettings(settings.address, settings.lag_ms, hosts))
--- a/jackdawspur/cli/tests/test_bounded_output.py
+++ b/jackdawspur/cli/tests/test_bounded_output.py
@@ -7,7 +7,7 @@
 import pytest
 
 from jackdawspur.cli._bounded_output import LINES_A_SECOND, BoundedOutput
-from jackdawspur.cli._logs import json_lines
+from jackdawspur.cli._logs import json_formatter
 
 
 class Clock:
@@ -37,7 +37,7 @@
 @pytest.fixture
 def logger(pipe, clock) -> logging.Logger:
     output = BoundedOutput(pipe[1], clock)
-    output.setFormatter(json_lines("h1"))
+    output.setFormatter(json_formatter("h1"))
     one = logging.Logger("test")
     one.addHandler(output)
     return one
--- a/jackdawspur/cli/tests/test_start.py
+++ b/jackdawspur/cli/tests/test_start.py
@@ -12,7 +12,8 @@
 import sys
 import jackdawspur.__main__, jackdawspur.cli._front
 from jackdawspur.front import run_front
-from jackdawspur.platform import PlatformCallers, PlatformStore, PlatformUpstreams
+from jackdawspur.platform import PlatformCallerCodec, PlatformStore
+from jackdawspur.platform import PlatformUpstreamClient
 print("\\n".join(sys.modules))
 """
 # What a host on the customers' platform never calls.
--- a/jackdawspur/configuration/_budget.py
+++ b/jackdawspur/configuration/_budget.py
@@ -3,7 +3,13 @@
 import enum
 from dataclasses import dataclass
 
-__all__ = ["AppendLimit", "LogBudget", "Purpose", "appends_a_day", "limit_of"]
+__all__ = [
+    "AppendLimit",
+    "AppendPurpose",
+    "AppendRateLimiter",
+    "appends_a_day",
+    "limit_of",
+]
 
 # The log takes several hundred appends a second from everyone.
 LOG_APPENDS_PER_S = 300.0
@@ -12,7 +18,7 @@
 SECONDS_A_DAY = 86_400
 
 
-class Purpose(enum.StrEnum):
+class AppendPurpose(enum.StrEnum):
     """Say what an append is for."""
 
     PROPOSAL = "proposal"
@@ -30,35 +36,35 @@
 
 
 CONFIGURATION_LIMITS = {
-    Purpose.PROPOSAL: AppendLimit(rate=2.0, burst=60),
-    Purpose.CONFIRM: AppendLimit(rate=2.0, burst=60),
-    Purpose.SNAPSHOT: AppendLimit(rate=1 / 60, burst=2),
+    AppendPurpose.PROPOSAL: AppendLimit(rate=2.0, burst=60),
+    AppendPurpose.CONFIRM: AppendLimit(rate=2.0, burst=60),
+    AppendPurpose.SNAPSHOT: AppendLimit(rate=1 / 60, burst=2),
 }
 
 
-def limit_of(purpose: Purpose, hosts: int) -> AppendLimit:
+def limit_of(purpose: AppendPurpose, hosts: int) -> AppendLimit:
     """Return a host's limit; claims share half the log's rate among all hosts."""
-    if purpose is Purpose.CLAIM:
+    if purpose is AppendPurpose.CLAIM:
         rate = LOG_APPENDS_PER_S * CLAIMS_SHARE / max(hosts, 1)
         return AppendLimit(rate=rate, burst=max(1.0, 2 * rate))
     return CONFIGURATION_LIMITS[purpose]
 
 
-class LogBudget:
+class AppendRateLimiter:
     """Hold one token bucket a purpose; what it refuses isn't appended."""
 
     def __init__(self, hosts: int, now: float) -> None:
-        self.made = dict.fromkeys(Purpose, 0)
-        self.refused = dict.fromkeys(Purpose, 0)
-        self._limits = {purpose: limit_of(purpose, hosts) for purpose in Purpose}
+        self.made = dict.fromkeys(AppendPurpose, 0)
+        self.refused = dict.fromkeys(AppendPurpose, 0)
+        self._limits = {purpose: limit_of(purpose, hosts) for purpose in AppendPurpose}
         self._tokens = {p: limit.burst for p, limit in self._limits.items()}
-        self._filled = dict.fromkeys(Purpose, now)
+        self._filled = dict.fromkeys(AppendPurpose, now)
 
-    def set_hosts(self, hosts: int) -> None:
+    def set_host_count(self, hosts: int) -> None:
         """Share the log among another number of entry hosts."""
-        self._limits = {purpose: limit_of(purpose, hosts) for purpose in Purpose}
+        self._limits = {purpose: limit_of(purpose, hosts) for purpose in AppendPurpose}
 
-    def take(self, purpose: Purpose, now: float) -> bool:
+    def try_acquire(self, purpose: AppendPurpose, now: float) -> bool:
         """Tell whether one append may be made, and account for it."""
         limit = self._limits[purpose]
         elapsed = max(0.0, now - self._filled[purpose])
--- a/jackdawspur/configuration/_cluster_spec.py
+++ b/jackdawspur/configuration/_cluster_spec.py
@@ -13,17 +13,17 @@
     UpstreamEntry,
 )
 from jackdawspur.model import (
+    ClusterSpec,
     Customer,
-    Ejection,
+    EjectionPolicy,
     EntryHost,
     Upstream,
     UpstreamId,
-    World,
 )
 
 __all__ = [
-    "class_of",
     "customer_of",
+    "find_job_class",
     "operator_of",
     "rebuilt_world",
     "token_hash",
@@ -31,9 +31,9 @@
 ]
 
 
-def world_of(configuration: Configuration, version: int) -> World:
+def world_of(configuration: Configuration, version: int) -> ClusterSpec:
     """Return what one version of the configuration says of the world."""
-    return World(
+    return ClusterSpec(
         version=version,
         customers=tuple(map(_customer, configuration.customers)),
         entry_hosts=tuple(
@@ -46,8 +46,8 @@
 
 
 def rebuilt_world(
-    before: Configuration, world: World, after: Configuration, version: int
-) -> World:
+    before: Configuration, world: ClusterSpec, after: Configuration, version: int
+) -> ClusterSpec:
     """Return what `world_of` does for `after`, reusing what didn't change.
 
     Built from nothing at 3,900 upstreams, it holds up the loop for several ms.
@@ -73,7 +73,7 @@
     return _owner(configuration.operators, token)
 
 
-def class_of(customer: CustomerEntry, name: str) -> JobClass | None:
+def find_job_class(customer: CustomerEntry, name: str) -> JobClass | None:
     """Return the standing settings of one of a customer's job classes."""
     return next((c for c in customer.classes if c.name == name), None)
 
@@ -93,8 +93,8 @@
     )
 
 
-def _ejection(policies: Policies) -> Ejection:
-    return Ejection(
+def _ejection(policies: Policies) -> EjectionPolicy:
+    return EjectionPolicy(
         policies.eject_after_failures,
         policies.eject_max_share,
         policies.readmit_after_s,
--- a/jackdawspur/configuration/_document.py
+++ b/jackdawspur/configuration/_document.py
@@ -8,7 +8,7 @@
 from pydantic import AfterValidator, ConfigDict, Field
 
 from jackdawspur.model import Contract, Objective
-from jackdawspur.model._job import MAX_TASKS
+from jackdawspur.model._job import MAX_TASKS_PER_JOB
 
 __all__ = [
     "HISTORY_KEPT",
@@ -87,7 +87,7 @@
 
     name: Name
     deadline_ms: Annotated[float, Field(ge=1, le=600_000)] = 10_000.0
-    max_tasks: Annotated[int, Field(ge=1, le=MAX_TASKS)] = MAX_TASKS
+    max_tasks: Annotated[int, Field(ge=1, le=MAX_TASKS_PER_JOB)] = MAX_TASKS_PER_JOB
     idempotent: bool = True
 
 
--- a/jackdawspur/configuration/_operations.py
+++ b/jackdawspur/configuration/_operations.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from jackdawspur.configuration._budget import Purpose
+from jackdawspur.configuration._budget import AppendPurpose
 from jackdawspur.configuration._errors import FieldError
 from jackdawspur.configuration._planner import Plan
 from jackdawspur.configuration._readiness import LogHealth, Readiness
@@ -13,21 +13,21 @@
 
 __all__ = [
     "AppendCount",
-    "Audited",
     "AuditEntry",
     "ChangeState",
     "ChangeStatus",
     "ConfirmAsked",
     "Conflict",
-    "DeskCode",
-    "DeskReply",
-    "DeskRequest",
-    "DeskStatus",
     "Faults",
     "History",
     "HistoryAsked",
+    "OperatorReply",
+    "OperatorReplyCode",
+    "OperatorRequest",
+    "OperatorStatus",
     "PlanAsked",
     "StatusAsked",
+    "WriteAuditEntry",
 ]
 
 
@@ -69,10 +69,10 @@
     at: float
 
 
-DeskRequest = PlanAsked | ConfirmAsked | HistoryAsked | StatusAsked
+OperatorRequest = PlanAsked | ConfirmAsked | HistoryAsked | StatusAsked
 
 
-class DeskCode(enum.StrEnum):
+class OperatorReplyCode(enum.StrEnum):
     """Say how a request ended."""
 
     OK = "ok"
@@ -141,7 +141,7 @@
     at: float
     operator: str
     action: str
-    code: DeskCode
+    code: OperatorReplyCode
     message: str
 
 
@@ -159,13 +159,13 @@
 class AppendCount:
     """Count the appends of one purpose since this host's start."""
 
-    purpose: Purpose
+    purpose: AppendPurpose
     made: int
     refused: int
 
 
 @dataclass(frozen=True, slots=True)
-class DeskStatus:
+class OperatorStatus:
     """Show the configuration as this host sees it."""
 
     version: int
@@ -183,19 +183,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeskReply:
+class OperatorReply:
     """Answer an operator; `page` names the operators' page on the matter."""
 
     call: int
     status: HTTPStatus
-    code: DeskCode
+    code: OperatorReplyCode
     message: str
     page: str = ""
-    body: Plan | ChangeStatus | Conflict | Faults | History | DeskStatus | None = None
+    body: Plan | ChangeStatus | Conflict | Faults | History | OperatorStatus | None = (
+        None
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Audited:
+class WriteAuditEntry:
     """Write one refusal to this host's log lines."""
 
     entry: AuditEntry
--- a/jackdawspur/configuration/_pending.py
+++ b/jackdawspur/configuration/_pending.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-from jackdawspur.configuration._budget import Purpose
+from jackdawspur.configuration._budget import AppendPurpose
 from jackdawspur.configuration._document import Right
 from jackdawspur.configuration._operations import (
     ConfirmAsked,
-    DeskCode,
-    DeskReply,
-    DeskRequest,
+    OperatorReply,
+    OperatorReplyCode,
+    OperatorRequest,
     PlanAsked,
 )
 from jackdawspur.configuration._planner import Plan
@@ -20,17 +20,17 @@
 PAGE = "operators/configuration"
 
 STATUS_OF = {
-    DeskCode.OK: HTTPStatus.OK,
-    DeskCode.INVALID: HTTPStatus.BAD_REQUEST,
-    DeskCode.UNAUTHORIZED: HTTPStatus.UNAUTHORIZED,
-    DeskCode.FORBIDDEN: HTTPStatus.FORBIDDEN,
-    DeskCode.NOT_FOUND: HTTPStatus.NOT_FOUND,
-    DeskCode.CONFLICT: HTTPStatus.CONFLICT,
-    DeskCode.MASS_REMOVAL: HTTPStatus.UNPROCESSABLE_ENTITY,
-    DeskCode.NOT_READY: HTTPStatus.SERVICE_UNAVAILABLE,
-    DeskCode.LOG_UNAVAILABLE: HTTPStatus.SERVICE_UNAVAILABLE,
-    DeskCode.LOG_BUDGET: HTTPStatus.TOO_MANY_REQUESTS,
-    DeskCode.OUTCOME_UNKNOWN: HTTPStatus.GATEWAY_TIMEOUT,
+    OperatorReplyCode.OK: HTTPStatus.OK,
+    OperatorReplyCode.INVALID: HTTPStatus.BAD_REQUEST,
+    OperatorReplyCode.UNAUTHORIZED: HTTPStatus.UNAUTHORIZED,
+    OperatorReplyCode.FORBIDDEN: HTTPStatus.FORBIDDEN,
+    OperatorReplyCode.NOT_FOUND: HTTPStatus.NOT_FOUND,
+    OperatorReplyCode.CONFLICT: HTTPStatus.CONFLICT,
+    OperatorReplyCode.MASS_REMOVAL: HTTPStatus.UNPROCESSABLE_ENTITY,
+    OperatorReplyCode.NOT_READY: HTTPStatus.SERVICE_UNAVAILABLE,
+    OperatorReplyCode.LOG_UNAVAILABLE: HTTPStatus.SERVICE_UNAVAILABLE,
+    OperatorReplyCode.LOG_BUDGET: HTTPStatus.TOO_MANY_REQUESTS,
+    OperatorReplyCode.OUTCOME_UNKNOWN: HTTPStatus.GATEWAY_TIMEOUT,
 }
 
 
@@ -39,7 +39,7 @@
     """Hold an append until the log shows how it ended."""
 
     record: Proposal | Confirm
-    purpose: Purpose
+    purpose: AppendPurpose
     operator: str
     deadline: float
     next_try: float
@@ -58,7 +58,7 @@
     deadline: float
 
 
-def right_for(request: DeskRequest) -> Right:
+def right_for(request: OperatorRequest) -> Right:
     """Return the right that a request needs."""
     if isinstance(request, PlanAsked):
         return Right.PLAN
@@ -70,7 +70,7 @@
     return f"version {won} won; nothing of this plan is in force, plan again"
 
 
-def reply_to(call: int, code: DeskCode, text: str, body=None) -> DeskReply:
+def reply_to(call: int, code: OperatorReplyCode, text: str, body=None) -> OperatorReply:
     """Return a reply with its HTTP status and operators' page."""
-    page = "" if code is DeskCode.OK else f"{PAGE}#{code.replace('_', '-')}"
-    return DeskReply(call, STATUS_OF[code], code, text, page, body)
+    page = "" if code is OperatorReplyCode.OK else f"{PAGE}#{code.replace('_', '-')}"
+    return OperatorReply(call, STATUS_OF[code], code, text, page, body)
--- a/jackdawspur/configuration/_records.py
+++ b/jackdawspur/configuration/_records.py
@@ -18,10 +18,10 @@
     "Proposal",
     "Record",
     "Snapshot",
-    "SnapshotMark",
+    "SnapshotHeader",
     "decode_envelope",
-    "decode_mark",
     "decode_record",
+    "decode_snapshot_header",
     "encode_record",
     "new_proposal",
 ]
@@ -116,14 +116,14 @@
     base: int | None = None
 
 
-class SnapshotMark(msgspec.Struct, frozen=True):
+class SnapshotHeader(msgspec.Struct, frozen=True):
     """Hold what a host needs of a snapshot whose state it already has."""
 
     version: int
     at: float
 
 
-_MARK = msgspec.json.Decoder(SnapshotMark)
+_MARK = msgspec.json.Decoder(SnapshotHeader)
 _ENVELOPE = msgspec.json.Decoder(Envelope)
 # A record nested deeper than the parser's stack must not stop every host's reader.
 UNREADABLE = (msgspec.DecodeError, RecursionError)
@@ -137,7 +137,7 @@
         raise RecordError(SkipReason.UNREADABLE, str(error)) from error
 
 
-def decode_mark(body: str) -> SnapshotMark | None:
+def decode_snapshot_header(body: str) -> SnapshotHeader | None:
     """Return the mark of a snapshot of this schema version, None for the rest.
 
     Decoding a whole snapshot at 3,900 upstreams holds up the loop for tens of ms.
--- a/jackdawspur/configuration/_replica.py
+++ b/jackdawspur/configuration/_replica.py
@@ -3,39 +3,39 @@
 import random
 from functools import singledispatchmethod
 
-from jackdawspur.configuration._budget import LogBudget, Purpose
+from jackdawspur.configuration._budget import AppendPurpose, AppendRateLimiter
 from jackdawspur.configuration._cluster_spec import rebuilt_world
 from jackdawspur.configuration._document import Configuration
 from jackdawspur.configuration._readiness import LogHealth, Readiness, ReadinessReason
 from jackdawspur.configuration._records import encode_record
 from jackdawspur.configuration._replica_events import (
-    ActivateWorld,
-    AppendEnded,
+    ActivateConfiguration,
+    AppendCompleted,
     AppendRecord,
-    AskRecords,
-    HeartbeatSeen,
-    KeeperEffect,
-    KeeperEvent,
-    KeeperTick,
-    LogCut,
-    LogFailed,
-    LogRead,
-    PeerAsked,
-    PeerRecords,
-    PeersSeen,
+    HeartbeatReceived,
+    LivePeersChanged,
+    LogReadFailed,
+    LogRecordsRead,
+    LogStartAdvanced,
     ReadLog,
+    RecordsReceived,
+    RecordsRequested,
+    ReplicaEffect,
+    ReplicaEvent,
+    ReplicaTick,
     ReportSkipped,
+    RequestRecords,
     SendRecords,
 )
 from jackdawspur.configuration._snapshots import SnapshotTurns
-from jackdawspur.configuration._state_machine import NOTHING, Fold
-from jackdawspur.configuration._tail import WHOLE_STATE, Tail, snapshot_of, state_in
+from jackdawspur.configuration._state_machine import NOTHING, ConfigurationStateMachine
+from jackdawspur.configuration._tail import WHOLE_STATE, Tail, build_snapshot, state_in
 from jackdawspur.configuration._zones import ZoneReports
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import RecordsWanted
-from jackdawspur.model import HostId, World
+from jackdawspur.model import ClusterSpec, HostId
 
-__all__ = ["Keeper"]
+__all__ = ["ConfigurationReplica"]
 
 LONG_POLL_MS = 2000.0
 # A log that answers empty reads at once must not be asked in a tight loop.
@@ -49,13 +49,13 @@
 COLD_START_BOUND_S = 5.0
 
 
-class Keeper:
+class ConfigurationReplica:
     """Decide for one run of a host; times in seconds of the monotonic clock."""
 
     def __init__(
-        self, host: HostId, rng: random.Random, budget: LogBudget, now: float
+        self, host: HostId, rng: random.Random, budget: AppendRateLimiter, now: float
     ) -> None:
-        self.fold = Fold()
+        self.state_machine = ConfigurationStateMachine()
         self.zones = ZoneReports(host)
         self.budget = budget
         self.log_health = LogHealth.UNKNOWN
@@ -69,7 +69,7 @@
         self._caught_up = False
         self._active = NOTHING
         self._served = Configuration()
-        self._world = World()
+        self._world = ClusterSpec()
         self._reported = NOTHING
         self._reading_since: float | None = None
         self._read_wait_ms = 0.0
@@ -98,7 +98,7 @@
         """Tell whether the end of the log was reached since the start."""
         return self._caught_up
 
-    def handle(self, now: float, event: KeeperEvent) -> list[KeeperEffect]:
+    def handle(self, now: float, event: ReplicaEvent) -> list[ReplicaEffect]:
         """Take one event; return what has to be done, in order."""
         effects = self._on(event, now)
         effects += self._activate(now)
@@ -107,11 +107,11 @@
         return effects
 
     @singledispatchmethod
-    def _on(self, event: KeeperEvent, now: float) -> list[KeeperEffect]:
+    def _on(self, event: ReplicaEvent, now: float) -> list[ReplicaEffect]:
         raise TypeError(f"not an event of the keeper: {event!r}")
 
     @_on.register
-    def _on_read(self, event: LogRead, now: float) -> list[KeeperEffect]:
+    def _on_read(self, event: LogRecordsRead, now: float) -> list[ReplicaEffect]:
         self._reading_since = None
         self._failures = 0
         self.log_health = LogHealth.UP
@@ -123,7 +123,7 @@
         return []
 
     @_on.register
-    def _on_failed(self, event: LogFailed, now: float) -> list[KeeperEffect]:
+    def _on_failed(self, event: LogReadFailed, now: float) -> list[ReplicaEffect]:
         self._reading_since = None
         self.log_health = LogHealth.DOWN
         delay = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2**self._failures)
@@ -133,36 +133,36 @@
         return []
 
     @_on.register
-    def _on_cut(self, event: LogCut, now: float) -> list[KeeperEffect]:
+    def _on_cut(self, event: LogStartAdvanced, now: float) -> list[ReplicaEffect]:
         self._reading_since = None
         self._next_read = now
         self.log_health = LogHealth.UP
-        if event.first > self.fold.through + 1:
-            self.fold.skip_to(event.first)
+        if event.first > self.state_machine.through + 1:
+            self.state_machine.skip_to(event.first)
             self._tail.restart(event.first - 1)
         else:
             self._next_read = now + EMPTY_READ_GAP_S
         return []
 
     @_on.register
-    def _on_asked(self, event: PeerAsked, now: float) -> list[KeeperEffect]:
-        passed = self._tail.answer(event.wanted.after, self.fold, self._wall)
+    def _on_asked(self, event: RecordsRequested, now: float) -> list[ReplicaEffect]:
+        passed = self._tail.answer(event.wanted.after, self.state_machine, self._wall)
         return [SendRecords(event.sender, passed)]
 
     @_on.register
-    def _on_passed(self, event: PeerRecords, now: float) -> list[KeeperEffect]:
+    def _on_passed(self, event: RecordsReceived, now: float) -> list[ReplicaEffect]:
         self._answered.add(event.sender)
         self._ask_until = now
         passed = event.passed
         if state := state_in(passed):
-            if self.fold.take_state(state):
-                self._tail.restart(self.fold.through)
-        elif passed.after <= self.fold.through:
+            if self.state_machine.take_state(state):
+                self._tail.restart(self.state_machine.through)
+        elif passed.after <= self.state_machine.through:
             self._take(passed.records)
         return []
 
     @_on.register
-    def _on_view(self, event: PeersSeen, now: float) -> list[KeeperEffect]:
+    def _on_view(self, event: LivePeersChanged, now: float) -> list[ReplicaEffect]:
         self._live = event.live
         alive = set(event.live)
         self._heard = {h: v for h, v in self._heard.items() if h in alive}
@@ -170,7 +170,9 @@
         return []
 
     @_on.register
-    def _on_heartbeat(self, event: HeartbeatSeen, now: float) -> list[KeeperEffect]:
+    def _on_heartbeat(
+        self, event: HeartbeatReceived, now: float
+    ) -> list[ReplicaEffect]:
         heartbeat = event.heartbeat
         self._heard[heartbeat.host] = heartbeat.version
         for report in heartbeat.zones:
@@ -180,11 +182,11 @@
         return []
 
     @_on.register
-    def _on_append(self, event: AppendEnded, now: float) -> list[KeeperEffect]:
+    def _on_append(self, event: AppendCompleted, now: float) -> list[ReplicaEffect]:
         return []
 
     @_on.register
-    def _on_tick(self, event: KeeperTick, now: float) -> list[KeeperEffect]:
+    def _on_tick(self, event: ReplicaTick, now: float) -> list[ReplicaEffect]:
         self._wall = event.wall
         waited = now - (now if self._reading_since is None else self._reading_since)
         if waited > self._read_wait_ms / 1000 + LOG_SLOW_S:
@@ -192,13 +194,13 @@
         return self._snapshot(now)
 
     def _take(self, records: tuple[LogRecord, ...]) -> None:
-        fresh = [r for r in records if r.offset > self.fold.through]
-        self.fold.fold(fresh)
+        fresh = [r for r in records if r.offset > self.state_machine.through]
+        self.state_machine.apply_records(fresh)
         self._tail.extend(fresh)
 
-    def _activate(self, now: float) -> list[KeeperEffect]:
-        fold = self.fold
-        effects: list[KeeperEffect] = [
+    def _activate(self, now: float) -> list[ReplicaEffect]:
+        fold = self.state_machine
+        effects: list[ReplicaEffect] = [
             ReportSkipped(s) for s in fold.skipped if s.offset > self._reported
         ]
         self._reported = max((s.offset for s in fold.skipped), default=self._reported)
@@ -213,15 +215,15 @@
             self._world = rebuilt_world(
                 before, self._world, fold.configuration, fold.version
             )
-            effects.append(ActivateWorld(self._world, fold.configuration))
+            effects.append(ActivateConfiguration(self._world, fold.configuration))
         self.zones.settle(self._live, self._active if self._ready else None, now)
         return effects
 
     def _obstacle(self, now: float) -> ReadinessReason:
         log_up = self.log_health is LogHealth.UP
-        known = self.fold.version != NOTHING
-        if self._caught_up and log_up and self.fold.contiguous:
-            if self.fold.head == NOTHING:
+        known = self.state_machine.version != NOTHING
+        if self._caught_up and log_up and self.state_machine.contiguous:
+            if self.state_machine.head == NOTHING:
                 return ReadinessReason.NO_CONFIGURATION
             return ReadinessReason.READY if known else ReadinessReason.NEWER_SCHEMA
         if self.log_health is LogHealth.UNKNOWN or (log_up and not self._caught_up):
@@ -231,7 +233,7 @@
             return self._nothing_known(waited_out)
         if waited_out or not self._live:
             return ReadinessReason.READY
-        if max(map(self._heard_of, self._live)) > self.fold.version:
+        if max(map(self._heard_of, self._live)) > self.state_machine.version:
             return ReadinessReason.BEHIND_PEERS
         # Far hosts aren't all heard directly; siblings and relays tell of their zones.
         siblings = {host for host in self._live if host.zone == self._host.zone}
@@ -245,20 +247,22 @@
             return ReadinessReason.LOG_TRIMMED
         return ReadinessReason.LOG_UNREACHABLE
 
-    def _read(self, now: float) -> list[KeeperEffect]:
+    def _read(self, now: float) -> list[ReplicaEffect]:
         if self._reading_since is not None or now < self._next_read:
             return []
         self._reading_since = now
         self._read_wait_ms = LONG_POLL_MS if self._caught_up else 0.0
-        return [ReadLog(self.fold.through + 1, self._read_wait_ms)]
+        return [ReadLog(self.state_machine.through + 1, self._read_wait_ms)]
 
-    def _ask(self, now: float) -> list[KeeperEffect]:
+    def _ask(self, now: float) -> list[ReplicaEffect]:
         wanted = self._wanted_peers(now)
         if not wanted or now < self._ask_until:
             return []
         self._ask_until = now + ASK_TIMEOUT_S
-        after = self.fold.through if self.fold.contiguous else WHOLE_STATE
-        return [AskRecords(self._rng.choice(wanted), RecordsWanted(after))]
+        after = (
+            self.state_machine.through if self.state_machine.contiguous else WHOLE_STATE
+        )
+        return [RequestRecords(self._rng.choice(wanted), RecordsWanted(after))]
 
     def _wanted_peers(self, now: float) -> list[HostId]:
         newer = [h for h in self._live if self._heard_of(h) > self._seen]
@@ -269,7 +273,7 @@
             self._behind_since = now
         if newer and (not log_up or now - self._behind_since >= BEHIND_S):
             return newer
-        stuck = log_up and self._caught_up and not self.fold.contiguous
+        stuck = log_up and self._caught_up and not self.state_machine.contiguous
         cold = not self._ready and self.log_health in (LogHealth.SLOW, LogHealth.DOWN)
         if stuck or cold:
             # Those that haven't answered yet come first; all may have to be heard.
@@ -284,15 +288,15 @@
     @property
     def _seen(self) -> int:
         # A version followed but not readable here needs no asking for.
-        return max(self.fold.version, self.fold.head)
+        return max(self.state_machine.version, self.state_machine.head)
 
-    def _snapshot(self, now: float) -> list[KeeperEffect]:
-        fold = self.fold
+    def _snapshot(self, now: float) -> list[ReplicaEffect]:
+        fold = self.state_machine
         sure = fold.contiguous and fold.head == fold.version != NOTHING
         able = sure and self._ready and self.log_health is LogHealth.UP
         if not self._snapshots.due(fold, able, self._live, self._wall, now):
             return []
-        if not self.budget.take(Purpose.SNAPSHOT, now):
+        if not self.budget.try_acquire(AppendPurpose.SNAPSHOT, now):
             return []
-        record = snapshot_of(fold, self._wall)
-        return [AppendRecord(Purpose.SNAPSHOT, record.id, encode_record(record))]
+        record = build_snapshot(fold, self._wall)
+        return [AppendRecord(AppendPurpose.SNAPSHOT, record.id, encode_record(record))]
--- a/jackdawspur/configuration/_replica_events.py
+++ b/jackdawspur/configuration/_replica_events.py
@@ -2,57 +2,57 @@
 
 from dataclasses import dataclass
 
-from jackdawspur.configuration._budget import Purpose
+from jackdawspur.configuration._budget import AppendPurpose
 from jackdawspur.configuration._document import Configuration
 from jackdawspur.configuration._reports import Skipped
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import Heartbeat, RecordsPassed, RecordsWanted
-from jackdawspur.model import HostId, World
+from jackdawspur.model import ClusterSpec, HostId
 
 __all__ = [
-    "ActivateWorld",
-    "AppendEnded",
+    "ActivateConfiguration",
+    "AppendCompleted",
     "AppendRecord",
-    "AskRecords",
-    "HeartbeatSeen",
-    "KeeperEffect",
-    "KeeperEvent",
-    "KeeperTick",
-    "LogCut",
-    "LogFailed",
-    "LogRead",
-    "PeerAsked",
-    "PeerRecords",
-    "PeersSeen",
+    "HeartbeatReceived",
+    "LivePeersChanged",
+    "LogReadFailed",
+    "LogRecordsRead",
+    "LogStartAdvanced",
     "ReadLog",
+    "RecordsReceived",
+    "RecordsRequested",
+    "ReplicaEffect",
+    "ReplicaEvent",
+    "ReplicaTick",
     "ReportSkipped",
+    "RequestRecords",
     "SendRecords",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class LogRead:
+class LogRecordsRead:
     """A read ended; without records the end of the log was reached."""
 
     records: tuple[LogRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class LogFailed:
+class LogReadFailed:
     """A read failed."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
-class LogCut:
+class LogStartAdvanced:
     """A read found that the log now starts at `first`."""
 
     first: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerAsked:
+class RecordsRequested:
     """A peer wants records."""
 
     sender: HostId
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerRecords:
+class RecordsReceived:
     """A peer passed records on."""
 
     sender: HostId
@@ -68,45 +68,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeersSeen:
+class LivePeersChanged:
     """The view names the peers that live, without this host."""
 
     live: tuple[HostId, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class HeartbeatSeen:
+class HeartbeatReceived:
     """A heartbeat of a peer arrived."""
 
     heartbeat: Heartbeat
 
 
 @dataclass(frozen=True, slots=True)
-class AppendEnded:
-    """An append ended; `offset` None with `sent` means that it may stand."""
+class AppendCompleted:
+    """An append ended; `offset` None with `maybe_sent` means that it may stand."""
 
-    record: str
+    record_id: str
     offset: int | None
-    sent: bool = True
+    maybe_sent: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperTick:
+class ReplicaTick:
     """Time passed; `wall` in seconds since 1970, only for the age of snapshots."""
 
     wall: float
 
 
-KeeperEvent = (
-    LogRead
-    | LogFailed
-    | LogCut
-    | PeerAsked
-    | PeerRecords
-    | PeersSeen
-    | HeartbeatSeen
-    | AppendEnded
-    | KeeperTick
+ReplicaEvent = (
+    LogRecordsRead
+    | LogReadFailed
+    | LogStartAdvanced
+    | RecordsRequested
+    | RecordsReceived
+    | LivePeersChanged
+    | HeartbeatReceived
+    | AppendCompleted
+    | ReplicaTick
 )
 
 
@@ -120,15 +120,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRecord:
-    """Append a record to the stream and report `AppendEnded` with its id."""
+    """Append a record to the stream and report `AppendCompleted` with its id."""
 
-    purpose: Purpose
-    record: str
+    purpose: AppendPurpose
+    record_id: str
     body: str
 
 
 @dataclass(frozen=True, slots=True)
-class AskRecords:
+class RequestRecords:
     """Ask a peer for records."""
 
     to: HostId
@@ -144,10 +144,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ActivateWorld:
+class ActivateConfiguration:
     """Put a newer version in force on this host."""
 
-    world: World
+    cluster_spec: ClusterSpec
     configuration: Configuration
 
 
@@ -158,6 +158,11 @@
     skipped: Skipped
 
 
-KeeperEffect = (
-    ReadLog | AppendRecord | AskRecords | SendRecords | ActivateWorld | ReportSkipped
+ReplicaEffect = (
+    ReadLog
+    | AppendRecord
+    | RequestRecords
+    | SendRecords
+    | ActivateConfiguration
+    | ReportSkipped
 )
--- a/jackdawspur/configuration/_snapshots.py
+++ b/jackdawspur/configuration/_snapshots.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from jackdawspur.configuration._state_machine import Fold
+from jackdawspur.configuration._state_machine import ConfigurationStateMachine
 from jackdawspur.model import HostId
 
 __all__ = ["SnapshotTurns"]
@@ -24,7 +24,12 @@
         self._not_before = float("-inf")
 
     def due(
-        self, fold: Fold, able: bool, live: Iterable[HostId], wall: float, now: float
+        self,
+        fold: ConfigurationStateMachine,
+        able: bool,
+        live: Iterable[HostId],
+        wall: float,
+        now: float,
     ) -> bool:
         """Tell whether to write now; a true answer starts the wait for a retry."""
         policies = fold.configuration.policies
--- a/jackdawspur/configuration/_state_machine.py
+++ b/jackdawspur/configuration/_state_machine.py
@@ -13,15 +13,15 @@
     HistoryEntry,
     Proposal,
     Snapshot,
-    SnapshotMark,
+    SnapshotHeader,
     decode_envelope,
-    decode_mark,
     decode_record,
+    decode_snapshot_header,
 )
 from jackdawspur.configuration._reports import Skipped, Void
 from jackdawspur.external import LogRecord
 
-__all__ = ["NOTHING", "Fold"]
+__all__ = ["NOTHING", "ConfigurationStateMachine"]
 
 NOTHING = -1
 VOIDS_KEPT = 128
@@ -33,7 +33,7 @@
 HELD_RECORDS = 2_000
 
 
-class Fold:
+class ConfigurationStateMachine:
     """Keep the state that a prefix of the log gives; the same on every host.
 
     `version` is in force here. `head` is the confirm that won last; it is ahead of
@@ -94,7 +94,7 @@
         """Return the changes in force that came after a version."""
         return tuple(e for e in self._history.values() if e.version > version)
 
-    def fold(self, records: Iterable[LogRecord]) -> None:
+    def apply_records(self, records: Iterable[LogRecord]) -> None:
         """Fold records that follow `through` without a gap; repeats do nothing."""
         for record in records:
             if record.offset <= self.through:
@@ -133,7 +133,7 @@
     def _fold_one(self, record: LogRecord) -> None:
         try:
             if self.contiguous and self.head == self.version:
-                mark = decode_mark(record.body)
+                mark = decode_snapshot_header(record.body)
                 if mark:
                     self._mark(mark)
                     return
@@ -235,7 +235,7 @@
             self._adopt(snapshot)
         self._mark(snapshot)
 
-    def _mark(self, snapshot: Snapshot | SnapshotMark) -> None:
+    def _mark(self, snapshot: Snapshot | SnapshotHeader) -> None:
         # A snapshot whose writer lagged still spares readers what came before it.
         if self._snapshot_version <= snapshot.version <= self.version:
             self._snapshot_version = snapshot.version
--- a/jackdawspur/configuration/_tail.py
+++ b/jackdawspur/configuration/_tail.py
@@ -10,11 +10,11 @@
     decode_record,
     encode_record,
 )
-from jackdawspur.configuration._state_machine import NOTHING, Fold
+from jackdawspur.configuration._state_machine import NOTHING, ConfigurationStateMachine
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import RecordsPassed
 
-__all__ = ["WHOLE_STATE", "Tail", "snapshot_of", "state_in"]
+__all__ = ["WHOLE_STATE", "Tail", "build_snapshot", "state_in"]
 
 # Asked for in place of an offset when a gap has to be bridged.
 WHOLE_STATE = -2
@@ -26,7 +26,7 @@
 HISTORY_IN_SNAPSHOT = 50
 
 
-def snapshot_of(fold: Fold, wall: float) -> Snapshot:
+def build_snapshot(fold: ConfigurationStateMachine, wall: float) -> Snapshot:
     """Return the state of a fold as a record.
 
     `through` claims only what this host is sure of: beyond a gap, or past a winner
@@ -90,13 +90,15 @@
         self._bytes = 0
         self._after = after
 
-    def answer(self, after: int, fold: Fold, wall: float) -> RecordsPassed:
+    def answer(
+        self, after: int, fold: ConfigurationStateMachine, wall: float
+    ) -> RecordsPassed:
         """Return what follows an offset, or a snapshot if that is not kept."""
         if after >= self._after:
             return RecordsPassed(self._batch(after), after)
         if fold.version == NOTHING:
             return RecordsPassed((), after)
-        snapshot = snapshot_of(fold, wall)
+        snapshot = build_snapshot(fold, wall)
         record = LogRecord(snapshot.through, encode_record(snapshot))
         return RecordsPassed((record,), snapshot.through - 1)
 
--- a/jackdawspur/configuration/_text.py
+++ b/jackdawspur/configuration/_text.py
@@ -6,17 +6,17 @@
 from jackdawspur.configuration._operations import (
     ChangeStatus,
     Conflict,
-    DeskReply,
-    DeskStatus,
     Faults,
     History,
+    OperatorReply,
+    OperatorStatus,
 )
 from jackdawspur.configuration._planner import Plan
 
-__all__ = ["text_of"]
+__all__ = ["format_operator_reply"]
 
 
-def text_of(reply: DeskReply) -> str:
+def format_operator_reply(reply: OperatorReply) -> str:
     """Return a reply as the lines that the command line prints."""
     lines = [f"{reply.status.value} {reply.code}: {reply.message}"]
     lines += _lines(reply.body)
@@ -94,7 +94,7 @@
 
 
 @_lines.register
-def _status(status: DeskStatus) -> list[str]:
+def _status(status: OperatorStatus) -> list[str]:
     lines = [
         f"version {status.version}, log read through {status.through}",
         f"log {status.log}; ready {status.readiness.ready}: {status.readiness.message}",
--- a/jackdawspur/configuration/_views.py
+++ b/jackdawspur/configuration/_views.py
@@ -1,6 +1,6 @@
 """Work out what operators are shown from the state of one host."""
 
-from jackdawspur.configuration._budget import Purpose
+from jackdawspur.configuration._budget import AppendPurpose
 from jackdawspur.configuration._diff import summarize
 from jackdawspur.configuration._operations import (
     AppendCount,
@@ -8,20 +8,20 @@
     ChangeState,
     ChangeStatus,
     Conflict,
-    DeskStatus,
     History,
+    OperatorStatus,
 )
 from jackdawspur.configuration._records import HistoryEntry, Proposal
-from jackdawspur.configuration._replica import Keeper
+from jackdawspur.configuration._replica import ConfigurationReplica
 
 __all__ = ["change_status", "conflict", "history", "obstacle", "status"]
 
 CHANGES_IN_STATUS = 10
 
 
-def obstacle(keeper: Keeper) -> str:
+def obstacle(keeper: ConfigurationReplica) -> str:
     """Return why this host can't plan or confirm now; empty if it can."""
-    fold = keeper.fold
+    fold = keeper.state_machine
     if not fold.contiguous:
         return "records are missing here until a snapshot comes; ask another host"
     if fold.head != fold.version:
@@ -31,9 +31,9 @@
     return ""
 
 
-def change_status(keeper: Keeper, entry: HistoryEntry) -> ChangeStatus:
+def change_status(keeper: ConfigurationReplica, entry: HistoryEntry) -> ChangeStatus:
     """Return how far a confirmed change is."""
-    hosts = keeper.fold.configuration.entry_hosts
+    hosts = keeper.state_machine.configuration.entry_hosts
     zones = {host.zone for host in hosts}
     in_force = keeper.zones.in_force(entry.version) & zones
     state = ChangeState.IN_FORCE if in_force else ChangeState.CONFIRMED
@@ -52,8 +52,8 @@
     )
 
 
-def _plan_status(keeper: Keeper, proposal: Proposal) -> ChangeStatus:
-    fold = keeper.fold
+def _plan_status(keeper: ConfigurationReplica, proposal: Proposal) -> ChangeStatus:
+    fold = keeper.state_machine
     current = proposal.base == fold.head
     base = fold.configuration if current else None
     return ChangeStatus(
@@ -69,27 +69,27 @@
     )
 
 
-def conflict(keeper: Keeper, base: int) -> Conflict:
+def conflict(keeper: ConfigurationReplica, base: int) -> Conflict:
     """Return what won against a plan with an older base."""
-    since = keeper.fold.changes_since(base)
+    since = keeper.state_machine.changes_since(base)
     # Exactly one change can have been built on the base: that one won.
-    won = next((e.version for e in since if e.base == base), keeper.fold.head)
+    won = next((e.version for e in since if e.base == base), keeper.state_machine.head)
     return Conflict(base, won, tuple(change_status(keeper, e) for e in since))
 
 
-def history(keeper: Keeper, refused: tuple[AuditEntry, ...]) -> History:
+def history(keeper: ConfigurationReplica, refused: tuple[AuditEntry, ...]) -> History:
     """Return plans, changes in force, confirms that lost and refused requests."""
-    fold = keeper.fold
+    fold = keeper.state_machine
     changes = tuple(change_status(keeper, entry) for entry in fold.history)
     plans = tuple(_plan_status(keeper, proposal) for proposal in fold.plans)
     return History(plans, changes, fold.voids, refused)
 
 
-def status(keeper: Keeper, refusals: int) -> DeskStatus:
+def status(keeper: ConfigurationReplica, refusals: int) -> OperatorStatus:
     """Return the configuration as this host sees it."""
-    fold, budget = keeper.fold, keeper.budget
+    fold, budget = keeper.state_machine, keeper.budget
     recent = fold.history[-CHANGES_IN_STATUS:]
-    return DeskStatus(
+    return OperatorStatus(
         version=keeper.version,
         head=fold.head,
         through=fold.through,
@@ -101,7 +101,7 @@
         skipped=fold.skipped,
         delays=keeper.zones.delays,
         appends=tuple(
-            AppendCount(p, budget.made[p], budget.refused[p]) for p in Purpose
+            AppendCount(p, budget.made[p], budget.refused[p]) for p in AppendPurpose
         ),
         refusals=refusals,
     )
--- a/jackdawspur/configuration/_zones.py
+++ b/jackdawspur/configuration/_zones.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from jackdawspur.messages import Heartbeat, ZoneVersion
+from jackdawspur.messages import Heartbeat, ZoneStatus
 from jackdawspur.model import HostId
 
 __all__ = ["ZoneDelay", "ZoneInForce", "ZoneReports"]
@@ -45,9 +45,9 @@
         self._delays: dict[int, dict[str, float]] = {}
 
     @property
-    def reports(self) -> tuple[ZoneVersion, ...]:
+    def reports(self) -> tuple[ZoneStatus, ...]:
         """Return what this host's next heartbeat says of all zones."""
-        return tuple(ZoneVersion(z, v) for z, v in sorted(self._versions.items()))
+        return tuple(ZoneStatus(z, v) for z, v in sorted(self._versions.items()))
 
     @property
     def known(self) -> tuple[ZoneInForce, ...]:
--- a/jackdawspur/configuration/slopes.py
+++ b/jackdawspur/configuration/slopes.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import astuple, dataclass, replace
 
-from jackdawspur.configuration._budget import LogBudget, appends_a_day
+from jackdawspur.configuration._budget import AppendRateLimiter, appends_a_day
 from jackdawspur.configuration._changes import PutCustomer, PutUpstream
 from jackdawspur.configuration._cluster_spec import token_hash, world_of
 from jackdawspur.configuration._document import (
@@ -24,10 +24,10 @@
     ZoneEntry,
 )
 from jackdawspur.configuration._records import Confirm, encode_record
-from jackdawspur.configuration._replica import Keeper
-from jackdawspur.configuration._replica_events import LogCut, LogRead
-from jackdawspur.configuration._state_machine import Fold
-from jackdawspur.configuration._tail import snapshot_of
+from jackdawspur.configuration._replica import ConfigurationReplica
+from jackdawspur.configuration._replica_events import LogRecordsRead, LogStartAdvanced
+from jackdawspur.configuration._state_machine import ConfigurationStateMachine
+from jackdawspur.configuration._tail import build_snapshot
 from jackdawspur.external import LogRecord
 from jackdawspur.model import HostId
 
@@ -141,21 +141,23 @@
     return records[-1].offset if len(records) > 1 else SNAPSHOT_VERSION
 
 
-def _folded(records: list[LogRecord]) -> Fold:
-    fold = Fold()
+def _folded(records: list[LogRecord]) -> ConfigurationStateMachine:
+    fold = ConfigurationStateMachine()
     fold.skip_to(records[0].offset)
-    fold.fold(records)
+    fold.apply_records(records)
     if fold.version != _newest(records):
         raise RuntimeError("the changes were not taken")
     return fold
 
 
-def _cold_start(records: list[LogRecord]) -> Keeper:
-    keeper = Keeper(HostId("zone-0", "e0", 1), random.Random(1), LogBudget(108, 0), 0.0)
-    keeper.handle(0.0, LogCut(SNAPSHOT_OFFSET))
+def _cold_start(records: list[LogRecord]) -> ConfigurationReplica:
+    keeper = ConfigurationReplica(
+        HostId("zone-0", "e0", 1), random.Random(1), AppendRateLimiter(108, 0), 0.0
+    )
+    keeper.handle(0.0, LogStartAdvanced(SNAPSHOT_OFFSET))
     for start in range(0, len(records), 50):
-        keeper.handle(0.0, LogRead(tuple(records[start : start + 50])))
-    keeper.handle(0.0, LogRead(()))
+        keeper.handle(0.0, LogRecordsRead(tuple(records[start : start + 50])))
+    keeper.handle(0.0, LogRecordsRead(()))
     if keeper.version != _newest(records):
         raise RuntimeError("the host did not become ready")
     return keeper
@@ -166,7 +168,7 @@
     times = []
     for record in whole[1:]:
         started = time.process_time()
-        keeper.handle(0.0, LogRead((record,)))
+        keeper.handle(0.0, LogRecordsRead((record,)))
         times.append((time.process_time() - started) * 1000)
     return statistics.median(times)
 
@@ -176,7 +178,7 @@
     after = whole[-1].offset + 1
     offsets = iter(range(after, after + REPEATS))
     return _median_ms(
-        lambda: keeper.handle(0.0, LogRead((LogRecord(next(offsets), body),)))
+        lambda: keeper.handle(0.0, LogRecordsRead((LogRecord(next(offsets), body),)))
     )
 
 
@@ -205,10 +207,10 @@
 def measure_size(customers: int, upstreams: int, zones: int) -> SizeCost:
     """Measure a made-up configuration of one size."""
     document = configuration_of_size(customers, upstreams, zones)
-    source = Fold()
+    source = ConfigurationStateMachine()
     source.configuration = document
     source.version = source.head = source.through = SNAPSHOT_VERSION
-    body = encode_record(snapshot_of(source, 0.0))
+    body = encode_record(build_snapshot(source, 0.0))
     snapshot = LogRecord(SNAPSHOT_OFFSET, body)
     whole = [snapshot, *_confirms(document)]
     return SizeCost(
@@ -216,7 +218,7 @@
         upstreams,
         zones,
         len(body) / 1e3,
-        _median_ms(lambda: encode_record(snapshot_of(source, 0.0))),
+        _median_ms(lambda: encode_record(build_snapshot(source, 0.0))),
         _median_ms(lambda: _folded([snapshot])),
         _mark_ms(whole, body),
         _median_ms(lambda: _folded(whole)) / CHANGES,
--- a/jackdawspur/configuration/tests/conftest.py
+++ b/jackdawspur/configuration/tests/conftest.py
@@ -9,31 +9,31 @@
 from pydantic import TypeAdapter
 
 from jackdawspur.configuration import (
-    ActivateWorld,
-    AppendEnded,
+    ActivateConfiguration,
+    AppendCompleted,
+    AppendRateLimiter,
     AppendRecord,
-    AskRecords,
-    Audited,
     Configuration,
+    ConfigurationReplica,
     ConfirmAsked,
-    DeskReply,
-    HeartbeatSeen,
+    HeartbeatReceived,
     Intent,
-    Keeper,
-    KeeperTick,
-    LogBudget,
-    LogCut,
-    LogFailed,
-    LogRead,
-    OperatorDesk,
+    LivePeersChanged,
+    LogReadFailed,
+    LogRecordsRead,
+    LogStartAdvanced,
+    OperatorApi,
     OperatorEntry,
-    PeerAsked,
-    PeerRecords,
-    PeersSeen,
+    OperatorReply,
     PlanAsked,
     ReadLog,
+    RecordsReceived,
+    RecordsRequested,
+    ReplicaTick,
+    RequestRecords,
     Right,
     SendRecords,
+    WriteAuditEntry,
     changes_between,
     load_configuration,
     token_hash,
@@ -68,8 +68,8 @@
 
     def read(self, offset):
         if offset < self.first:
-            return LogCut(self.first)
-        return LogRead(tuple(r for r in self.records if r.offset >= offset)[:50])
+            return LogStartAdvanced(self.first)
+        return LogRecordsRead(tuple(r for r in self.records if r.offset >= offset)[:50])
 
 
 class Host:
@@ -78,13 +78,15 @@
     def __init__(self, cluster, identity):
         self.id = identity
         rng = random.Random(str(identity))
-        self.keeper = Keeper(identity, rng, LogBudget(6, cluster.now), cluster.now)
+        self.keeper = ConfigurationReplica(
+            identity, rng, AppendRateLimiter(6, cluster.now), cluster.now
+        )
         self.bootstrap = OperatorEntry(
             name="bootstrap",
             token_sha256=(token_hash(BOOTSTRAP),),
             rights=(Right.VIEW, Right.PLAN, Right.CONFIRM),
         )
-        self.desk = OperatorDesk(self.keeper, [self.bootstrap])
+        self.desk = OperatorApi(self.keeper, [self.bootstrap])
         self.activated = []
 
 
@@ -146,7 +148,7 @@
             if round(self.now / STEP_S) % round(HEARTBEAT_S / STEP_S) == 0:
                 self._beat()
             for host in self._running():
-                self._feed(host, KeeperTick(WALL + self.now))
+                self._feed(host, ReplicaTick(WALL + self.now))
 
     def versions(self):
         return {name: host.keeper.version for name, host in self.hosts.items()}
@@ -160,7 +162,7 @@
     def _beat(self):
         for host in self._running():
             peers = [peer for peer in self._running() if self._linked(host, peer)]
-            self._feed(host, PeersSeen(tuple(peer.id for peer in peers)))
+            self._feed(host, LivePeersChanged(tuple(peer.id for peer in peers)))
             for peer in peers:
                 keeper = peer.keeper
                 ready = keeper.readiness.ready
@@ -168,15 +170,15 @@
                     peer.id, 0, ready, False, keeper.version, 0, 0, 0.0,
                     zones=keeper.zones.reports,
                 )  # fmt: skip
-                self._feed(host, HeartbeatSeen(heartbeat))
+                self._feed(host, HeartbeatReceived(heartbeat))
 
     def _feed(self, host, event):
         if host not in self.hosts.values():
             return
         self._run(host, host.keeper.handle(self.now, event))
-        if isinstance(event, AppendEnded):
-            self._run(host, host.desk.append_ended(self.now, event))
-        self._run(host, host.desk.settle(self.now))
+        if isinstance(event, AppendCompleted):
+            self._run(host, host.desk.on_append_completed(self.now, event))
+        self._run(host, host.desk.resolve_pending(self.now))
 
     def _run(self, host, effects):
         for effect in effects:
@@ -186,25 +188,25 @@
         log_up = self.log_up and host.id.zone not in self.no_log
         match effect:
             case ReadLog(offset=offset):
-                read = self.log.read(offset) if log_up else LogFailed("down")
+                read = self.log.read(offset) if log_up else LogReadFailed("down")
                 self._todo.append((host, read))
-            case AppendRecord(record=record, body=body):
-                ended = AppendEnded(record, None, sent=False)
+            case AppendRecord(record_id=record, body=body):
+                ended = AppendCompleted(record, None, maybe_sent=False)
                 if log_up:
                     offset = self.log.append(body)
                     lost = self.rng.random() < self.lose_replies
-                    ended = AppendEnded(record, None if lost else offset)
+                    ended = AppendCompleted(record, None if lost else offset)
                 self._todo.append((host, ended))
-            case AskRecords(to=to, wanted=wanted):
-                self._pass(host, to, PeerAsked(host.id, wanted))
+            case RequestRecords(to=to, wanted=wanted):
+                self._pass(host, to, RecordsRequested(host.id, wanted))
             case SendRecords(to=to, passed=passed):
-                self._pass(host, to, PeerRecords(host.id, passed))
-            case ActivateWorld(world=world):
+                self._pass(host, to, RecordsReceived(host.id, passed))
+            case ActivateConfiguration(cluster_spec=world):
                 host.activated.append(world.version)
-            case DeskReply(call=call):
+            case OperatorReply(call=call):
                 assert call not in self.replies, "answered twice"
                 self.replies[call] = effect
-            case Audited(entry=entry):
+            case WriteAuditEntry(entry=entry):
                 self.audited.append(entry)
 
     def _pass(self, host, to, event):
--- a/jackdawspur/configuration/tests/test_checks.py
+++ b/jackdawspur/configuration/tests/test_checks.py
@@ -7,13 +7,13 @@
 
 from jackdawspur.configuration import (
     Configuration,
-    DeskCode,
     InvalidConfiguration,
+    OperatorReplyCode,
     ReadinessReason,
     apply_changes,
     changes_between,
-    class_of,
     customer_of,
+    find_job_class,
     load_configuration,
     load_intent,
     operator_of,
@@ -47,8 +47,8 @@
 
 def test_tokens_name_their_owners(document):
     customer = customer_of(document, "example-roster-token")
-    assert not class_of(customer, "dispatch-reassign").idempotent
-    assert class_of(customer, "unheard-of") is None
+    assert not find_job_class(customer, "dispatch-reassign").idempotent
+    assert find_job_class(customer, "unheard-of") is None
     assert operator_of(document, "example-ann-token").name == "ann"
     assert operator_of(document, "example-roster-token") is None
 
@@ -147,6 +147,9 @@
 
 def test_operators_page_has_a_section_for_every_code():
     page = (EXAMPLES.parent / "docs" / "operators" / "configuration.md").read_text()
-    codes = {*DeskCode, *ReadinessReason} - {DeskCode.OK, ReadinessReason.READY}
+    codes = {*OperatorReplyCode, *ReadinessReason} - {
+        OperatorReplyCode.OK,
+        ReadinessReason.READY,
+    }
     headings = {code.replace("_", " ") for code in codes}
     assert not [name for name in headings if f"### {name}\n" not in page]
--- a/jackdawspur/configuration/tests/test_desk.py
+++ b/jackdawspur/configuration/tests/test_desk.py
@@ -6,13 +6,13 @@
 import pytest
 
 from jackdawspur.configuration import (
-    AppendEnded,
+    AppendCompleted,
     ConfirmAsked,
-    DeskCode,
     HistoryAsked,
+    OperatorReplyCode,
     PlanAsked,
     StatusAsked,
-    text_of,
+    format_operator_reply,
 )
 from jackdawspur.configuration.tests.conftest import WALL, quota_intent
 
@@ -32,7 +32,7 @@
     texts = []
 
     def note(reply):
-        texts.append(text_of(reply))
+        texts.append(format_operator_reply(reply))
         texts.append(msgspec.json.encode(reply).decode() + "\n")
         return reply
 
@@ -70,7 +70,7 @@
 
 def test_bootstrap_token_ends_with_the_first_configuration(cluster):
     reply = cluster.answered(FIRST, StatusAsked, "example-bootstrap-token")
-    assert reply.code is DeskCode.UNAUTHORIZED
+    assert reply.code is OperatorReplyCode.UNAUTHORIZED
 
 
 def test_mass_removal_needs_an_explicit_word(cluster, document):
@@ -80,10 +80,10 @@
     ]
     intent = {"reason": "rack replaced", "changes": removes}
     refused = plan(cluster, FIRST, ANN, intent)
-    assert refused.code is DeskCode.MASS_REMOVAL
+    assert refused.code is OperatorReplyCode.MASS_REMOVAL
     assert refused.body.mass_removal == ("upstreams: 5 of 24",)
     allowed = plan(cluster, FIRST, ANN, {**intent, "allow_mass_removal": True})
-    assert allowed.code is DeskCode.OK
+    assert allowed.code is OperatorReplyCode.OK
     assert allowed.body.removals[0] == "upstreams[north-a.w1]"
     assert allowed.body.customers == ("reporting", "roster")
     [capacity] = allowed.body.capacity
@@ -93,15 +93,15 @@
 def test_plan_is_confirmed_at_another_host_at_once(cluster, document):
     """The balancer takes the confirm to a host that hasn't read the plan yet."""
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
-    assert cluster.hosts[LAST].keeper.fold.plan(planned.body.id) is None
+    assert cluster.hosts[LAST].keeper.state_machine.plan(planned.body.id) is None
     reply = cluster.answered(LAST, ConfirmAsked, ANN, planned.body.id)
-    assert reply.code is DeskCode.OK
+    assert reply.code is OperatorReplyCode.OK
     unknown = cluster.answered(LAST, ConfirmAsked, ANN, "0123456789abcdef")
-    assert unknown.code is DeskCode.NOT_FOUND
+    assert unknown.code is OperatorReplyCode.NOT_FOUND
 
 
 def test_unreachable_zones_stand_in_the_plan(cluster, document):
-    cluster.hosts[FIRST].desk.set_unreachable(["north-c", "elsewhere"])
+    cluster.hosts[FIRST].desk.set_unreachable_zones(["north-c", "elsewhere"])
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
     assert planned.body.unreachable_zones == ("north-c",)
 
@@ -114,9 +114,9 @@
     """
     cluster.lose_replies = 1.0
     reply = cluster.change(FIRST, ANN, quota_intent(document, 100))
-    assert reply.code is DeskCode.OK
+    assert reply.code is OperatorReplyCode.OK
     cluster.run(2.0)
-    history = cluster.hosts[LAST].keeper.fold.history
+    history = cluster.hosts[LAST].keeper.state_machine.history
     assert [entry.reason for entry in history] == ["first", "more work"]
 
 
@@ -124,7 +124,7 @@
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
     cluster.log_up = False
     reply = cluster.answered(FIRST, ConfirmAsked, ANN, planned.body.id)
-    assert reply.code is DeskCode.LOG_UNAVAILABLE
+    assert reply.code is OperatorReplyCode.LOG_UNAVAILABLE
     cluster.log_up = True
     cluster.run(8.0)
     assert cluster.answered(FIRST, ConfirmAsked, ANN, planned.body.id).status == 200
@@ -141,9 +141,11 @@
     now = cluster.now
     request = ConfirmAsked(999, ANN, planned.body.id, WALL)
     [append] = desk.handle(now, request)
-    assert not desk.append_ended(now, AppendEnded(append.record, None))
-    [again] = desk.settle(now + 0.6)
+    assert not desk.on_append_completed(now, AppendCompleted(append.record_id, None))
+    [again] = desk.resolve_pending(now + 0.6)
     assert again == append
-    assert not desk.append_ended(now + 0.7, AppendEnded(append.record, None, False))
-    _, reply = desk.settle(now + 6.0)
-    assert reply.code is DeskCode.OUTCOME_UNKNOWN
+    assert not desk.on_append_completed(
+        now + 0.7, AppendCompleted(append.record_id, None, False)
+    )
+    _, reply = desk.resolve_pending(now + 6.0)
+    assert reply.code is OperatorReplyCode.OUTCOME_UNKNOWN
--- a/jackdawspur/configuration/tests/test_everywhere.py
+++ b/jackdawspur/configuration/tests/test_everywhere.py
@@ -7,10 +7,10 @@
 
 from jackdawspur.configuration import (
     ChangeState,
+    ConfigurationStateMachine,
     ConfirmAsked,
-    DeskCode,
-    Fold,
     LogHealth,
+    OperatorReplyCode,
     PlanAsked,
     ReadinessReason,
     StatusAsked,
@@ -23,7 +23,7 @@
 
 def test_change_is_accepted_once_every_zone_has_it(cluster, document):
     reply = cluster.change(FIRST, ANN, quota_intent(document, 100))
-    assert reply.code is DeskCode.OK
+    assert reply.code is OperatorReplyCode.OK
     cluster.run(1.0)
     status = cluster.answered("north-c.e2", StatusAsked, ANN).body
     assert status.changes[-1].state is ChangeState.ACCEPTED
@@ -48,9 +48,9 @@
     calls = [cluster.ask(name, ConfirmAsked, ANN, plan) for name, plan in plans]
     cluster.run(7.0)
     replies = [cluster.replies[call] for call in calls]
-    won = [reply for reply in replies if reply.code is DeskCode.OK]
+    won = [reply for reply in replies if reply.code is OperatorReplyCode.OK]
     assert len(won) == 1
-    lost = [reply for reply in replies if reply.code is DeskCode.CONFLICT]
+    lost = [reply for reply in replies if reply.code is OperatorReplyCode.CONFLICT]
     assert {reply.body.won for reply in lost} == {won[0].body.version}
     assert len(lost) == 7
     assert set(cluster.versions().values()) == {won[0].body.version}
@@ -58,10 +58,10 @@
 
 
 def assert_all_folds_agree(cluster):
-    fresh = Fold()
-    fresh.fold(cluster.log.records)
+    fresh = ConfigurationStateMachine()
+    fresh.apply_records(cluster.log.records)
     for host in cluster.hosts.values():
-        fold = host.keeper.fold
+        fold = host.keeper.state_machine
         assert fold.history == fresh.history
         assert fold.voids == fresh.voids
         assert fold.configuration == fresh.configuration
@@ -193,7 +193,7 @@
     cluster.hosts[names[1]] = kept
     cluster.run(3.0)
     assert host.keeper.version == kept.keeper.version
-    assert host.keeper.fold.contiguous
+    assert host.keeper.state_machine.contiguous
 
 
 def test_snapshots_carry_the_state_over_trimming(cluster, document):
@@ -216,7 +216,7 @@
     fresh = cluster.start(FIRST)
     cluster.run(1.0)
     assert fresh.activated == [version]
-    assert fresh.keeper.fold.history[-1].reason == "more work"
+    assert fresh.keeper.state_machine.history[-1].reason == "more work"
 
 
 def test_first_host_without_a_configuration_says_so():
--- a/jackdawspur/configuration/tests/test_fold.py
+++ b/jackdawspur/configuration/tests/test_fold.py
@@ -8,8 +8,8 @@
 
 from jackdawspur.configuration import (
     Configuration,
+    ConfigurationStateMachine,
     Confirm,
-    Fold,
     OperatorEntry,
     Right,
     SkipReason,
@@ -18,7 +18,7 @@
     encode_record,
 )
 from jackdawspur.configuration._changes import PutOperator, PutZone
-from jackdawspur.configuration._tail import snapshot_of
+from jackdawspur.configuration._tail import build_snapshot
 from jackdawspur.external import LogRecord
 
 OPERATOR = OperatorEntry(
@@ -47,8 +47,8 @@
 
 
 def folded(records):
-    fold = Fold()
-    fold.fold(records)
+    fold = ConfigurationStateMachine()
+    fold.apply_records(records)
     return fold
 
 
@@ -115,7 +115,7 @@
         operators=(OPERATOR,), zones=(ZoneEntry(name="q", region="r"),)
     )
     snapshot = Snapshot(id="s", version=3, through=3, at=0.0, configuration=state)
-    fold.fold(log_of(snapshot, first=4))
+    fold.apply_records(log_of(snapshot, first=4))
     assert fold.version == 3 and zones(fold) == ["q"]
 
 
@@ -137,9 +137,9 @@
 def test_old_snapshots_never_take_a_version_back():
     """A host that lagged writes a snapshot of an old version at the log's end."""
     records = log_of(confirm("a", -1, "one"), confirm("b", 0, "two"))
-    old = snapshot_of(folded(records[:1]), wall=0.0)
+    old = build_snapshot(folded(records[:1]), wall=0.0)
     fold = folded(records)
-    fold.fold(log_of(old, first=2))
+    fold.apply_records(log_of(old, first=2))
     assert fold.version == 1 and zones(fold) == ["one", "two"]
 
 
@@ -150,14 +150,14 @@
     would void the confirm at 3, which won on all other hosts.
     """
     whole = log_of(confirm("a", -1, "one"), confirm("b", 0, "two"))
-    lagging = snapshot_of(folded(whole[:1]), wall=0.0)
+    lagging = build_snapshot(folded(whole[:1]), wall=0.0)
     kept = log_of(lagging, confirm("c", 1, "three"), first=2)
-    fold = Fold()
+    fold = ConfigurationStateMachine()
     fold.skip_to(2)
-    fold.fold(kept)
+    fold.apply_records(kept)
     assert fold.version == 0 and not fold.contiguous and not fold.voids
-    covering = snapshot_of(folded(whole), wall=0.0)
-    fold.fold(log_of(covering, first=4))
+    covering = build_snapshot(folded(whole), wall=0.0)
+    fold.apply_records(log_of(covering, first=4))
     assert fold.contiguous
     assert fold.version == 3 and zones(fold) == ["one", "two", "three"]
 
@@ -170,11 +170,11 @@
     """
     records = log_of(*(confirm(str(i), i - 1, f"z{i}") for i in range(6)))
     fold = folded(records[:3])
-    assert not fold.take_state(snapshot_of(folded(records[:2]), wall=0.0))
+    assert not fold.take_state(build_snapshot(folded(records[:2]), wall=0.0))
     assert fold.version == 2 and fold.through == 2
-    assert fold.take_state(snapshot_of(folded(records[:4]), wall=0.0))
+    assert fold.take_state(build_snapshot(folded(records[:4]), wall=0.0))
     assert fold.version == 3 and fold.contiguous
-    fold.fold(records)
+    fold.apply_records(records)
     assert fold.version == 5 and fold.configuration == folded(records).configuration
 
 
@@ -190,7 +190,7 @@
         elif kind == "snapshot":
             until = draw(st.integers(0, index))
             records.append(
-                encode_record(snapshot_of(folded(log_of(*records[:until])), 0))
+                encode_record(build_snapshot(folded(log_of(*records[:until])), 0))
             )
         elif kind == "bad":
             records.append("rubbish")
@@ -211,18 +211,18 @@
     but where it judges at all it judges alike; no step takes either of them back.
     """
     records = log_of(*bodies)
-    whole = Fold()
-    late = Fold()
+    whole = ConfigurationStateMachine()
+    late = ConfigurationStateMachine()
     late.skip_to(min(trimmed, len(records)))
     for index, record in enumerate(records):
         before = whole.version, late.version
-        whole.fold([record])
+        whole.apply_records([record])
         if index >= cut:
-            late.fold(records[: index + 1])
+            late.apply_records(records[: index + 1])
         if index == asked:
             peer = folded(records[: max(0, index + 1 - lag)])
             if peer.version >= 0:
-                late.take_state(snapshot_of(peer, wall=0.0))
+                late.take_state(build_snapshot(peer, wall=0.0))
         assert whole.version >= before[0] and late.version >= before[1]
         caught_up = late.through == whole.through
         if caught_up and late.contiguous and late.head == late.version:
--- a/jackdawspur/configuration/tests/test_keeper.py
+++ b/jackdawspur/configuration/tests/test_keeper.py
@@ -6,27 +6,27 @@
 import pytest
 
 from jackdawspur.configuration import (
-    ActivateWorld,
-    AskRecords,
-    HeartbeatSeen,
-    Keeper,
-    KeeperTick,
-    LogBudget,
-    LogFailed,
-    LogRead,
-    PeerAsked,
-    PeerRecords,
-    PeersSeen,
+    ActivateConfiguration,
+    AppendPurpose,
+    AppendRateLimiter,
+    ConfigurationReplica,
+    HeartbeatReceived,
+    LivePeersChanged,
+    LogReadFailed,
+    LogRecordsRead,
     PlanAsked,
-    Purpose,
     ReadinessReason,
     ReadLog,
+    RecordsReceived,
+    RecordsRequested,
+    ReplicaTick,
+    RequestRecords,
     SendRecords,
     ZoneReports,
     appends_a_day,
 )
 from jackdawspur.configuration.tests.conftest import quota_intent
-from jackdawspur.messages import Heartbeat, RecordsPassed, RecordsWanted, ZoneVersion
+from jackdawspur.messages import Heartbeat, RecordsPassed, RecordsWanted, ZoneStatus
 from jackdawspur.model import HostId
 
 ANN = "example-ann-token"
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def keeper():
-    return Keeper(SELF, random.Random(1), LogBudget(6, 0.0), 0.0)
+    return ConfigurationReplica(SELF, random.Random(1), AppendRateLimiter(6, 0.0), 0.0)
 
 
 @pytest.mark.parametrize("relayed", [False, True])
@@ -55,21 +55,23 @@
     version = cluster.change(
         "north-a.e1", ANN, quota_intent(document, 100)
     ).body.version
-    keeper.handle(0.0, LogFailed("down"))
+    keeper.handle(0.0, LogReadFailed("down"))
     far = HostId("north-c", "e1", 1)
-    keeper.handle(0.1, PeersSeen((SIBLING, OTHER, far)))
-    zones = (ZoneVersion("north-c", version),) if relayed else ()
-    keeper.handle(0.1, HeartbeatSeen(heartbeat(OTHER, old[-1].offset, zones=zones)))
+    keeper.handle(0.1, LivePeersChanged((SIBLING, OTHER, far)))
+    zones = (ZoneStatus("north-c", version),) if relayed else ()
+    keeper.handle(0.1, HeartbeatReceived(heartbeat(OTHER, old[-1].offset, zones=zones)))
     own = old[-1].offset if relayed else version
-    keeper.handle(0.1, HeartbeatSeen(heartbeat(SIBLING, own)))
-    effects = keeper.handle(0.2, PeerRecords(OTHER, RecordsPassed(old)))
+    keeper.handle(0.1, HeartbeatReceived(heartbeat(SIBLING, own)))
+    effects = keeper.handle(0.2, RecordsReceived(OTHER, RecordsPassed(old)))
     assert keeper.readiness.reason is ReadinessReason.BEHIND_PEERS
-    assert not any(isinstance(effect, ActivateWorld) for effect in effects)
+    assert not any(isinstance(effect, ActivateConfiguration) for effect in effects)
     new = tuple(cluster.log.records[len(old) :])
     effects = keeper.handle(
-        0.3, PeerRecords(SIBLING, RecordsPassed(new, old[-1].offset))
+        0.3, RecordsReceived(SIBLING, RecordsPassed(new, old[-1].offset))
     )
-    activated = [e.world.version for e in effects if isinstance(e, ActivateWorld)]
+    activated = [
+        e.cluster_spec.version for e in effects if isinstance(e, ActivateConfiguration)
+    ]
     assert activated == [version]
 
 
@@ -80,14 +82,14 @@
     hosts, and the far hosts that stay silent must not hold up a cold start.
     """
     far = HostId("north-c", "e1", 1)
-    keeper.handle(0.0, LogFailed("down"))
-    keeper.handle(0.1, PeersSeen((SIBLING, far)))
-    ahead = heartbeat(SIBLING, 3, zones=(ZoneVersion("north-c", 9),))
-    effects = keeper.handle(0.7, HeartbeatSeen(ahead))
-    asked = [e.to for e in effects if isinstance(e, AskRecords)]
+    keeper.handle(0.0, LogReadFailed("down"))
+    keeper.handle(0.1, LivePeersChanged((SIBLING, far)))
+    ahead = heartbeat(SIBLING, 3, zones=(ZoneStatus("north-c", 9),))
+    effects = keeper.handle(0.7, HeartbeatReceived(ahead))
+    asked = [e.to for e in effects if isinstance(e, RequestRecords)]
     for step in range(20):
-        effects = keeper.handle(1.0 + step, KeeperTick(0.0))
-        asked += [e.to for e in effects if isinstance(e, AskRecords)]
+        effects = keeper.handle(1.0 + step, ReplicaTick(0.0))
+        asked += [e.to for e in effects if isinstance(e, RequestRecords)]
     assert far in asked
 
 
@@ -103,9 +105,9 @@
         cluster.answered("north-a.e1", PlanAsked, ANN, json.dumps(intent))
     cluster.log.trim(cluster.log.next_offset)
     cluster.hosts["north-c.e1"] = away
-    away.keeper.handle(cluster.now, LogFailed("paused"))
+    away.keeper.handle(cluster.now, LogReadFailed("paused"))
     cluster.run(3.0)
-    assert away.keeper.fold.contiguous
+    assert away.keeper.state_machine.contiguous
     version = cluster.change(
         "north-a.e1", ANN, quota_intent(document, 100)
     ).body.version
@@ -123,16 +125,16 @@
         "north-a.e1", ANN, quota_intent(document, 100)
     ).body.version
     records = tuple(r for r in cluster.log.records if r.offset <= version)
-    keeper.handle(0.0, LogRead(records[:-1]))
+    keeper.handle(0.0, LogRecordsRead(records[:-1]))
     ahead = RecordsPassed(records[-1:], version + 3)
-    keeper.handle(0.1, PeerRecords(OTHER, ahead))
-    assert keeper.fold.through == version - 1
+    keeper.handle(0.1, RecordsReceived(OTHER, ahead))
+    assert keeper.state_machine.through == version - 1
     sender = cluster.hosts["north-b.e1"].keeper
-    [state, *_] = sender.handle(cluster.now, PeerAsked(SELF, RecordsWanted(-2)))
+    [state, *_] = sender.handle(cluster.now, RecordsRequested(SELF, RecordsWanted(-2)))
     for _ in range(2):
-        keeper.handle(0.2, PeerRecords(OTHER, state.passed))
-    assert keeper.fold.version == version and keeper.fold.contiguous
-    assert keeper.fold.configuration == sender.fold.configuration
+        keeper.handle(0.2, RecordsReceived(OTHER, state.passed))
+    assert keeper.state_machine.version == version and keeper.state_machine.contiguous
+    assert keeper.state_machine.configuration == sender.state_machine.configuration
 
 
 def test_failed_reads_back_off_with_jitter(keeper):
@@ -140,9 +142,9 @@
     reads = []
     for step in range(1200):
         now = step / 20
-        if any(isinstance(e, ReadLog) for e in keeper.handle(now, KeeperTick(0.0))):
+        if any(isinstance(e, ReadLog) for e in keeper.handle(now, ReplicaTick(0.0))):
             reads.append(now)
-            keeper.handle(now, LogFailed("down"))
+            keeper.handle(now, LogReadFailed("down"))
     assert 12 <= len(reads) <= 30
     gaps = [b - a for a, b in zip(reads, reads[1:], strict=False)]
     assert max(gaps) <= 5.1
@@ -150,21 +152,21 @@
 
 
 def test_unanswered_peers_are_asked_in_turn(keeper):
-    keeper.handle(0.0, LogFailed("down"))
+    keeper.handle(0.0, LogReadFailed("down"))
     asked = set()
     for step in range(1, 60):
         now = step / 10
-        effects = keeper.handle(now, PeersSeen((SIBLING, OTHER)))
-        for effect in (*effects, *keeper.handle(now, KeeperTick(0.0))):
-            if isinstance(effect, AskRecords):
+        effects = keeper.handle(now, LivePeersChanged((SIBLING, OTHER)))
+        for effect in (*effects, *keeper.handle(now, ReplicaTick(0.0))):
+            if isinstance(effect, RequestRecords):
                 asked.add(effect.to)
-                keeper.handle(now, PeerRecords(effect.to, RecordsPassed((), -1)))
+                keeper.handle(now, RecordsReceived(effect.to, RecordsPassed((), -1)))
     assert asked == {SIBLING, OTHER}
     assert keeper.readiness.reason is ReadinessReason.LOG_UNREACHABLE
 
 
 def test_host_without_configuration_passes_nothing_on(keeper):
-    [sent, *_] = keeper.handle(0.0, PeerAsked(OTHER, RecordsWanted(-2)))
+    [sent, *_] = keeper.handle(0.0, RecordsRequested(OTHER, RecordsWanted(-2)))
     assert sent == SendRecords(OTHER, RecordsPassed((), -2))
 
 
@@ -186,19 +188,21 @@
 
 def test_nobody_speaks_for_this_zone_or_takes_a_report_back():
     zones = ZoneReports(SELF)
-    claims = (ZoneVersion("north-a", 99), ZoneVersion("north-b", 5))
+    claims = (ZoneStatus("north-a", 99), ZoneStatus("north-b", 5))
     zones.note_heartbeat(heartbeat(OTHER, 5, zones=claims), 0.0)
-    zones.note_heartbeat(heartbeat(OTHER, 3, zones=(ZoneVersion("north-b", 3),)), 0.0)
-    assert zones.reports == (ZoneVersion("north-b", 5),)
+    zones.note_heartbeat(heartbeat(OTHER, 3, zones=(ZoneStatus("north-b", 3),)), 0.0)
+    assert zones.reports == (ZoneStatus("north-b", 5),)
 
 
 def test_budget_bounds_each_purpose():
     """A client in a loop confirms plans; the log must not be flooded by one host."""
-    budget = LogBudget(hosts=108, now=0.0)
-    granted = sum(budget.take(Purpose.CONFIRM, step / 100) for step in range(6000))
+    budget = AppendRateLimiter(hosts=108, now=0.0)
+    granted = sum(
+        budget.try_acquire(AppendPurpose.CONFIRM, step / 100) for step in range(6000)
+    )
     assert granted == 60 + 2 * 60 - 1
-    assert budget.refused[Purpose.CONFIRM] == 6000 - granted
-    assert budget.take(Purpose.SNAPSHOT, 0.0)
+    assert budget.refused[AppendPurpose.CONFIRM] == 6000 - granted
+    assert budget.try_acquire(AppendPurpose.SNAPSHOT, 0.0)
 
 
 def test_appends_a_day_at_full_size():
