--- a/jackdawspur/dispatch/_answers.py
+++ b/jackdawspur/dispatch/_answers.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from dataclasses import replace
 
-from jackdawspur.dispatch._effects import AnswerCall, SendPeer, StopTasks
+from jackdawspur.dispatch._effects import AnswerCall, SendPeerMessage, StopTasks
 from jackdawspur.dispatch._job import Job, Stage, TaskPhase
 from jackdawspur.dispatch._state import State
 from jackdawspur.messages import DelegateAnswer, ForwardAnswer
@@ -64,7 +64,7 @@
     if remote is None:
         state.emit(AnswerCall(call, answer))
         return
-    state.emit(SendPeer(remote.host, ForwardAnswer(remote.call, answer)))
+    state.emit(SendPeerMessage(remote.host, ForwardAnswer(remote.call, answer)))
 
 
 def complete_job(state: State, job: Job, now: float) -> None:
@@ -102,7 +102,7 @@
     _stop_running(state, job)
     state.keep_answer(job, now)
     if job.origin is not None:
-        state.emit(SendPeer(job.origin, DelegateAnswer(job.submission, answer)))
+        state.emit(SendPeerMessage(job.origin, DelegateAnswer(job.submission, answer)))
     for call in state.detach_all(job):
         answer_call(state, call, answer)
     state.counters.count_end(job, now)
--- a/jackdawspur/dispatch/_core.py
+++ b/jackdawspur/dispatch/_core.py
@@ -6,26 +6,26 @@
 from jackdawspur.dispatch._drain import drain, is_drained
 from jackdawspur.dispatch._effects import Effect
 from jackdawspur.dispatch._events import (
+    BootstrapHostsLoaded,
     CallClosed,
-    CancelAsked,
-    ClaimEnded,
+    CancelRequested,
+    ClaimAppendCompleted,
     ClaimsRead,
-    DrainAsked,
+    ClusterSpecUpdated,
+    DrainRequested,
     Event,
-    HostsListed,
-    HostsNamed,
-    IdsAsked,
-    PeerReceived,
+    HostListUpdated,
+    PeerMessageReceived,
     Polled,
     ResultsReplied,
-    StartsLost,
+    StartRequestFailed,
     StartsReplied,
-    StatusLost,
+    StatusQueryFailed,
     StatusReplied,
+    SubmissionIdsRequested,
     Submitted,
     Tick,
     UsageReplied,
-    WorldSet,
 )
 from jackdawspur.dispatch._in_flight import note_incarnation
 from jackdawspur.dispatch._loads import divide_slots, refresh_view
@@ -52,7 +52,7 @@
     read_claims,
     submit,
 )
-from jackdawspur.model import HostId, World
+from jackdawspur.model import ClusterSpec, HostId
 
 __all__ = ["TICK_S", "EntryCore"]
 
@@ -95,7 +95,7 @@
     @property
     def ready(self) -> bool:
         """Tell whether new jobs are accepted."""
-        return self._state.world is not None and not self._state.draining
+        return self._state.cluster_spec is not None and not self._state.draining
 
     @property
     def drained(self) -> bool:
@@ -135,41 +135,44 @@
         state = self._state
         gap = now - state.last_event_at
         state.last_event_at = now
-        if state.view.resumed(now, gap):
+        if state.view.reset_after_pause(now, gap):
             refresh_view(state, now)
             # Siblings tell within this time which upstreams began to leave meanwhile.
             state.hold_until = now + RESUME_HOLD_S
 
 
-def _set_world(state: State, event: WorldSet, now: float) -> None:
+def _set_world(state: State, event: ClusterSpecUpdated, now: float) -> None:
     """Take a version into force; an older one changes nothing."""
-    if state.world is not None and event.world.version < state.world.version:
+    if (
+        state.cluster_spec is not None
+        and event.cluster_spec.version < state.cluster_spec.version
+    ):
         return
-    state.set_world(event.world, now)
+    state.set_cluster_spec(event.cluster_spec, now)
     refresh_view(state, now)
     divide_slots(state, now)
 
 
-def _name_hosts(state: State, event: HostsNamed, now: float) -> None:
+def _name_hosts(state: State, event: BootstrapHostsLoaded, now: float) -> None:
     """Let the view count hosts that no configuration names yet.
 
     Else a host that starts while the log is down would know of no peer to ask for
     the configuration, though its siblings' heartbeats arrive.
     """
-    if state.world is None:
-        state.view.set_world(World(entry_hosts=event.hosts), now)
+    if state.cluster_spec is None:
+        state.view.set_cluster_spec(ClusterSpec(entry_hosts=event.hosts), now)
 
 
 def _tick(state: State, _event: Tick, now: float) -> None:
     state.view.tick(now)
     refresh_view(state, now)
-    state.slots.expire(now)
+    state.slots.reclaim_expired(now)
     state.queue.quotas_changed()
     send_heartbeats(state, now)
 
 
-def _list_hosts(state: State, event: HostsListed, now: float) -> None:
-    state.view.listed(event.hosts, now)
+def _list_hosts(state: State, event: HostListUpdated, now: float) -> None:
+    state.view.record_host_list(event.hosts, now)
 
 
 def _note_usage(state: State, event: UsageReplied, now: float) -> None:
@@ -178,30 +181,30 @@
     if reply.usage is None:
         return
     if reply.usage.leaving:
-        state.view.note_leaving(reply.upstream, now)
+        state.view.mark_leaving(reply.upstream, now)
     else:
-        state.view.note_staying(reply.upstream, now)
+        state.view.clear_leaving(reply.upstream, now)
         state.queue.capacity_changed()
 
 
 _HANDLERS = {
     Submitted: submit,
     Polled: poll,
-    CancelAsked: ask_cancel,
-    IdsAsked: issue_ids,
+    CancelRequested: ask_cancel,
+    SubmissionIdsRequested: issue_ids,
     CallClosed: close_call,
     StartsReplied: reply_starts,
-    StartsLost: lose_starts,
+    StartRequestFailed: lose_starts,
     ResultsReplied: reply_results,
     StatusReplied: reply_status,
-    StatusLost: lose_status,
+    StatusQueryFailed: lose_status,
     UsageReplied: _note_usage,
-    PeerReceived: receive,
-    HostsNamed: _name_hosts,
-    WorldSet: _set_world,
-    HostsListed: _list_hosts,
-    ClaimEnded: end_claim,
+    PeerMessageReceived: receive,
+    BootstrapHostsLoaded: _name_hosts,
+    ClusterSpecUpdated: _set_world,
+    HostListUpdated: _list_hosts,
+    ClaimAppendCompleted: end_claim,
     ClaimsRead: read_claims,
-    DrainAsked: drain,
+    DrainRequested: drain,
     Tick: _tick,
 }
--- a/jackdawspur/dispatch/_counters.py
+++ b/jackdawspur/dispatch/_counters.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from jackdawspur.dispatch._job import Job
-from jackdawspur.metrics import ClassName, Histograms
+from jackdawspur.metrics import HistogramKey, Histograms
 from jackdawspur.model import FailureCode, JobState
 
 __all__ = ["Counters"]
@@ -32,7 +32,7 @@
         answer = job.answer
         if answer.state is JobState.COMPLETE:
             self.complete += 1
-            name = ClassName(job.customer, job.request.job_class)
+            name = HistogramKey(job.customer, job.request.job_class)
             self.responses.record(name, (now - job.arrived) * MS_PER_S)
         elif answer.state is JobState.REFUSED:
             self.refused += 1
--- a/jackdawspur/dispatch/_delegate.py
+++ b/jackdawspur/dispatch/_delegate.py
@@ -1,7 +1,7 @@
 """Moving whole jobs, of which nothing was sent, to another entry host."""
 
 from jackdawspur.dispatch._answers import end_job, give_up
-from jackdawspur.dispatch._effects import SendPeer
+from jackdawspur.dispatch._effects import SendPeerMessage
 from jackdawspur.dispatch._job import Job, Stage
 from jackdawspur.dispatch._state import State
 from jackdawspur.membership import OwnerState
@@ -36,14 +36,14 @@
         return
     remaining_ms = (job.deadline - now) * MS_PER_S
     message = Delegate(job.submission, job.request, remaining_ms)
-    state.emit(SendPeer(job.delegate, message))
+    state.emit(SendPeerMessage(job.delegate, message))
     state.schedule(now + DELEGATE_RETRY_S, lambda at: _send(state, job, at))
 
 
 def cancel_delegated(state: State, job: Job) -> None:
     """Ask the delegate to cancel; its answer ends the job here."""
     message = CancelForward(0, job.customer, job.submission)
-    state.emit(SendPeer(job.delegate, message))
+    state.emit(SendPeerMessage(job.delegate, message))
 
 
 def receive_delegate_answer(
--- a/jackdawspur/dispatch/_door.py
+++ b/jackdawspur/dispatch/_door.py
@@ -3,7 +3,7 @@
 from jackdawspur.dispatch._answers import refusal
 from jackdawspur.dispatch._state import State
 from jackdawspur.model import Answer, FailureCode, JobRequest
-from jackdawspur.scheduling import never_fits
+from jackdawspur.scheduling import refuse_oversized
 
 __all__ = ["refuse_at_door"]
 
@@ -15,12 +15,12 @@
     if state.draining:
         text = "this host is shutting down; submit again"
         return refusal(FailureCode.DRAINING, text, COME_BACK_MS)
-    if state.world is None:
+    if state.cluster_spec is None:
         text = "this host has no configuration yet"
         return refusal(FailureCode.NOT_READY, text, COME_BACK_MS)
     if request.customer not in state.customers:
         return refusal(FailureCode.FORBIDDEN, "no such customer in force")
-    misfit = never_fits(request, state.sizes)
+    misfit = refuse_oversized(request, state.sizes)
     if misfit is not None:
         return refusal(misfit.code, misfit.message)
     limit = state.limits.check(request.customer, len(request.tasks), now)
--- a/jackdawspur/dispatch/_drain.py
+++ b/jackdawspur/dispatch/_drain.py
@@ -1,7 +1,7 @@
 """Graceful shutdown: no new jobs, and an answer to all that were accepted."""
 
 from jackdawspur.dispatch._answers import give_up
-from jackdawspur.dispatch._events import DrainAsked
+from jackdawspur.dispatch._events import DrainRequested
 from jackdawspur.dispatch._job import Stage
 from jackdawspur.dispatch._state import State
 from jackdawspur.model import FailureCode
@@ -11,10 +11,10 @@
 MS_PER_S = 1000.0
 
 
-def drain(state: State, event: DrainAsked, now: float) -> None:
+def drain(state: State, event: DrainRequested, now: float) -> None:
     """Take no more jobs; end what has not ended within the bound."""
     state.draining = True
-    bound = now + event.bound_ms / MS_PER_S
+    bound = now + event.drain_timeout_ms / MS_PER_S
     state.schedule(bound, lambda at: _end_all(state, at))
 
 
@@ -23,7 +23,7 @@
     return (
         state.draining
         and not state.live_jobs
-        and not state.forwards
+        and not state.pending_forwards
         and not state.remote_calls
     )
 
--- a/jackdawspur/dispatch/_effects.py
+++ b/jackdawspur/dispatch/_effects.py
@@ -10,10 +10,10 @@
 __all__ = [
     "AnswerCall",
     "AppendClaim",
-    "AskStatus",
     "Effect",
     "IssueIds",
-    "SendPeer",
+    "QueryTaskStatus",
+    "SendPeerMessage",
     "StartTasks",
     "StopTasks",
 ]
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskStatus:
+class QueryTaskStatus:
     """Ask an upstream how far tasks are, and bar what it has not started."""
 
     upstream: UpstreamId
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendPeer:
+class SendPeerMessage:
     """Send a message to another entry host; it may be lost."""
 
     to: HostId
@@ -75,5 +75,11 @@
 
 
 Effect = (
-    StartTasks | AskStatus | StopTasks | AnswerCall | IssueIds | SendPeer | AppendClaim
+    StartTasks
+    | QueryTaskStatus
+    | StopTasks
+    | AnswerCall
+    | IssueIds
+    | SendPeerMessage
+    | AppendClaim
 )
--- a/jackdawspur/dispatch/_ends.py
+++ b/jackdawspur/dispatch/_ends.py
@@ -3,7 +3,7 @@
 from jackdawspur.dispatch._answers import complete_job, give_up
 from jackdawspur.dispatch._in_flight import land
 from jackdawspur.dispatch._job import Job, Stage, TaskPhase
-from jackdawspur.dispatch._state import Flight, State
+from jackdawspur.dispatch._state import InFlightTask, State
 from jackdawspur.messages import FailedTask
 from jackdawspur.model import FailureCode, TaskId, TaskOutcome, TaskState
 
@@ -12,7 +12,7 @@
 MS_PER_S = 1000.0
 
 
-def take_back(state: State, task: TaskId, flight: Flight, now: float) -> None:
+def take_back(state: State, task: TaskId, flight: InFlightTask, now: float) -> None:
     """Let a task wait again that is known not to have started."""
     land(state, task, flight)
     job = flight.job
@@ -20,13 +20,15 @@
     if job.stage is Stage.ENDED:
         return
     if state.retries.may_retry(job.customer, now):
-        state.queue.put_back(job.queued, flight.index)
+        state.queue.requeue(job.queued, flight.index)
         return
     text = "upstreams refused its tasks and the retry budget is spent"
     give_up(state, job, FailureCode.OVERLOADED, text, now)
 
 
-def end_task(state: State, outcome: TaskOutcome, flight: Flight, now: float) -> None:
+def end_task(
+    state: State, outcome: TaskOutcome, flight: InFlightTask, now: float
+) -> None:
     """Record the end of a task and, with the last one, of its job."""
     if outcome.state is TaskState.RUNNING:
         return
@@ -45,7 +47,7 @@
 
 
 def _fail(
-    state: State, job: Job, outcome: TaskOutcome, flight: Flight, now: float
+    state: State, job: Job, outcome: TaskOutcome, flight: InFlightTask, now: float
 ) -> None:
     where = f"task {flight.index} on upstream {flight.placement.upstream}"
     if outcome.state is TaskState.FAILED:
@@ -56,7 +58,9 @@
         give_up(state, job, FailureCode.OUTCOME_UNKNOWN, text, now)
 
 
-def _learn(state: State, outcome: TaskOutcome, flight: Flight, now: float) -> None:
+def _learn(
+    state: State, outcome: TaskOutcome, flight: InFlightTask, now: float
+) -> None:
     """Charge the run time and judge the upstream by how the task ended."""
     job = flight.job
     upstream = flight.placement.upstream
@@ -73,5 +77,5 @@
         failed = FailedTask(upstream, job.submission, name)
         state.failed.setdefault(upstream, []).append(failed)
     else:
-        state.health.cancelled(upstream)
+        state.health.record_inconclusive(upstream)
     state.queue.task_ended(job.queued, flight.index, run_ms)
--- a/jackdawspur/dispatch/_events.py
+++ b/jackdawspur/dispatch/_events.py
@@ -5,37 +5,37 @@
 from jackdawspur.external import ListedHost, UpstreamReply
 from jackdawspur.messages import Message
 from jackdawspur.model import (
+    ClusterSpec,
     EntryHost,
     HostId,
     JobRequest,
     SubmissionId,
     TaskId,
     UpstreamId,
-    World,
 )
 
 __all__ = [
+    "BootstrapHostsLoaded",
     "CallClosed",
-    "CancelAsked",
+    "CancelRequested",
     "Claim",
-    "ClaimEnded",
+    "ClaimAppendCompleted",
     "ClaimsRead",
-    "DrainAsked",
+    "ClusterSpecUpdated",
+    "DrainRequested",
     "Event",
-    "HostsListed",
-    "HostsNamed",
-    "IdsAsked",
-    "PeerReceived",
+    "HostListUpdated",
+    "PeerMessageReceived",
     "Polled",
     "ResultsReplied",
-    "StartsLost",
+    "StartRequestFailed",
     "StartsReplied",
-    "StatusLost",
+    "StatusQueryFailed",
     "StatusReplied",
+    "SubmissionIdsRequested",
     "Submitted",
     "Tick",
     "UsageReplied",
-    "WorldSet",
 ]
 
 
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelAsked:
+class CancelRequested:
     """A caller cancels a submission."""
 
     call: int
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class IdsAsked:
+class SubmissionIdsRequested:
     """A caller wants submission ids in advance."""
 
     call: int
@@ -91,12 +91,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartsLost:
-    """A batch of starts got no reply; `left` when a byte may have left this host."""
+class StartRequestFailed:
+    """A batch of starts got no reply; `maybe_sent` when a byte may have left this
+    host."""
 
     upstream: UpstreamId
     tasks: tuple[TaskId, ...]
-    left: bool
+    maybe_sent: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StatusLost:
+class StatusQueryFailed:
     """A status query got no answer."""
 
     upstream: UpstreamId
@@ -129,7 +130,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerReceived:
+class PeerMessageReceived:
     """A message of another entry host arrived."""
 
     sender: HostId
@@ -137,21 +138,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostsNamed:
+class BootstrapHostsLoaded:
     """The settings name the entry hosts, to be heard before a configuration is."""
 
     hosts: tuple[EntryHost, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class WorldSet:
+class ClusterSpecUpdated:
     """A newer version of the configuration came into force here."""
 
-    world: World
+    cluster_spec: ClusterSpec
 
 
 @dataclass(frozen=True, slots=True)
-class HostsListed:
+class HostListUpdated:
     """The platform's list of hosts was read; it lags."""
 
     hosts: tuple[ListedHost, ...]
@@ -167,7 +168,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimEnded:
+class ClaimAppendCompleted:
     """An append of a claim ended; `appended` None when that is unknown."""
 
     claim: Claim
@@ -186,10 +187,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrainAsked:
-    """The host shall stop; what runs gets `bound_ms` to end."""
+class DrainRequested:
+    """The host shall stop; what runs gets `drain_timeout_ms` to end."""
 
-    bound_ms: float
+    drain_timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -200,21 +201,21 @@
 Event = (
     Submitted
     | Polled
-    | CancelAsked
-    | IdsAsked
+    | CancelRequested
+    | SubmissionIdsRequested
     | CallClosed
     | StartsReplied
-    | StartsLost
+    | StartRequestFailed
     | ResultsReplied
     | StatusReplied
-    | StatusLost
+    | StatusQueryFailed
     | UsageReplied
-    | PeerReceived
-    | HostsNamed
-    | WorldSet
-    | HostsListed
-    | ClaimEnded
+    | PeerMessageReceived
+    | BootstrapHostsLoaded
+    | ClusterSpecUpdated
+    | HostListUpdated
+    | ClaimAppendCompleted
     | ClaimsRead
-    | DrainAsked
+    | DrainRequested
     | Tick
 )
--- a/jackdawspur/dispatch/_forward.py
+++ b/jackdawspur/dispatch/_forward.py
@@ -1,8 +1,8 @@
 """Passing calls on to the owner of their submission."""
 
 from jackdawspur.dispatch._answers import answer_call
-from jackdawspur.dispatch._effects import SendPeer
-from jackdawspur.dispatch._events import CancelAsked, Polled, Submitted
+from jackdawspur.dispatch._effects import SendPeerMessage
+from jackdawspur.dispatch._events import CancelRequested, Polled, Submitted
 from jackdawspur.dispatch._state import Forwarded, RemoteCall, State
 from jackdawspur.membership import OwnerState
 from jackdawspur.messages import CancelForward, Forward, ForwardAnswer
@@ -38,7 +38,7 @@
     _forward(state, event.call, event.submission, message, now + FORWARD_LIMIT_S, now)
 
 
-def forward_cancel(state: State, event: CancelAsked, now: float) -> None:
+def forward_cancel(state: State, event: CancelRequested, now: float) -> None:
     """Pass a cancellation on to the owner of the submission."""
     message = CancelForward(event.call, event.customer, event.submission)
     _forward(state, event.call, event.submission, message, now + FORWARD_LIMIT_S, now)
@@ -52,7 +52,7 @@
     limit: float,
     now: float,
 ) -> None:
-    state.forwards[call] = Forwarded(submission, message, limit)
+    state.pending_forwards[call] = Forwarded(submission, message, limit)
     _send(state, call, now)
 
 
@@ -62,7 +62,7 @@
     A dead or restarted owner took its memory with it. Whether the job ran can't be
     known any more, so the caller is told just that and nothing runs again.
     """
-    forwarded = state.forwards.get(call)
+    forwarded = state.pending_forwards.get(call)
     if forwarded is None:
         return
     owner = forwarded.submission.owner
@@ -72,13 +72,13 @@
         text = "the owner of this id did not answer in time"
         _lose(state, call, FailureCode.OUTCOME_UNKNOWN, text)
     else:
-        state.emit(SendPeer(owner, forwarded.message))
+        state.emit(SendPeerMessage(owner, forwarded.message))
         again = min(now + FORWARD_RETRY_S, forwarded.limit)
         state.schedule(again, lambda at: _send(state, call, at))
 
 
 def _lose(state: State, call: int, code: FailureCode, text: str) -> None:
-    forwarded = state.forwards.pop(call)
+    forwarded = state.pending_forwards.pop(call)
     text = f"{text}; whether its tasks ran is unknown"
     answer = Answer(JobState.FAILED, forwarded.submission, code=code, message=text)
     answer_call(state, call, answer)
@@ -88,10 +88,10 @@
     state: State, sender: HostId, message: ForwardAnswer
 ) -> None:
     """Hand the owner's answer to the caller; repeats find no caller left."""
-    forwarded = state.forwards.get(message.call)
+    forwarded = state.pending_forwards.get(message.call)
     if forwarded is None or forwarded.submission.owner != sender:
         return
-    del state.forwards[message.call]
+    del state.pending_forwards[message.call]
     answer_call(state, message.call, message.answer)
 
 
--- a/jackdawspur/dispatch/_in_flight.py
+++ b/jackdawspur/dispatch/_in_flight.py
@@ -2,7 +2,7 @@
 
 from jackdawspur.dispatch._answers import give_up
 from jackdawspur.dispatch._job import Job, Placement, Stage, TaskPhase
-from jackdawspur.dispatch._state import Flight, State
+from jackdawspur.dispatch._state import InFlightTask, State
 from jackdawspur.model import FailureCode, TaskId, UpstreamId
 
 __all__ = ["land", "launch", "note_incarnation"]
@@ -19,11 +19,11 @@
     placement = Placement(upstream, now, incarnation, TaskPhase.SENT)
     job.placements[index] = placement
     task = job.task(index)
-    flight = Flight(job, index, placement)
+    flight = InFlightTask(job, index, placement)
     state.flights[task] = flight
-    state.flights_at.setdefault(upstream, set()).add(task)
-    state.slots.take(upstream, now)
-    state.room.take(upstream, job.spec(index))
+    state.in_flight_by_upstream.setdefault(upstream, set()).add(task)
+    state.slots.acquire(upstream, now)
+    state.resource_tracker.take(upstream, job.spec(index))
     state.health.started(upstream)
     state.quotas.started(job.customer)
     state.retries.started(job.customer, now)
@@ -32,18 +32,18 @@
     state.schedule(reclaim_at, lambda at: _reclaim(state, task, flight, at))
 
 
-def land(state: State, task: TaskId, flight: Flight) -> None:
+def land(state: State, task: TaskId, flight: InFlightTask) -> None:
     """Free what a task occupied."""
     del state.flights[task]
     upstream = flight.placement.upstream
-    state.flights_at[upstream].discard(task)
+    state.in_flight_by_upstream[upstream].discard(task)
     state.slots.release(upstream)
-    state.room.release(upstream, flight.job.spec(flight.index))
+    state.resource_tracker.release(upstream, flight.job.spec(flight.index))
     state.quotas.ended(flight.job.customer)
     state.queue.capacity_changed()
 
 
-def _reclaim(state: State, task: TaskId, flight: Flight, now: float) -> None:
+def _reclaim(state: State, task: TaskId, flight: InFlightTask, now: float) -> None:
     """Free the slot of a task whose lease lapsed without a word from the upstream.
 
     Without this a dead upstream's tasks would keep their slots and quota for ever.
@@ -70,14 +70,14 @@
     state.incarnations[upstream] = incarnation
     if known is None:
         return
-    for task in sorted(state.flights_at.get(upstream, ())):
+    for task in sorted(state.in_flight_by_upstream.get(upstream, ())):
         flight = state.flights[task]
         if flight.placement.phase is TaskPhase.SENT:
             continue
         _lose(state, task, flight, now)
 
 
-def _lose(state: State, task: TaskId, flight: Flight, now: float) -> None:
+def _lose(state: State, task: TaskId, flight: InFlightTask, now: float) -> None:
     state.health.lost(flight.placement.upstream, now)
     land(state, task, flight)
     job = flight.job
--- a/jackdawspur/dispatch/_loads.py
+++ b/jackdawspur/dispatch/_loads.py
@@ -18,31 +18,31 @@
 
 def refresh_view(state: State, now: float) -> None:
     """Divide slots and quotas anew when the view has changed."""
-    sharers = state.view.sharers()
+    sharers = state.view.slot_holders()
     if sharers != state.sharers:
         state.sharers = sharers
         divide_slots(state, now)
     peers = state.view.peers()
     if peers != state.peers:
         for gone in sorted(set(state.peers) - set(peers)):
-            state.elsewhere.forget(gone)
+            state.peer_selector.forget(gone)
         state.peers = peers
-        state.quotas.set_view((*peers, state.own))
+        state.quotas.set_live_hosts((*peers, state.own))
         if state.crosses_zones:
-            state.slots.set_partners(h for h in peers if h.zone != state.own.zone)
+            state.slots.set_remote_hosts(h for h in peers if h.zone != state.own.zone)
 
 
 def divide_slots(state: State, now: float) -> None:
     """Take this host's share of the zone's slots."""
-    if state.world is None:
+    if state.cluster_spec is None:
         return
-    own = [u for u in state.world.upstreams if u.id.zone == state.own.zone]
-    state.slots.set_view(own, state.sharers or (state.own,), now)
+    own = [u for u in state.cluster_spec.upstreams if u.id.zone == state.own.zone]
+    state.slots.set_members(own, state.sharers or (state.own,), now)
 
 
 def note_loads(state: State, now: float) -> None:
     """Spread the reports of siblings and zones over the hosts they stand for."""
-    if state.world is None:
+    if state.cluster_spec is None:
         return
     _note_siblings(state, now)
     # In one order on every run: a set of texts has another one in each process.
@@ -53,7 +53,7 @@
 def _note_siblings(state: State, now: float) -> None:
     share = state.slots.capacity()
     for host in state.view.siblings():
-        beat = state.view.load_of(host)
+        beat = state.view.last_heartbeat(host)
         if beat is None:
             continue
         accepts = beat.ready and not beat.draining
@@ -66,11 +66,11 @@
             SIBLING_ROUND_TRIP_MS,
             accepts,
         )
-        state.elsewhere.heard(load, now)
+        state.peer_selector.update_load(load, now)
 
 
 def _note_zone(state: State, summary: ZoneSummary, now: float) -> None:
-    hosts = state.view.accepting(summary.zone)
+    hosts = state.view.ready_hosts(summary.zone)
     if not hosts:
         return
     waiting = summary.waiting_tasks // len(hosts)
@@ -83,9 +83,9 @@
             waiting * TASK_GUESS_MS,
             ZONE_ROUND_TRIP_MS,
         )
-        state.elsewhere.heard(load, now - summary.age)
+        state.peer_selector.update_load(load, now - summary.age)
     for host, usage in _split_usage(summary.usage, hosts):
-        state.quotas.reported(host, usage, now - summary.age)
+        state.quotas.update_peer_usage(host, usage, now - summary.age)
 
 
 def _split_usage(
--- a/jackdawspur/dispatch/_peers.py
+++ b/jackdawspur/dispatch/_peers.py
@@ -5,8 +5,13 @@
 from jackdawspur.dispatch._answers import end_job, failure
 from jackdawspur.dispatch._delegate import receive_delegate_answer
 from jackdawspur.dispatch._door import refuse_at_door
-from jackdawspur.dispatch._effects import SendPeer
-from jackdawspur.dispatch._events import CancelAsked, PeerReceived, Polled, Submitted
+from jackdawspur.dispatch._effects import SendPeerMessage
+from jackdawspur.dispatch._events import (
+    CancelRequested,
+    PeerMessageReceived,
+    Polled,
+    Submitted,
+)
 from jackdawspur.dispatch._forward import open_remote_call, receive_forward_answer
 from jackdawspur.dispatch._job import Job
 from jackdawspur.dispatch._loads import note_loads
@@ -27,7 +32,7 @@
     SlotReturn,
 )
 from jackdawspur.model import FailureCode, HostId, SubmissionId, UpstreamId
-from jackdawspur.sharing import Need
+from jackdawspur.sharing import SlotDemand
 
 __all__ = ["lend_urgently", "receive", "send_heartbeats", "trade_slots"]
 
@@ -35,7 +40,7 @@
 NO_VERSION = -1
 
 
-def receive(state: State, event: PeerReceived, now: float) -> None:
+def receive(state: State, event: PeerMessageReceived, now: float) -> None:
     """Act on a message of another entry host."""
     handler = _HANDLERS.get(type(event.message))
     if handler is not None:
@@ -43,16 +48,16 @@
 
 
 def _heartbeat(state: State, sender: HostId, beat: Heartbeat, now: float) -> None:
-    state.view.heard(beat, now)
+    state.view.record_heartbeat(beat, now)
     if sender.zone == state.own.zone:
-        state.health.told(sender, beat.bad_upstreams, now)
+        state.health.apply_peer_report(sender, beat.bad_upstreams, now)
         if beat.reports_usage:
-            state.quotas.reported(sender, beat.usage, now)
+            state.quotas.update_peer_usage(sender, beat.usage, now)
     note_loads(state, now)
 
 
 def _pulse(state: State, sender: HostId, pulse: Pulse, now: float) -> None:
-    state.view.pulsed(sender, pulse, now)
+    state.view.record_pulse(sender, pulse, now)
     note_loads(state, now)
 
 
@@ -78,7 +83,9 @@
         return
     call = open_remote_call(state, sender, message.call)
     if call is not None:
-        ask_cancel(state, CancelAsked(call, message.customer, message.submission), now)
+        ask_cancel(
+            state, CancelRequested(call, message.customer, message.submission), now
+        )
 
 
 def _forward_answer(
@@ -92,13 +99,13 @@
     if message.submission.owner != sender:
         return
     if message.submission in state.dropped_delegations:
-        state.emit(SendPeer(sender, _dropped(message.submission)))
+        state.emit(SendPeerMessage(sender, _dropped(message.submission)))
         return
     known = state.jobs.get(message.submission)
     if known is not None:
         if known.answer is not None:
             again = DelegateAnswer(known.submission, known.answer)
-            state.emit(SendPeer(sender, again))
+            state.emit(SendPeerMessage(sender, again))
         return
     deadline = now + message.remaining_ms / MS_PER_S
     job = Job(message.submission, message.request, now, deadline, origin=sender)
@@ -131,19 +138,19 @@
     waiting = state.queue.waiting()
     grant = state.slots.lend(sender, message, waiting, now, not_lent(state, now))
     if grant is not None:
-        state.emit(SendPeer(sender, grant))
+        state.emit(SendPeerMessage(sender, grant))
 
 
 def _slot_grant(state: State, sender: HostId, message: SlotGrant, now: float) -> None:
-    for back in state.slots.borrow(sender, message, now):
-        state.emit(SendPeer(back.to, back.message))
+    for back in state.slots.accept_grant(sender, message, now):
+        state.emit(SendPeerMessage(back.to, back.message))
     state.queue.capacity_changed()
 
 
 def _slot_return(state: State, sender: HostId, message: SlotReturn, now: float) -> None:
     for one in message.failed:
-        state.health.failed_elsewhere(one.upstream, one.submission, one.job_class, now)
-    state.slots.returned(sender, message)
+        state.health.peer_task_failed(one.upstream, one.submission, one.job_class, now)
+    state.slots.accept_return(sender, message)
 
 
 _HANDLERS = {
@@ -164,16 +171,16 @@
     """Return the upstreams whose slots are of no use to others."""
     return {
         upstream
-        for upstream in state.slots.open_slots(now)
+        for upstream in state.slots.available_slots(now)
         if (state.reserved and state.reserved.upstream == upstream)
-        or state.view.upstream_leaving(upstream)
-        or state.health.limit(upstream, now) < UNLIMITED
+        or state.view.is_upstream_leaving(upstream)
+        or state.health.concurrency_limit(upstream, now) < UNLIMITED
     }
 
 
 def lend_urgently(state: State, now: float) -> None:
     """Lend idle slots to hosts whose tasks are more urgent than any here."""
-    if not state.slots.asked:
+    if not state.slots.has_pending_requests:
         return
     urgency = state.queue.most_urgent()
     if urgency is not None:
@@ -183,15 +190,17 @@
 def _lend(state: State, now: float, latest_start: float | None) -> None:
     waiting = state.queue.waiting()
     excluded = not_lent(state, now)
-    for lend in state.slots.lend_late(waiting, now, excluded, latest_start):
-        state.emit(SendPeer(lend.to, lend.grant))
+    for lend in state.slots.grant_pending_requests(
+        waiting, now, excluded, latest_start
+    ):
+        state.emit(SendPeerMessage(lend.to, lend.grant))
 
 
 def _startable(state: State, now: float) -> int:
     """Return the number of waiting tasks that their customers' quotas let start."""
     return sum(
-        min(count, state.quotas.room(customer, now))
-        for customer, count in state.queue.waiting_customers().items()
+        min(count, state.quotas.headroom(customer, now))
+        for customer, count in state.queue.waiting_by_customer().items()
     )
 
 
@@ -200,14 +209,18 @@
     waiting = _startable(state, now)
     if waiting and now >= state.hold_until:
         urgency = state.queue.most_urgent()
-        need = Need(urgency.latest_start, urgency.tasks) if urgency else Need(now)
-        for ask in state.slots.ask(waiting, state.spare(now), now, need):
+        need = (
+            SlotDemand(urgency.latest_start, urgency.tasks)
+            if urgency
+            else SlotDemand(now)
+        )
+        for ask in state.slots.request_slots(waiting, state.spare(now), now, need):
             state.counters.loans_asked += 1
-            state.emit(SendPeer(ask.to, ask.request))
-    if state.slots.asked:
+            state.emit(SendPeerMessage(ask.to, ask.request))
+    if state.slots.has_pending_requests:
         _lend(state, now, None)
-    for back in state.slots.give_back(waiting, now):
-        state.emit(SendPeer(back.to, _with_failures(state, back.message)))
+    for back in state.slots.release_idle_slots(waiting, now):
+        state.emit(SendPeerMessage(back.to, _with_failures(state, back.message)))
     state.failed.clear()
 
 
@@ -221,20 +234,20 @@
     """Tell the peers whose turn it is that this host lives and how busy it is."""
     state.heartbeats += 1
     for addressed in state.view.heartbeats_due(_own_heartbeat(state, now), now):
-        state.emit(SendPeer(addressed.to, addressed.message))
+        state.emit(SendPeerMessage(addressed.to, addressed.message))
 
 
 def _own_heartbeat(state: State, now: float) -> Heartbeat:
-    waiting = state.queue.waiting_customers()
+    waiting = state.queue.waiting_by_customer()
     return Heartbeat(
         state.own,
         state.heartbeats,
-        state.world is not None,
+        state.cluster_spec is not None,
         state.draining,
-        state.world.version if state.world else NO_VERSION,
-        state.slots.free_own(now),
+        state.cluster_spec.version if state.cluster_spec else NO_VERSION,
+        state.slots.lendable_count(now),
         state.queue.waiting(),
         state.queue.backlog_ms(),
         usage=state.quotas.advertise(waiting, now),
-        bad_upstreams=state.health.bad(now),
+        bad_upstreams=state.health.unhealthy_upstreams(now),
     )
--- a/jackdawspur/dispatch/_place.py
+++ b/jackdawspur/dispatch/_place.py
@@ -33,7 +33,7 @@
     )
     job.queued = _queued(job, customer, estimates)
     load = _load(state, job.queued, now)
-    verdict = state.admission.judge(request, estimates, customer, load)
+    verdict = state.admission.evaluate(request, estimates, customer, load)
     if _moved(state, job, customer, estimates, verdict, now):
         return
     if isinstance(verdict, Refuse):
@@ -73,7 +73,7 @@
     refused = isinstance(verdict, Refuse)
     wait = NO_WAIT_KNOWN_MS if refused else verdict.wait_ms
     objective = customer.contract.objective
-    move = state.elsewhere.choose(estimates, wait, refused, objective, now)
+    move = state.peer_selector.choose(estimates, wait, refused, objective, now)
     if move is None or not state.view.is_live(move.host):
         return False
     delegate_job(state, job, move.host, now)
@@ -96,15 +96,15 @@
     most_ms = MOST_AHEAD * sum(job.estimates_ms)
     elsewhere_ms = min(part * waiting * TASK_GUESS_MS, most_ms)
     ahead_ms += elsewhere_ms
-    fair_part = weight / competing
+    fair_share = weight / competing
     own_ms = queue.ahead_ms(job, job.customer)
-    own_ms += fair_part * elsewhere_ms
+    own_ms += fair_share * elsewhere_ms
     return LocalLoad(
         slots=state.pool_slots(),
         free_slots=state.slots.free(now) + sum(state.spare(now).values()),
         waiting_tasks=queue.waiting() + waiting,
         backlog_ms=OVERTAKING * ahead_ms,
-        own_backlog_ms=OVERTAKING * own_ms,
-        own_slots=state.quotas.share(job.customer, now),
-        fair_part=fair_part,
+        customer_backlog_ms=OVERTAKING * own_ms,
+        customer_slots=state.quotas.share(job.customer, now),
+        fair_share=fair_share,
     )
--- a/jackdawspur/dispatch/_resolve.py
+++ b/jackdawspur/dispatch/_resolve.py
@@ -1,12 +1,12 @@
 """Finding out about starts whose reply was lost."""
 
 from jackdawspur.dispatch._answers import give_up
-from jackdawspur.dispatch._effects import AskStatus
+from jackdawspur.dispatch._effects import QueryTaskStatus
 from jackdawspur.dispatch._ends import end_task, take_back
-from jackdawspur.dispatch._events import StatusLost, StatusReplied
+from jackdawspur.dispatch._events import StatusQueryFailed, StatusReplied
 from jackdawspur.dispatch._in_flight import land, note_incarnation
 from jackdawspur.dispatch._job import Stage, TaskPhase
-from jackdawspur.dispatch._state import Flight, State
+from jackdawspur.dispatch._state import InFlightTask, State
 from jackdawspur.model import (
     FailureCode,
     TaskId,
@@ -15,14 +15,14 @@
     UpstreamId,
 )
 
-__all__ = ["ask_status", "lose_status", "reply_status"]
+__all__ = ["lose_status", "query_task_status", "reply_status"]
 
 FIRST_RETRY_S = 0.1
 MAX_RETRY_S = 2.0
 MAX_DOUBLINGS = 5
 
 
-def ask_status(
+def query_task_status(
     state: State,
     upstream: UpstreamId,
     tasks: tuple[TaskId, ...],
@@ -35,16 +35,16 @@
         return
     state.attempts[upstream] = attempt
     state.counters.status_queries += 1
-    state.emit(AskStatus(upstream, open_tasks))
+    state.emit(QueryTaskStatus(upstream, open_tasks))
 
 
-def lose_status(state: State, event: StatusLost, now: float) -> None:
+def lose_status(state: State, event: StatusQueryFailed, now: float) -> None:
     """Ask again after a growing wait; the job's deadline ends it."""
     attempt = min(state.attempts.get(event.upstream, 0) + 1, MAX_DOUBLINGS)
     wait = min(MAX_RETRY_S, FIRST_RETRY_S * 2**attempt)
     state.schedule(
         now + wait,
-        lambda at: ask_status(state, event.upstream, event.tasks, attempt, at),
+        lambda at: query_task_status(state, event.upstream, event.tasks, attempt, at),
     )
 
 
@@ -61,7 +61,7 @@
 
 
 def _settle(
-    state: State, outcome: TaskOutcome, flight: Flight, same_run: bool, now: float
+    state: State, outcome: TaskOutcome, flight: InFlightTask, same_run: bool, now: float
 ) -> None:
     placement = flight.placement
     if outcome.state is TaskState.RUNNING:
@@ -74,7 +74,7 @@
 
 
 def _never_started(
-    state: State, outcome: TaskOutcome, flight: Flight, same_run: bool, now: float
+    state: State, outcome: TaskOutcome, flight: InFlightTask, same_run: bool, now: float
 ) -> None:
     """Let a barred task wait again, if the answer proves that it never ran.
 
--- a/jackdawspur/dispatch/_resource_tracker.py
+++ b/jackdawspur/dispatch/_resource_tracker.py
@@ -4,7 +4,7 @@
 
 from jackdawspur.model import TaskSpec, Upstream, UpstreamId
 
-__all__ = ["Room"]
+__all__ = ["ResourceTracker"]
 
 
 class _Used:
@@ -21,7 +21,7 @@
         self.accelerators += sign * spec.accelerators
 
 
-class Room:
+class ResourceTracker:
     """Tell which upstream can hold a task beside those sent there from here."""
 
     def __init__(self) -> None:
--- a/jackdawspur/dispatch/_run.py
+++ b/jackdawspur/dispatch/_run.py
@@ -5,11 +5,15 @@
 
 from jackdawspur.dispatch._effects import StartTasks
 from jackdawspur.dispatch._ends import end_task, take_back
-from jackdawspur.dispatch._events import ResultsReplied, StartsLost, StartsReplied
+from jackdawspur.dispatch._events import (
+    ResultsReplied,
+    StartRequestFailed,
+    StartsReplied,
+)
 from jackdawspur.dispatch._in_flight import launch, note_incarnation
 from jackdawspur.dispatch._job import TaskPhase
-from jackdawspur.dispatch._resolve import ask_status
-from jackdawspur.dispatch._state import Flight, Reserved, State
+from jackdawspur.dispatch._resolve import query_task_status
+from jackdawspur.dispatch._state import InFlightTask, Reserved, State
 from jackdawspur.external import RefusalReason, StartVerdict, TaskStart
 from jackdawspur.health import UNLIMITED
 from jackdawspur.model import JobRequest, TaskId, UpstreamId
@@ -37,7 +41,7 @@
         if probes and _suits_probe(request):
             upstream = probes.pop()
         else:
-            upstream = state.room.first_fit(open_slots, found.spec)
+            upstream = state.resource_tracker.first_fit(open_slots, found.spec)
             open_slots.remove(upstream)
         batches[upstream].append(_send(state, found, upstream, now))
     for upstream, starts in batches.items():
@@ -52,13 +56,13 @@
         return []
     excluded = _reserved(state, now)
     limits = {}
-    for upstream in state.slots.open_slots(now):
-        limit = state.health.limit(upstream, now)
-        if state.view.upstream_leaving(upstream) or limit == 0:
+    for upstream in state.slots.available_slots(now):
+        limit = state.health.concurrency_limit(upstream, now)
+        if state.view.is_upstream_leaving(upstream) or limit == 0:
             excluded.add(upstream)
         elif limit < UNLIMITED:
             limits[upstream] = limit
-    return list(state.slots.pick(count, now, excluded, limits, state.pack))
+    return list(state.slots.select_slots(count, now, excluded, limits, state.pack))
 
 
 def _reserved(state: State, now: float) -> set[UpstreamId]:
@@ -75,16 +79,16 @@
     if kept is None or kept.submission != wanted.job.submission:
         upstreams = [
             upstream
-            for upstream in state.room.upstreams()
+            for upstream in state.resource_tracker.upstreams()
             if upstream.zone == state.own.zone
-            and state.health.limit(upstream, now) == UNLIMITED
-            and not state.view.upstream_leaving(upstream)
+            and state.health.concurrency_limit(upstream, now) == UNLIMITED
+            and not state.view.is_upstream_leaving(upstream)
         ]
-        emptiest = state.room.emptiest(upstreams, wanted.spec)
+        emptiest = state.resource_tracker.emptiest(upstreams, wanted.spec)
         if emptiest is None:
             return set()
         kept = state.reserved = Reserved(wanted.job.submission, emptiest)
-    if state.room.fits(kept.upstream, wanted.spec):
+    if state.resource_tracker.fits(kept.upstream, wanted.spec):
         state.queue.capacity_changed()
         return set()
     return {kept.upstream}
@@ -96,7 +100,9 @@
     due = {u for u in ejected if state.health.probe_allowed(u, now)}
     if not due:
         return []
-    return list(state.slots.pick(1, now, set(state.room.upstreams()) - due))
+    return list(
+        state.slots.select_slots(1, now, set(state.resource_tracker.upstreams()) - due)
+    )
 
 
 def _suits_probe(request: JobRequest) -> bool:
@@ -107,7 +113,7 @@
 def _next(state: State, open_slots: list[UpstreamId], now: float) -> NextTask | None:
     return state.queue.next_task(
         now,
-        lambda spec: state.room.first_fit(open_slots, spec) is not None,
+        lambda spec: state.resource_tracker.first_fit(open_slots, spec) is not None,
         lambda customer: state.quotas.may_start(customer, now),
     )
 
@@ -139,7 +145,7 @@
         if verdict.refusal is None:
             flight.placement.phase = TaskPhase.RUNNING
             flight.placement.incarnation = reply.incarnation
-            state.slots.accepted(reply.upstream)
+            state.slots.reset_backoff(reply.upstream)
         elif verdict.refusal is RefusalReason.DUPLICATE:
             # It has the id already, so an earlier send may have started it.
             _doubt(state, (verdict.task,), reply.upstream, now)
@@ -147,7 +153,7 @@
             _refused(state, flight, verdict, now)
 
 
-def _sent_to(state: State, task: TaskId, upstream: UpstreamId) -> Flight | None:
+def _sent_to(state: State, task: TaskId, upstream: UpstreamId) -> InFlightTask | None:
     """Return the flight of a task whose start waits for this upstream's reply.
 
     A refused task goes to another upstream under the same id. Word of the first one
@@ -159,24 +165,26 @@
     return flight if flight.placement.upstream == upstream else None
 
 
-def _refused(state: State, flight: Flight, verdict: StartVerdict, now: float) -> None:
+def _refused(
+    state: State, flight: InFlightTask, verdict: StartVerdict, now: float
+) -> None:
     upstream = flight.placement.upstream
     state.counters.starts_refused += 1
-    state.health.cancelled(upstream)
+    state.health.record_inconclusive(upstream)
     if verdict.refusal is RefusalReason.LEAVING:
-        state.view.note_leaving(upstream, now)
+        state.view.mark_leaving(upstream, now)
     else:
-        state.slots.refused(upstream, now)
+        state.slots.start_backoff(upstream, now)
     take_back(state, verdict.task, flight, now)
 
 
-def lose_starts(state: State, event: StartsLost, now: float) -> None:
+def lose_starts(state: State, event: StartRequestFailed, now: float) -> None:
     """Resolve starts without a reply; only those that never left go out again."""
     state.counters.starts_lost += len(event.tasks)
-    if event.left:
+    if event.maybe_sent:
         _doubt(state, event.tasks, event.upstream, now)
         return
-    state.slots.refused(event.upstream, now)
+    state.slots.start_backoff(event.upstream, now)
     for task in event.tasks:
         flight = _sent_to(state, task, event.upstream)
         if flight is not None:
@@ -199,7 +207,7 @@
             flight.placement.phase = TaskPhase.UNSURE
             unsure.append(task)
     if unsure:
-        ask_status(state, upstream, tuple(unsure), 0, now)
+        query_task_status(state, upstream, tuple(unsure), 0, now)
 
 
 def reply_results(state: State, event: ResultsReplied, now: float) -> None:
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -7,32 +7,32 @@
 from jackdawspur.dispatch._counters import Counters
 from jackdawspur.dispatch._effects import Effect
 from jackdawspur.dispatch._job import Job, Placement
-from jackdawspur.dispatch._resource_tracker import Room
+from jackdawspur.dispatch._resource_tracker import ResourceTracker
 from jackdawspur.dispatch._timers import Action, Timers
 from jackdawspur.health import UpstreamHealth
 from jackdawspur.limits import CallLimits, Quotas, RetryBudget
 from jackdawspur.membership import View
 from jackdawspur.messages import CancelForward, FailedTask, Forward
 from jackdawspur.model import (
+    ClusterSpec,
     Customer,
     HostId,
     Objective,
     SubmissionId,
     TaskId,
     UpstreamId,
-    World,
 )
-from jackdawspur.ownership import ClaimTable, IdIssuer
+from jackdawspur.ownership import IdempotencyKeyTable, IdIssuer
 from jackdawspur.scheduling import (
-    Admission,
-    Elsewhere,
+    AdmissionController,
     JobQueue,
-    RunTimes,
+    PeerSelector,
+    RunTimeEstimator,
     UpstreamSizes,
 )
-from jackdawspur.sharing import SlotTable
+from jackdawspur.sharing import SlotPool
 
-__all__ = ["Action", "Flight", "Forwarded", "RemoteCall", "Reserved", "State"]
+__all__ = ["Action", "Forwarded", "InFlightTask", "RemoteCall", "Reserved", "State"]
 
 ANSWERS_KEPT_S = 600.0
 MAX_KEPT_BYTES = 8_388_608
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class Flight:
+class InFlightTask:
     """Tie a task that was sent to its job, until its end is known."""
 
     job: Job
@@ -86,7 +86,7 @@
         self.crosses_zones = crosses_zones
         self.rng = rng
         self.last_event_at = now
-        self.world: World | None = None
+        self.cluster_spec: ClusterSpec | None = None
         self.customers: dict[str, Customer] = {}
         self.pack = False
         self.zone_slots: Counter[str] = Counter()
@@ -94,8 +94,8 @@
         self.jobs: dict[SubmissionId, Job] = {}
         self.claiming: dict[SubmissionId, Job] = {}
         self.retried: dict[SubmissionId, SubmissionId] = {}
-        self.flights: dict[TaskId, Flight] = {}
-        self.flights_at: dict[UpstreamId, set[TaskId]] = {}
+        self.flights: dict[TaskId, InFlightTask] = {}
+        self.in_flight_by_upstream: dict[UpstreamId, set[TaskId]] = {}
         self.attempts: dict[UpstreamId, int] = {}
         self.incarnations: dict[UpstreamId, int] = {}
         self._open_calls()
@@ -116,7 +116,7 @@
         self._kept_bytes = 0
 
     def _open_calls(self) -> None:
-        self.forwards: dict[int, Forwarded] = {}
+        self.pending_forwards: dict[int, Forwarded] = {}
         self.remote_calls: dict[int, RemoteCall] = {}
         self.impatient_calls: set[int] = set()
         self._job_of_call: dict[int, Job] = {}
@@ -125,15 +125,15 @@
         self.reserved: Reserved | None = None
         self.failed: dict[UpstreamId, list[FailedTask]] = {}
         self.ids = IdIssuer(own)
-        self.claims = ClaimTable()
+        self.claims = IdempotencyKeyTable()
         self.view = View(own, now)
-        self.slots = SlotTable(own)
-        self.room = Room()
+        self.slots = SlotPool(own)
+        self.resource_tracker = ResourceTracker()
         self.health = UpstreamHealth(own)
         self.queue = JobQueue()
-        self.run_times = RunTimes()
-        self.admission = Admission(rng)
-        self.elsewhere = Elsewhere(own.zone, rng)
+        self.run_times = RunTimeEstimator()
+        self.admission = AdmissionController(rng)
+        self.peer_selector = PeerSelector(own.zone, rng)
         self.sizes = UpstreamSizes(())
         self.quotas = Quotas(own)
         self.retries = RetryBudget()
@@ -198,13 +198,13 @@
         """Return the slots that others last said they could lend."""
         spare = {}
         for host in self.view.siblings():
-            load = self.view.load_of(host)
+            load = self.view.last_heartbeat(host)
             if load is not None:
                 spare[host] = load.free_slots
         if not self.crosses_zones:
             return spare
         for zone in sorted({host.zone for host in self.peers} - {self.own.zone}):
-            hosts = self.view.accepting(zone)
+            hosts = self.view.ready_hosts(zone)
             free = self.view.zone_summary(zone).free_slots
             spare.update(dict.fromkeys(hosts, free // max(1, len(hosts))))
         return spare
@@ -218,7 +218,7 @@
 
     def waiting_elsewhere(self) -> int:
         """Return the tasks that wait at hosts which share with this one."""
-        loads = (self.view.load_of(host) for host in self.view.siblings())
+        loads = (self.view.last_heartbeat(host) for host in self.view.siblings())
         waiting = sum(load.waiting_tasks for load in loads if load is not None)
         if self.crosses_zones:
             zones = {host.zone for host in self.peers} - {self.own.zone}
@@ -267,9 +267,9 @@
             dropped.popitem(last=False)
         dropped[job.submission] = max(now, job.deadline) + DELEGATE_COPIES_S
 
-    def set_world(self, world: World, now: float) -> None:
+    def set_cluster_spec(self, world: ClusterSpec, now: float) -> None:
         """Take a newer version of the configuration into force."""
-        self.world = world
+        self.cluster_spec = world
         self.customers = {customer.name: customer for customer in world.customers}
         objectives = {c.contract.objective for c in world.customers}
         self.pack = objectives == {Objective.MESSAGES}
@@ -279,10 +279,10 @@
             self.zone_slots[upstream.id.zone] += upstream.slots
         self.sizes = UpstreamSizes(own)
         reached = world.upstreams if self.crosses_zones else own
-        self.room.set_upstreams(reached)
-        self.health.set_ejection(world.ejection)
+        self.resource_tracker.set_upstreams(reached)
+        self.health.set_ejection_policy(world.ejection)
         self.health.set_upstreams(u.id for u in reached)
         self.queue.set_customers(world.customers)
-        self.quotas.set_world(world)
+        self.quotas.set_cluster_spec(world)
         self.retries.set_customers(frozenset(self.customers))
-        self.view.set_world(world, now)
+        self.view.set_cluster_spec(world, now)
--- a/jackdawspur/dispatch/_submit.py
+++ b/jackdawspur/dispatch/_submit.py
@@ -15,12 +15,12 @@
 from jackdawspur.dispatch._effects import AppendClaim, IssueIds
 from jackdawspur.dispatch._events import (
     CallClosed,
-    CancelAsked,
+    CancelRequested,
     Claim,
-    ClaimEnded,
+    ClaimAppendCompleted,
     ClaimsRead,
-    IdsAsked,
     Polled,
+    SubmissionIdsRequested,
     Submitted,
 )
 from jackdawspur.dispatch._forward import forward_cancel, forward_poll, forward_request
@@ -34,7 +34,7 @@
     JobState,
     SubmissionId,
 )
-from jackdawspur.ownership import KEY_WINDOW_S, IdState
+from jackdawspur.ownership import IDEMPOTENCY_KEY_TTL_S, IdState
 
 __all__ = [
     "ask_cancel",
@@ -60,7 +60,7 @@
     elif request.key is not None:
         _submit_by_key(state, event, now)
     else:
-        _start_new(state, event, state.ids.fresh(), now)
+        _start_new(state, event, state.ids.new_id(), now)
 
 
 def _submit_by_id(
@@ -75,8 +75,8 @@
     if known is not None:
         _repeat(state, event, known, now)
         return
-    if state.ids.state(submission, event.request.customer, now) is IdState.UNUSED:
-        state.ids.spend(submission)
+    if state.ids.id_state(submission, event.request.customer, now) is IdState.UNUSED:
+        state.ids.mark_used(submission)
         _start_new(state, event, submission, now)
         return
     answer_call(state, event.call, _forgotten(submission))
@@ -99,9 +99,9 @@
         return
     if not state.log_up and request.idempotent:
         # Losing the key's memory is acceptable only because a repeat is harmless.
-        _start_new(state, event, state.ids.fresh(), now, unclaimed=True)
+        _start_new(state, event, state.ids.new_id(), now, unclaimed=True)
         return
-    if not state.log_up or state.claims.full or now < state.claims_blind_until:
+    if not state.log_up or state.claims.is_full or now < state.claims_blind_until:
         text = "keys can't be claimed now; use an issued submission id, or retry"
         answer = refusal(FailureCode.LOG_UNAVAILABLE, text, state.log_retry_ms)
         answer_call(state, event.call, without_not_run(answer))
@@ -115,7 +115,7 @@
     if refused is not None:
         answer_call(state, event.call, without_not_run(refused))
         return
-    job = _new_job(state, event, state.ids.fresh(), now)
+    job = _new_job(state, event, state.ids.new_id(), now)
     job.stage = Stage.CLAIMING
     job.unclaimed = True
     _attach(state, event, job)
@@ -142,7 +142,7 @@
         give_up(state, job, code, text, now, state.log_retry_ms)
 
 
-def end_claim(state: State, event: ClaimEnded, now: float) -> None:
+def end_claim(state: State, event: ClaimAppendCompleted, now: float) -> None:
     """Note whether the log takes claims; an unknown end waits for the read-back."""
     if event.appended is None:
         return
@@ -156,9 +156,11 @@
     """Fold claims in log order and start the jobs whose claim came first."""
     state.log_up = True
     if event.gap:
-        state.claims_blind_until = now + KEY_WINDOW_S
+        state.claims_blind_until = now + IDEMPOTENCY_KEY_TTL_S
     for claim in event.claims:
-        owner = state.claims.fold(claim.customer, claim.key, claim.submission, now)
+        owner = state.claims.apply_claim(
+            claim.customer, claim.key, claim.submission, now
+        )
         job = state.claiming.get(claim.submission)
         if job is None:
             _clear_late(state, claim, owner)
@@ -275,7 +277,7 @@
     elif job.answer is None:
         _attach(state, event, job)
     elif job.reusable:
-        attempt = state.ids.fresh()
+        attempt = state.ids.new_id()
         state.retried[job.submission] = attempt
         _start_new(state, event, attempt, now)
     else:
@@ -300,7 +302,7 @@
     )
 
 
-def issue_ids(state: State, event: IdsAsked, now: float) -> None:
+def issue_ids(state: State, event: SubmissionIdsRequested, now: float) -> None:
     """Hand out submission ids for later use."""
     ids = state.ids.issue(event.customer, event.count, now)
     state.emit(IssueIds(event.call, ids))
@@ -323,7 +325,7 @@
 
 
 def _absent(state: State, event: Polled, now: float) -> Answer:
-    known = state.ids.state(event.submission, event.customer, now)
+    known = state.ids.id_state(event.submission, event.customer, now)
     if known is IdState.UNUSED:
         # A request under it may be on its way here, so this is no "not run".
         text = "the id was not used yet"
@@ -331,7 +333,7 @@
     return _forgotten(event.submission)
 
 
-def ask_cancel(state: State, event: CancelAsked, now: float) -> None:
+def ask_cancel(state: State, event: CancelRequested, now: float) -> None:
     """Cancel a submission: what has not started never will, the rest is stopped."""
     if event.submission.owner != state.own:
         forward_cancel(state, event, now)
@@ -349,16 +351,16 @@
     cancel_job(state, job, now)
 
 
-def _bar_unused(state: State, event: CancelAsked, now: float) -> bool:
+def _bar_unused(state: State, event: CancelRequested, now: float) -> bool:
     """Spend an issued id that is cancelled before its request came.
 
     The request may be under way at a paused host. It would run although its caller
     was told that nothing did, so the id must not start anything any more.
     """
-    known = state.ids.state(event.submission, event.customer, now)
+    known = state.ids.id_state(event.submission, event.customer, now)
     if known is not IdState.UNUSED:
         return False
-    state.ids.spend(event.submission)
+    state.ids.mark_used(event.submission)
     text = "cancelled by its caller before it was submitted"
     answer = refusal(FailureCode.CANCELLED, text, submission=event.submission)
     answer_call(state, event.call, answer)
@@ -376,5 +378,5 @@
 def close_call(state: State, event: CallClosed, now: float) -> None:
     """Forget a caller that went away; its job goes on and can be polled."""
     state.impatient_calls.discard(event.call)
-    state.forwards.pop(event.call, None)
+    state.pending_forwards.pop(event.call, None)
     state.detach(event.call)
--- a/jackdawspur/dispatch/tests/conftest.py
+++ b/jackdawspur/dispatch/tests/conftest.py
@@ -7,20 +7,21 @@
 
 from jackdawspur.dispatch import (
     AnswerCall,
+    ClusterSpecUpdated,
     EntryCore,
-    PeerReceived,
+    PeerMessageReceived,
     ResultsReplied,
-    SendPeer,
+    SendPeerMessage,
     StartsReplied,
     StartTasks,
     Submitted,
     Tick,
-    WorldSet,
 )
 from jackdawspur.external import StartVerdict, UpstreamReply
 from jackdawspur.messages import Heartbeat
 from jackdawspur.model import (
     Answer,
+    ClusterSpec,
     Customer,
     EntryHost,
     HostId,
@@ -31,7 +32,6 @@
     TaskState,
     Upstream,
     UpstreamId,
-    World,
 )
 
 OWN = HostId("north", "e1", 100)
@@ -42,7 +42,7 @@
     Upstream(UpstreamId("north", f"w{n}"), f"127.0.0.1:1820{n}", rack=f"r{n % 2}")
     for n in range(2)
 )
-WORLD = World(
+CLUSTER_SPEC = ClusterSpec(
     version=1,
     customers=(
         Customer("roster", quota_slots=64),
@@ -65,14 +65,14 @@
 
 
 @dataclass
-class Bench:
+class CoreHarness:
     """Drive one core by hand and keep everything it asks for."""
 
     core: EntryCore
     now: float = 0.0
     effects: list = field(default_factory=list)
 
-    def do(self, event) -> list:
+    def send_event(self, event) -> list:
         """Let an event happen now."""
         effects = self.core.handle(event, self.now)
         self.effects += effects
@@ -84,17 +84,19 @@
         until = self.now + seconds
         while self.now < until - 1e-9:
             self.now = min(until, self.now + step)
-            effects += self.do(Tick())
+            effects += self.send_event(Tick())
         return effects
 
     def submit(self, request: JobRequest, call: int = 1) -> list[StartTasks]:
         """Submit a job and return the starts it led to."""
-        return starts_in(self.do(Submitted(call, request)))
+        return starts_in(self.send_event(Submitted(call, request)))
 
     def verdicts(self, start: StartTasks, refusal=None, run: int = FIRST_RUN) -> list:
         """Let an upstream answer a batch of starts."""
         verdicts = tuple(StartVerdict(s.task, refusal) for s in start.starts)
-        return self.do(StartsReplied(UpstreamReply(start.upstream, run, verdicts)))
+        return self.send_event(
+            StartsReplied(UpstreamReply(start.upstream, run, verdicts))
+        )
 
     def results(
         self, start: StartTasks, state=TaskState.DONE, run: int = FIRST_RUN
@@ -104,7 +106,7 @@
             TaskOutcome(s.task, state, f"out-{s.payload}") for s in start.starts
         )
         reply = UpstreamReply(start.upstream, run, outcomes=outcomes)
-        return self.do(ResultsReplied(reply))
+        return self.send_event(ResultsReplied(reply))
 
     def hear(self, host: HostId, **changes) -> list:
         """Let a heartbeat of a peer arrive."""
@@ -117,7 +119,9 @@
             "waiting_tasks": 0,
             "backlog_ms": 0.0,
         }
-        return self.do(PeerReceived(host, Heartbeat(host, **(fields | changes))))
+        return self.send_event(
+            PeerMessageReceived(host, Heartbeat(host, **(fields | changes)))
+        )
 
     @property
     def started(self) -> list[TaskId]:
@@ -137,14 +141,14 @@
 
 def messages_in(effects, kind) -> list:
     """Return the messages of one kind among effects."""
-    sent = [e.message for e in effects if isinstance(e, SendPeer)]
+    sent = [e.message for e in effects if isinstance(e, SendPeerMessage)]
     return [message for message in sent if isinstance(message, kind)]
 
 
 @pytest.fixture
-def bench() -> Bench:
+def harness() -> CoreHarness:
     """Return a host with a world of two upstreams, alone in its zone."""
-    bench = Bench(EntryCore(OWN, random.Random(1), 0.0))
-    bench.do(WorldSet(WORLD))
-    bench.wait(1.0)
-    return bench
+    harness = CoreHarness(EntryCore(OWN, random.Random(1), 0.0))
+    harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
+    harness.wait(1.0)
+    return harness
--- a/jackdawspur/dispatch/tests/test_large_tasks.py
+++ b/jackdawspur/dispatch/tests/test_large_tasks.py
@@ -17,7 +17,7 @@
     return replace(request, tasks=(replace(task, memory_mb=memory_mb),))
 
 
-def test_a_large_task_starts_before_the_small_ones_run_out(bench):
+def test_a_large_task_starts_before_the_small_ones_run_out(harness):
     """A caller's one large task waits until its deadline while small ones run.
 
     Four small tasks fill the memory of both upstreams and more wait. Whenever one
@@ -25,22 +25,22 @@
     """
     running = []
     for call in range(4):
-        running += bench.submit(_with_memory(HALF_MB), call)
+        running += harness.submit(_with_memory(HALF_MB), call)
     assert len(running) == 4
-    assert bench.submit(_with_memory(ALL_MB), 4) == []
+    assert harness.submit(_with_memory(ALL_MB), 4) == []
     for call in range(5, SMALL_JOBS):
-        assert bench.submit(_with_memory(HALF_MB), call) == []
+        assert harness.submit(_with_memory(HALF_MB), call) == []
     for start in running:
-        bench.verdicts(start)
+        harness.verdicts(start)
     ended = 0
     while running and ended < SMALL_JOBS:
-        bench.now += 0.1
-        effects = bench.results(running.pop(0))
+        harness.now += 0.1
+        effects = harness.results(running.pop(0))
         ended += 1
         new = starts_in(effects)
         if any(task.memory_mb == ALL_MB for one in new for task in one.starts):
             break
         for start in new:
-            bench.verdicts(start)
+            harness.verdicts(start)
         running += new
     assert ended <= MOST_ENDS
--- a/jackdawspur/dispatch/tests/test_ownership.py
+++ b/jackdawspur/dispatch/tests/test_ownership.py
@@ -6,24 +6,24 @@
 
 from jackdawspur.dispatch import (
     AppendClaim,
-    CancelAsked,
+    CancelRequested,
     Claim,
-    ClaimEnded,
+    ClaimAppendCompleted,
     ClaimsRead,
+    ClusterSpecUpdated,
     EntryCore,
-    IdsAsked,
     IssueIds,
-    PeerReceived,
+    PeerMessageReceived,
     Polled,
-    SendPeer,
+    SendPeerMessage,
+    SubmissionIdsRequested,
     Submitted,
-    WorldSet,
 )
 from jackdawspur.dispatch.tests.conftest import (
+    CLUSTER_SPEC,
     OWN,
     SIBLING,
-    WORLD,
-    Bench,
+    CoreHarness,
     answers_in,
     make_request,
     messages_in,
@@ -41,9 +41,11 @@
 KEYED = make_request(1, key="order-17", idempotent=False)
 
 
-def issue(bench) -> SubmissionId:
+def issue(harness) -> SubmissionId:
     (effect,) = [
-        e for e in bench.do(IdsAsked(90, "roster", 1)) if isinstance(e, IssueIds)
+        e
+        for e in harness.send_event(SubmissionIdsRequested(90, "roster", 1))
+        if isinstance(e, IssueIds)
     ]
     return effect.ids[0]
 
@@ -53,35 +55,35 @@
     return effect.claim
 
 
-def restarted() -> Bench:
+def restarted() -> CoreHarness:
     """Return a bench with the next run of the same host."""
     host = HostId(OWN.zone, OWN.name, OWN.incarnation + 1)
-    bench = Bench(EntryCore(host, random.Random(2), 0.0))
-    bench.do(WorldSet(WORLD))
-    bench.wait(1.0)
-    return bench
+    harness = CoreHarness(EntryCore(host, random.Random(2), 0.0))
+    harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
+    harness.wait(1.0)
+    return harness
 
 
-def test_issued_id_runs_once_however_often_it_is_submitted(bench):
+def test_issued_id_runs_once_however_often_it_is_submitted(harness):
     """A supervisor's app repeats a confirmation whose answer it never saw."""
-    request = make_request(1, submission=issue(bench), idempotent=False)
-    (start,) = bench.submit(request, call=1)
-    assert not bench.submit(request, call=2)
-    bench.verdicts(start)
-    bench.results(start)
-    assert not bench.submit(request, call=3)
-    states = [a.state for a in answers_in(bench.effects)]
+    request = make_request(1, submission=issue(harness), idempotent=False)
+    (start,) = harness.submit(request, call=1)
+    assert not harness.submit(request, call=2)
+    harness.verdicts(start)
+    harness.results(start)
+    assert not harness.submit(request, call=3)
+    states = [a.state for a in answers_in(harness.effects)]
     assert states == [JobState.COMPLETE] * 3
-    assert len(bench.started) == 1
+    assert len(harness.started) == 1
 
 
-def test_issued_id_of_an_earlier_run_is_never_run_again(bench):
+def test_issued_id_of_an_earlier_run_is_never_run_again(harness):
     """A cooperative is billed twice after an entry host restarted.
 
     The order ran, the host died, the caller repeats it at the restarted host, which
     remembers nothing.
     """
-    submission = issue(bench)
+    submission = issue(harness)
     again = restarted()
     request = make_request(1, submission=submission, idempotent=False)
     assert not again.submit(request, call=5)
@@ -91,193 +93,197 @@
     assert not answer.not_run
 
 
-def test_spent_id_that_is_forgotten_does_not_run(bench):
-    request = make_request(1, submission=issue(bench), idempotent=False)
-    (start,) = bench.submit(request, call=1)
-    bench.verdicts(start)
-    bench.results(start)
-    bench.wait(700.0, step=0.4)
-    assert not bench.submit(request, call=2)
-    assert not answers_in(bench.effects)[-1].not_run
+def test_spent_id_that_is_forgotten_does_not_run(harness):
+    request = make_request(1, submission=issue(harness), idempotent=False)
+    (start,) = harness.submit(request, call=1)
+    harness.verdicts(start)
+    harness.results(start)
+    harness.wait(700.0, step=0.4)
+    assert not harness.submit(request, call=2)
+    assert not answers_in(harness.effects)[-1].not_run
 
 
-def test_id_of_another_customer_is_not_found(bench):
-    submission = issue(bench)
+def test_id_of_another_customer_is_not_found(harness):
+    submission = issue(harness)
     foreign = make_request(1, submission=submission, customer="maps")
-    assert not bench.submit(foreign)
-    effects = bench.do(Polled(7, "maps", submission))
+    assert not harness.submit(foreign)
+    effects = harness.send_event(Polled(7, "maps", submission))
     assert {a.code for a in answers_in(effects)} == {FailureCode.NOT_FOUND}
 
 
-def test_answer_not_run_is_final_for_its_id(bench):
+def test_answer_not_run_is_final_for_its_id(harness):
     """A dispatcher reads "not run", calls a crew by hand, and a second crew comes.
 
     A copy of the request was under way at a paused host. It arrives after the answer
     and is taken for a new attempt.
     """
-    request = make_request(1, submission=issue(bench))
-    bench.submit(make_request(16), call=1)
-    bench.submit(request, call=2)
-    bench.do(CancelAsked(3, "roster", request.submission))
-    before = len(bench.started)
-    bench.do(Submitted(4, request))
-    bench.wait(2.0)
-    assert answers_in(bench.effects)[-1].not_run
-    assert len(bench.started) == before
+    request = make_request(1, submission=issue(harness))
+    harness.submit(make_request(16), call=1)
+    harness.submit(request, call=2)
+    harness.send_event(CancelRequested(3, "roster", request.submission))
+    before = len(harness.started)
+    harness.send_event(Submitted(4, request))
+    harness.wait(2.0)
+    assert answers_in(harness.effects)[-1].not_run
+    assert len(harness.started) == before
 
 
-def test_same_id_with_other_work_is_a_conflict(bench):
-    submission = issue(bench)
-    bench.submit(make_request(1, submission=submission), call=1)
-    bench.submit(make_request(2, submission=submission), call=2)
-    assert answers_in(bench.effects)[-1].code is FailureCode.CONFLICT
+def test_same_id_with_other_work_is_a_conflict(harness):
+    submission = issue(harness)
+    harness.submit(make_request(1, submission=submission), call=1)
+    harness.submit(make_request(2, submission=submission), call=2)
+    assert answers_in(harness.effects)[-1].code is FailureCode.CONFLICT
 
 
-def test_key_starts_nothing_before_its_claim_is_read_back(bench):
-    claim = claim_of(bench.do(Submitted(1, KEYED)))
-    assert not bench.do(ClaimEnded(claim, True))
-    assert len(starts_in(bench.do(ClaimsRead((claim,))))) == 1
+def test_key_starts_nothing_before_its_claim_is_read_back(harness):
+    claim = claim_of(harness.send_event(Submitted(1, KEYED)))
+    assert not harness.send_event(ClaimAppendCompleted(claim, True))
+    assert len(starts_in(harness.send_event(ClaimsRead((claim,))))) == 1
 
 
-def test_key_claimed_first_by_another_host_runs_there(bench):
+def test_key_claimed_first_by_another_host_runs_there(harness):
     """A reassignment sent to two hosts at once sends two crews.
 
     Both hosts claim its key. The log orders the other host's claim first.
     """
-    bench.hear(SIBLING)
-    claim = claim_of(bench.do(Submitted(1, KEYED)))
+    harness.hear(SIBLING)
+    claim = claim_of(harness.send_event(Submitted(1, KEYED)))
     theirs = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
-    effects = bench.do(ClaimsRead((theirs, claim)))
+    effects = harness.send_event(ClaimsRead((theirs, claim)))
     assert not starts_in(effects)
     (forward,) = messages_in(effects, Forward)
     assert forward.submission == theirs.submission
     done = Answer(JobState.COMPLETE, theirs.submission, ("x",))
-    effects = bench.do(PeerReceived(SIBLING, ForwardAnswer(forward.call, done)))
+    effects = harness.send_event(
+        PeerMessageReceived(SIBLING, ForwardAnswer(forward.call, done))
+    )
     assert answers_in(effects) == [done]
 
 
-def test_paused_claimer_that_lost_the_key_starts_nothing(bench):
+def test_paused_claimer_that_lost_the_key_starts_nothing(harness):
     """The first of two hosts is paused after its claim and wakes 20 s later."""
-    claim = claim_of(bench.do(Submitted(1, KEYED)))
-    bench.now += 20.0
-    bench.wait(0.1)
-    effects = bench.do(ClaimsRead((claim,)))
+    claim = claim_of(harness.send_event(Submitted(1, KEYED)))
+    harness.now += 20.0
+    harness.wait(0.1)
+    effects = harness.send_event(ClaimsRead((claim,)))
     assert not starts_in(effects)
-    assert not answers_in(bench.effects)[0].not_run
+    assert not answers_in(harness.effects)[0].not_run
 
 
-def test_key_while_the_log_is_down_is_not_called_not_run(bench):
+def test_key_while_the_log_is_down_is_not_called_not_run(harness):
     """A dispatcher repeats a reassignment at another host while the log is down.
 
     The first attempt ran, but its claim never reached this host. "Not run" would
     make the dispatcher send a second crew.
     """
-    claim = claim_of(bench.do(Submitted(1, KEYED)))
-    bench.do(ClaimEnded(claim, False))
-    bench.do(Submitted(2, KEYED))
-    answers = answers_in(bench.effects)
+    claim = claim_of(harness.send_event(Submitted(1, KEYED)))
+    harness.send_event(ClaimAppendCompleted(claim, False))
+    harness.send_event(Submitted(2, KEYED))
+    answers = answers_in(harness.effects)
     assert [a.code for a in answers] == [FailureCode.LOG_UNAVAILABLE] * 2
     assert not any(a.not_run for a in answers)
     assert all(a.retry_after_ms for a in answers)
-    assert not bench.started
+    assert not harness.started
 
 
-def test_key_given_up_runs_on_repeat_once_its_claim_shows(bench):
-    claim = claim_of(bench.do(Submitted(1, KEYED)))
-    bench.do(ClaimEnded(claim, None))
-    bench.wait(2.0)
-    bench.do(ClaimsRead((claim,)))
-    assert len(bench.submit(KEYED, call=2)) == 1
+def test_key_given_up_runs_on_repeat_once_its_claim_shows(harness):
+    claim = claim_of(harness.send_event(Submitted(1, KEYED)))
+    harness.send_event(ClaimAppendCompleted(claim, None))
+    harness.wait(2.0)
+    harness.send_event(ClaimsRead((claim,)))
+    assert len(harness.submit(KEYED, call=2)) == 1
 
 
-def test_idempotent_key_runs_while_the_log_is_down(bench):
+def test_idempotent_key_runs_while_the_log_is_down(harness):
     request = make_request(1, key="ask-1")
-    claim = claim_of(bench.do(Submitted(1, request)))
-    assert len(starts_in(bench.do(ClaimEnded(claim, False)))) == 1
+    claim = claim_of(harness.send_event(Submitted(1, request)))
+    assert len(starts_in(harness.send_event(ClaimAppendCompleted(claim, False)))) == 1
 
 
-def test_claims_trimmed_unread_bar_new_keys(bench):
-    bench.do(ClaimsRead((), gap=True))
-    assert not bench.submit(KEYED)
-    assert answers_in(bench.effects)[-1].code is FailureCode.LOG_UNAVAILABLE
+def test_claims_trimmed_unread_bar_new_keys(harness):
+    harness.send_event(ClaimsRead((), gap=True))
+    assert not harness.submit(KEYED)
+    assert answers_in(harness.effects)[-1].code is FailureCode.LOG_UNAVAILABLE
 
 
-def test_forward_to_a_host_that_restarts_ends_as_unknown(bench):
-    bench.hear(SIBLING)
-    bench.do(Polled(1, "roster", SubmissionId(SIBLING, 9), wait=True))
-    bench.hear(HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1))
-    bench.wait(1.0)
-    (answer,) = answers_in(bench.effects)
+def test_forward_to_a_host_that_restarts_ends_as_unknown(harness):
+    harness.hear(SIBLING)
+    harness.send_event(Polled(1, "roster", SubmissionId(SIBLING, 9), wait=True))
+    harness.hear(HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1))
+    harness.wait(1.0)
+    (answer,) = answers_in(harness.effects)
     assert answer.code is FailureCode.OWNER_LOST
     assert not answer.not_run
 
 
-def delegated(bench, tasks=4):
+def delegated(harness, tasks=4):
     """Let the own slots be full and a sibling idle, and submit one more job."""
     # Jobs as small as the next one, so that it comes after them.
-    bench.hear(SIBLING, draining=True)
+    harness.hear(SIBLING, draining=True)
     for call in range(100, 105):
-        bench.submit(make_request(4, deadline_ms=60_000.0), call)
-    bench.hear(SIBLING, free_slots=8, sequence=10**6)
-    effects = bench.do(Submitted(2, make_request(tasks)))
+        harness.submit(make_request(4, deadline_ms=60_000.0), call)
+    harness.hear(SIBLING, free_slots=8, sequence=10**6)
+    effects = harness.send_event(Submitted(2, make_request(tasks)))
     return effects, messages_in(effects, Delegate)
 
 
-def test_delegate_that_dies_ends_as_unknown(bench):
+def test_delegate_that_dies_ends_as_unknown(harness):
     """A job is handed to a sibling that dies; its caller must not hear "not run"."""
-    _, sent = delegated(bench)
+    _, sent = delegated(harness)
     (message,) = sent
-    bench.hear(HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1))
-    bench.wait(1.0)
-    answer = answers_in(bench.effects)[-1]
+    harness.hear(HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1))
+    harness.wait(1.0)
+    answer = answers_in(harness.effects)[-1]
     assert answer.submission == message.submission
     assert answer.code is FailureCode.OUTCOME_UNKNOWN
 
 
-def test_job_that_the_delegate_refused_waits_here(bench):
-    _, (message,) = delegated(bench)
+def test_job_that_the_delegate_refused_waits_here(harness):
+    _, (message,) = delegated(harness)
     code = FailureCode.OVERLOADED
     no = Answer(JobState.REFUSED, message.submission, code=code, not_run=True)
-    effects = bench.do(PeerReceived(SIBLING, DelegateAnswer(message.submission, no)))
+    effects = harness.send_event(
+        PeerMessageReceived(SIBLING, DelegateAnswer(message.submission, no))
+    )
     assert not messages_in(effects, Delegate)
-    assert bench.core.state.jobs[message.submission].delegate is None
+    assert harness.core.state.jobs[message.submission].delegate is None
 
 
-def test_repeated_delegation_runs_once(bench):
+def test_repeated_delegation_runs_once(harness):
     request = make_request(1)
     message = Delegate(SubmissionId(SIBLING, 3), request, 4000.0)
-    first = starts_in(bench.do(PeerReceived(SIBLING, message)))
+    first = starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
     assert len(first) == 1
-    assert not starts_in(bench.do(PeerReceived(SIBLING, message)))
-    bench.verdicts(first[0])
-    effects = bench.results(first[0])
-    effects += bench.do(PeerReceived(SIBLING, message))
+    assert not starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
+    harness.verdicts(first[0])
+    effects = harness.results(first[0])
+    effects += harness.send_event(PeerMessageReceived(SIBLING, message))
     answers = messages_in(effects, DelegateAnswer)
     assert [a.answer.state for a in answers] == [JobState.COMPLETE] * 2
-    assert len(bench.started) == 1
+    assert len(harness.started) == 1
 
 
-def test_delegation_refused_once_stays_refused(bench):
+def test_delegation_refused_once_stays_refused(harness):
     """The owner took the job back; a delayed copy of the message comes in later."""
-    bench.core.state.draining = True
+    harness.core.state.draining = True
     message = Delegate(SubmissionId(SIBLING, 3), make_request(1), 4000.0)
-    bench.do(PeerReceived(SIBLING, message))
-    bench.core.state.draining = False
-    effects = bench.do(PeerReceived(SIBLING, message))
+    harness.send_event(PeerMessageReceived(SIBLING, message))
+    harness.core.state.draining = False
+    effects = harness.send_event(PeerMessageReceived(SIBLING, message))
     assert not starts_in(effects)
     assert messages_in(effects, DelegateAnswer)[0].answer.not_run
 
 
 @pytest.mark.parametrize("wait", [True, False])
-def test_forwarded_call_is_answered_through_its_host(bench, wait):
-    request = make_request(1, submission=issue(bench))
+def test_forwarded_call_is_answered_through_its_host(harness, wait):
+    request = make_request(1, submission=issue(harness))
     message = Forward(31, "roster", request.submission, wait, request)
-    effects = bench.do(PeerReceived(SIBLING, message))
+    effects = harness.send_event(PeerMessageReceived(SIBLING, message))
     (start,) = starts_in(effects)
-    bench.verdicts(start)
-    effects += bench.results(start)
+    harness.verdicts(start)
+    effects += harness.results(start)
     (answer,) = messages_in(effects, ForwardAnswer)
     assert answer.call == 31
     expected = JobState.COMPLETE if wait else JobState.PENDING
     assert answer.answer.state is expected
-    assert all(e.to == SIBLING for e in effects if isinstance(e, SendPeer))
+    assert all(e.to == SIBLING for e in effects if isinstance(e, SendPeerMessage))
--- a/jackdawspur/dispatch/tests/test_told_again.py
+++ b/jackdawspur/dispatch/tests/test_told_again.py
@@ -8,12 +8,12 @@
 import pytest
 
 from jackdawspur.dispatch import (
-    CancelAsked,
+    CancelRequested,
     Claim,
-    ClaimEnded,
+    ClaimAppendCompleted,
     ClaimsRead,
-    DrainAsked,
-    PeerReceived,
+    DrainRequested,
+    PeerMessageReceived,
     Polled,
     Submitted,
 )
@@ -58,54 +58,54 @@
 IDENTIFIED = ("key_idempotent", "key_once", "issued_id")
 
 
-def while_pending(bench, kind):
-    request, start = begin(bench, kind)
-    send(bench, request, call=2)
-    finish(bench, start)
+def while_pending(harness, kind):
+    request, start = begin(harness, kind)
+    send(harness, request, call=2)
+    finish(harness, start)
 
 
-def after_the_answer(bench, kind):
-    request, start = begin(bench, kind)
-    finish(bench, start)
-    send(bench, request, call=2)
+def after_the_answer(harness, kind):
+    request, start = begin(harness, kind)
+    finish(harness, start)
+    send(harness, request, call=2)
 
 
-def after_a_failure(bench, kind):
-    request, start = begin(bench, kind)
-    bench.verdicts(start)
-    bench.results(start, TaskState.FAILED)
-    send(bench, request, call=2)
+def after_a_failure(harness, kind):
+    request, start = begin(harness, kind)
+    harness.verdicts(start)
+    harness.results(start, TaskState.FAILED)
+    send(harness, request, call=2)
 
 
-def after_doubt(bench, kind):
-    request, start = begin(bench, kind)
-    lose(bench, start)
-    status(bench, start, TaskState.UNKNOWN)
-    send(bench, request, call=2)
+def after_doubt(harness, kind):
+    request, start = begin(harness, kind)
+    lose(harness, start)
+    status(harness, start, TaskState.UNKNOWN)
+    send(harness, request, call=2)
 
 
-def after_not_run(bench, kind):
-    request, submission = wait_in_queue(bench, kind)
-    bench.do(CancelAsked(2, "roster", submission))
-    send(bench, request, call=3)
-    bench.wait(1.0)
+def after_not_run(harness, kind):
+    request, submission = wait_in_queue(harness, kind)
+    harness.send_event(CancelRequested(2, "roster", submission))
+    send(harness, request, call=3)
+    harness.wait(1.0)
 
 
-def with_other_work(bench, kind):
-    request, _ = begin(bench, kind)
+def with_other_work(harness, kind):
+    request, _ = begin(harness, kind)
     other = make_request(2, idempotent=request.idempotent)
     other = replace(other, key=request.key, submission=request.submission)
-    send(bench, other, call=2)
+    send(harness, other, call=2)
 
 
-def copies_from_two_hosts(bench, kind):
-    request, start = begin(bench, kind)
+def copies_from_two_hosts(harness, kind):
+    request, start = begin(harness, kind)
     submission = start.starts[0].task.submission
     message = Forward(31, "roster", submission, True, request)
-    bench.do(PeerReceived(SIBLING, message))
-    bench.do(PeerReceived(HostId("south", "e1", 5), message))
-    finish(bench, start)
-    assert len(messages_in(bench.effects, ForwardAnswer)) == 2
+    harness.send_event(PeerMessageReceived(SIBLING, message))
+    harness.send_event(PeerMessageReceived(HostId("south", "e1", 5), message))
+    finish(harness, start)
+    assert len(messages_in(harness.effects, ForwardAnswer)) == 2
 
 
 REPEATS = (
@@ -121,150 +121,154 @@
 
 @pytest.mark.parametrize("kind", IDENTIFIED)
 @pytest.mark.parametrize("case", REPEATS, ids=lambda case: case.act.__name__)
-def test_repeat_at_the_owner(bench, kind, case):
+def test_repeat_at_the_owner(harness, kind, case):
     """A cooperative is billed twice because its app sent the order again.
 
     The repeat carries the same key or id and must get the first attempt's answer.
     """
-    case.act(bench, kind)
-    check(bench, case.told)
+    case.act(harness, kind)
+    check(harness, case.told)
 
 
-def answer_dropped(bench, kind):
-    request, start = begin(bench, "issued_id")
-    finish(bench, start)
-    bench.wait(700.0, step=0.4)
-    send(bench, request, call=2)
+def answer_dropped(harness, kind):
+    request, start = begin(harness, "issued_id")
+    finish(harness, start)
+    harness.wait(700.0, step=0.4)
+    send(harness, request, call=2)
 
 
-def cancelled_before_it_came(bench, kind):
-    request = request_of(bench, "issued_id")
-    bench.do(CancelAsked(2, "roster", request.submission))
-    assert answers_in(bench.effects)[-1].not_run
-    send(bench, request, call=3)
-    bench.wait(1.0)
+def cancelled_before_it_came(harness, kind):
+    request = request_of(harness, "issued_id")
+    harness.send_event(CancelRequested(2, "roster", request.submission))
+    assert answers_in(harness.effects)[-1].not_run
+    send(harness, request, call=3)
+    harness.wait(1.0)
 
 
-def polled_before_it_came(bench, kind):
-    request = request_of(bench, "issued_id")
-    bench.do(Polled(2, "roster", request.submission))
+def polled_before_it_came(harness, kind):
+    request = request_of(harness, "issued_id")
+    harness.send_event(Polled(2, "roster", request.submission))
 
 
-def owner_restarted(bench, kind):
+def owner_restarted(harness, kind):
     old = SubmissionId(replace(OWN, incarnation=OWN.incarnation - 1), 4)
-    bench.do(Submitted(1, replace(request_of(bench, "plain"), submission=old)))
-    bench.wait(1.0)
+    harness.send_event(
+        Submitted(1, replace(request_of(harness, "plain"), submission=old))
+    )
+    harness.wait(1.0)
 
 
-def owner_paused(bench, kind):
-    bench.hear(SIBLING)
-    asked = replace(request_of(bench, "plain"), submission=SubmissionId(SIBLING, 4))
-    bench.do(Submitted(1, asked))
-    bench.wait(6.0)
+def owner_paused(harness, kind):
+    harness.hear(SIBLING)
+    asked = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    harness.send_event(Submitted(1, asked))
+    harness.wait(6.0)
 
 
-def owner_dead(bench, kind):
-    bench.hear(SIBLING)
-    asked = replace(request_of(bench, "plain"), submission=SubmissionId(SIBLING, 4))
-    bench.do(Submitted(1, asked))
-    bench.hear(DEAD)
-    bench.wait(1.0)
+def owner_dead(harness, kind):
+    harness.hear(SIBLING)
+    asked = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    harness.send_event(Submitted(1, asked))
+    harness.hear(DEAD)
+    harness.wait(1.0)
 
 
-def stranger_answers_for_owner(bench, kind):
-    bench.hear(SIBLING)
-    asked = replace(request_of(bench, "plain"), submission=SubmissionId(SIBLING, 4))
-    (sent,) = messages_in(bench.do(Submitted(1, asked)), Forward)
+def stranger_answers_for_owner(harness, kind):
+    harness.hear(SIBLING)
+    asked = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    (sent,) = messages_in(harness.send_event(Submitted(1, asked)), Forward)
     foreign = Answer(COMPLETE, SubmissionId(SIBLING, 5), ("of another caller",))
-    bench.do(PeerReceived(HostId("south", "e1", 5), ForwardAnswer(sent.call, foreign)))
-    assert not answers_in(bench.effects)
+    harness.send_event(
+        PeerMessageReceived(HostId("south", "e1", 5), ForwardAnswer(sent.call, foreign))
+    )
+    assert not answers_in(harness.effects)
     mine = Answer(COMPLETE, asked.submission, ("mine",))
-    bench.do(PeerReceived(SIBLING, ForwardAnswer(sent.call, mine)))
+    harness.send_event(PeerMessageReceived(SIBLING, ForwardAnswer(sent.call, mine)))
 
 
-def log_down(bench, kind):
-    claims = claims_in(bench.do(Submitted(1, request_of(bench, kind))))
-    bench.do(ClaimEnded(claims[0], False))
+def log_down(harness, kind):
+    claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
+    harness.send_event(ClaimAppendCompleted(claims[0], False))
 
 
-def log_down_idempotent(bench, kind):
-    log_down(bench, "key_idempotent")
-    (start,) = starts_in(bench.effects)
-    finish(bench, start)
+def log_down_idempotent(harness, kind):
+    log_down(harness, "key_idempotent")
+    (start,) = starts_in(harness.effects)
+    finish(harness, start)
 
 
-def log_down_idempotent_refused(bench, kind):
-    fill(bench)
-    log_down(bench, "key_idempotent")
-    bench.wait(6.0)
+def log_down_idempotent_refused(harness, kind):
+    fill(harness)
+    log_down(harness, "key_idempotent")
+    harness.wait(6.0)
 
 
-def log_down_idempotent_draining(bench, kind):
-    log_down(bench, "key_once")
-    bench.do(DrainAsked(1000.0))
-    send(bench, request_of(bench, "key_idempotent"), call=2)
+def log_down_idempotent_draining(harness, kind):
+    log_down(harness, "key_once")
+    harness.send_event(DrainRequested(1000.0))
+    send(harness, request_of(harness, "key_idempotent"), call=2)
 
 
-def log_reply_lost(bench, kind):
-    claims = claims_in(bench.do(Submitted(1, request_of(bench, kind))))
-    bench.do(ClaimEnded(claims[0], None))
-    (start,) = starts_in(bench.do(ClaimsRead(claims)))
-    finish(bench, start)
+def log_reply_lost(harness, kind):
+    claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
+    harness.send_event(ClaimAppendCompleted(claims[0], None))
+    (start,) = starts_in(harness.send_event(ClaimsRead(claims)))
+    finish(harness, start)
 
 
-def claims_read_twice(bench, kind):
-    claims = claims_in(bench.do(Submitted(1, request_of(bench, kind))))
-    (start,) = starts_in(bench.do(ClaimsRead(claims)))
-    bench.do(ClaimsRead(claims))
-    finish(bench, start)
-    bench.do(ClaimsRead(claims))
-    send(bench, request_of(bench, kind), call=2)
+def claims_read_twice(harness, kind):
+    claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
+    (start,) = starts_in(harness.send_event(ClaimsRead(claims)))
+    harness.send_event(ClaimsRead(claims))
+    finish(harness, start)
+    harness.send_event(ClaimsRead(claims))
+    send(harness, request_of(harness, kind), call=2)
 
 
-def log_slow_past_deadline(bench, kind):
-    bench.do(Submitted(1, request_of(bench, kind, SHORT_MS)))
-    bench.wait(2.0)
+def log_slow_past_deadline(harness, kind):
+    harness.send_event(Submitted(1, request_of(harness, kind, SHORT_MS)))
+    harness.wait(2.0)
 
 
-def drain_before_claim(bench, kind):
-    bench.do(Submitted(1, request_of(bench, kind)))
-    bench.do(DrainAsked(500.0))
-    bench.wait(0.7)
+def drain_before_claim(harness, kind):
+    harness.send_event(Submitted(1, request_of(harness, kind)))
+    harness.send_event(DrainRequested(500.0))
+    harness.wait(0.7)
 
 
-def cancelled_before_claim(bench, kind):
-    bench.do(Submitted(1, request_of(bench, kind)))
-    bench.do(CancelAsked(2, "roster", last_job(bench).submission))
+def cancelled_before_claim(harness, kind):
+    harness.send_event(Submitted(1, request_of(harness, kind)))
+    harness.send_event(CancelRequested(2, "roster", last_job(harness).submission))
 
 
-def claim_comes_after_giving_up(bench, kind):
-    request = request_of(bench, kind)
-    claims = claims_in(bench.do(Submitted(1, request)))
-    bench.wait(2.0)
-    bench.do(ClaimsRead(claims))
-    send(bench, request, call=2)
-    (start,) = starts_in(bench.effects)
-    finish(bench, start)
-    bench.do(ClaimsRead(claims))
-    send(bench, request, call=3)
+def claim_comes_after_giving_up(harness, kind):
+    request = request_of(harness, kind)
+    claims = claims_in(harness.send_event(Submitted(1, request)))
+    harness.wait(2.0)
+    harness.send_event(ClaimsRead(claims))
+    send(harness, request, call=2)
+    (start,) = starts_in(harness.effects)
+    finish(harness, start)
+    harness.send_event(ClaimsRead(claims))
+    send(harness, request, call=3)
 
 
-def claim_lost_to_sibling(bench, kind):
-    bench.hear(SIBLING)
-    claims = claims_in(bench.do(Submitted(1, request_of(bench, kind))))
+def claim_lost_to_sibling(harness, kind):
+    harness.hear(SIBLING)
+    claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
     theirs = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
-    (sent,) = messages_in(bench.do(ClaimsRead((theirs, *claims))), Forward)
+    (sent,) = messages_in(harness.send_event(ClaimsRead((theirs, *claims))), Forward)
     done = Answer(COMPLETE, theirs.submission, ("x",))
-    bench.do(PeerReceived(SIBLING, ForwardAnswer(sent.call, done)))
+    harness.send_event(PeerMessageReceived(SIBLING, ForwardAnswer(sent.call, done)))
 
 
-def claim_lost_to_dead_host(bench, kind):
-    bench.hear(SIBLING)
-    claims = claims_in(bench.do(Submitted(1, request_of(bench, kind))))
+def claim_lost_to_dead_host(harness, kind):
+    harness.hear(SIBLING)
+    claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
     theirs = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
-    bench.do(ClaimsRead((theirs, *claims)))
-    bench.hear(DEAD)
-    bench.wait(1.0)
+    harness.send_event(ClaimsRead((theirs, *claims)))
+    harness.hear(DEAD)
+    harness.wait(1.0)
 
 
 LOST = Told(FAILED, FailureCode.OWNER_LOST)
@@ -303,14 +307,14 @@
 @pytest.mark.parametrize(
     ("kind", "case"), BY_KIND, ids=lambda v: getattr(v, "act", v) and _name(v)
 )
-def test_owner_log_and_claim(bench, kind, case):
+def test_owner_log_and_claim(harness, kind, case):
     """A clinic gets two crews, or none, because its key or id met a lost owner.
 
     The owner pauses, dies or restarts; the log is down, slow or loses a reply; another
     host's claim comes first. What may have run is never called "not run".
     """
-    case.act(bench, kind)
-    check(bench, case.told)
+    case.act(harness, kind)
+    check(harness, case.told)
 
 
 def _name(value) -> str:
--- a/jackdawspur/dispatch/tests/test_told_delegated.py
+++ b/jackdawspur/dispatch/tests/test_told_delegated.py
@@ -3,9 +3,9 @@
 import pytest
 
 from jackdawspur.dispatch import (
-    CancelAsked,
-    DrainAsked,
-    PeerReceived,
+    CancelRequested,
+    DrainRequested,
+    PeerMessageReceived,
     StatusReplied,
     Submitted,
 )
@@ -13,7 +13,7 @@
     FIRST_RUN,
     OWN,
     SIBLING,
-    Bench,
+    CoreHarness,
     answers_in,
     make_request,
     messages_in,
@@ -39,63 +39,73 @@
 )
 
 
-def delegate(bench: Bench) -> Delegate:
+def delegate(harness: CoreHarness) -> Delegate:
     """Submit a job that moves whole to an idle sibling."""
     # Jobs as small as the next one, so that it comes after them.
-    bench.hear(SIBLING, draining=True)
+    harness.hear(SIBLING, draining=True)
     for call in range(100, 105):
-        bench.submit(make_request(4, deadline_ms=60_000.0), call)
-    bench.hear(SIBLING, free_slots=8, sequence=10**6)
-    (message,) = messages_in(bench.do(Submitted(1, make_request(4))), Delegate)
+        harness.submit(make_request(4, deadline_ms=60_000.0), call)
+    harness.hear(SIBLING, free_slots=8, sequence=10**6)
+    (message,) = messages_in(
+        harness.send_event(Submitted(1, make_request(4))), Delegate
+    )
     return message
 
 
-def reply(bench: Bench, message: Delegate, answer: Answer, sender=SIBLING) -> list:
+def reply(
+    harness: CoreHarness, message: Delegate, answer: Answer, sender=SIBLING
+) -> list:
     answered = DelegateAnswer(message.submission, answer)
-    return bench.do(PeerReceived(sender, answered))
+    return harness.send_event(PeerMessageReceived(sender, answered))
 
 
-def delegate_done(bench):
-    message = delegate(bench)
-    reply(bench, message, Answer(COMPLETE, message.submission, ("a", "b", "c", "d")))
+def delegate_done(harness):
+    message = delegate(harness)
+    reply(harness, message, Answer(COMPLETE, message.submission, ("a", "b", "c", "d")))
 
 
-def delegate_dead(bench):
-    delegate(bench)
-    bench.hear(DEAD)
-    bench.wait(1.0)
+def delegate_dead(harness):
+    delegate(harness)
+    harness.hear(DEAD)
+    harness.wait(1.0)
 
 
-def delegate_silent(bench):
-    delegate(bench)
-    bench.wait(6.0)
+def delegate_silent(harness):
+    delegate(harness)
+    harness.wait(6.0)
 
 
-def delegate_refuses(bench):
-    message = delegate(bench)
+def delegate_refuses(harness):
+    message = delegate(harness)
     code = FailureCode.DRAINING
-    reply(bench, message, Answer(REFUSED, message.submission, code=code, not_run=True))
+    reply(
+        harness, message, Answer(REFUSED, message.submission, code=code, not_run=True)
+    )
 
 
-def delegate_cancels_in_time(bench):
-    message = delegate(bench)
-    bench.do(CancelAsked(2, "roster", message.submission))
+def delegate_cancels_in_time(harness):
+    message = delegate(harness)
+    harness.send_event(CancelRequested(2, "roster", message.submission))
     code = FailureCode.CANCELLED
-    reply(bench, message, Answer(REFUSED, message.submission, code=code, not_run=True))
+    reply(
+        harness, message, Answer(REFUSED, message.submission, code=code, not_run=True)
+    )
 
 
-def delegate_answers_after_refusing(bench):
-    message = delegate(bench)
+def delegate_answers_after_refusing(harness):
+    message = delegate(harness)
     code = FailureCode.DRAINING
-    reply(bench, message, Answer(REFUSED, message.submission, code=code, not_run=True))
-    reply(bench, message, Answer(FAILED, message.submission, code=UNKNOWN))
-    assert len(answers_in(bench.effects)) == 1
+    reply(
+        harness, message, Answer(REFUSED, message.submission, code=code, not_run=True)
+    )
+    reply(harness, message, Answer(FAILED, message.submission, code=UNKNOWN))
+    assert len(answers_in(harness.effects)) == 1
 
 
-def delegated_drain(bench):
-    delegate(bench)
-    bench.do(DrainAsked(1000.0))
-    bench.wait(1.2)
+def delegated_drain(harness):
+    delegate(harness)
+    harness.send_event(DrainRequested(1000.0))
+    harness.wait(1.2)
 
 
 DELEGATED = (
@@ -110,35 +120,39 @@
 
 
 @pytest.mark.parametrize("case", DELEGATED, ids=lambda case: case.act.__name__)
-def test_delegated(bench, case):
+def test_delegated(harness, case):
     """A job moved to a busy host's sibling, which refuses, dies or stays silent.
 
     Only the delegate may start it, so its owner calls it "not run" on its word alone.
     """
-    case.act(bench)
-    answer = answers_in(bench.effects)[-1]
-    own = [t for t in bench.started if t.submission == answer.submission]
+    case.act(harness)
+    answer = answers_in(harness.effects)[-1]
+    own = [t for t in harness.started if t.submission == answer.submission]
     assert Told(answer.state, answer.code, answer.not_run, len(own)) == case.told
 
 
-def test_delegate_that_dropped_an_answer_does_not_run_it_again(bench):
+def test_delegate_that_dropped_an_answer_does_not_run_it_again(harness):
     """A 360-tile overlay is drawn twice, and billed twice.
 
     The delegate ends a job whose answer fills its memory and is dropped at once. Its
     message to the owner is lost, so the owner repeats the delegation.
     """
     message = Delegate(SubmissionId(SIBLING, 3), make_request(1), 4000.0)
-    (start,) = starts_in(bench.do(PeerReceived(SIBLING, message)))
-    bench.verdicts(start)
+    (start,) = starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
+    harness.verdicts(start)
     outcome = TaskOutcome(start.starts[0].task, TaskState.DONE, "x" * 9_000_000)
-    bench.do(StatusReplied(UpstreamReply(start.upstream, FIRST_RUN, (), (outcome,))))
-    bench.effects.clear()
-    bench.do(PeerReceived(SIBLING, message))
-    assert not bench.started
-    assert not any(a.answer.not_run for a in messages_in(bench.effects, DelegateAnswer))
-
-
-def test_only_the_owner_delegates(bench):
+    harness.send_event(
+        StatusReplied(UpstreamReply(start.upstream, FIRST_RUN, (), (outcome,)))
+    )
+    harness.effects.clear()
+    harness.send_event(PeerMessageReceived(SIBLING, message))
+    assert not harness.started
+    assert not any(
+        a.answer.not_run for a in messages_in(harness.effects, DelegateAnswer)
+    )
+
+
+def test_only_the_owner_delegates(harness):
     """A task runs at two hosts because a stray message named a job as delegated."""
     message = Delegate(SubmissionId(OWN, 3), make_request(1), 4000.0)
-    assert not starts_in(bench.do(PeerReceived(SIBLING, message)))
+    assert not starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
--- a/jackdawspur/dispatch/tests/test_told_first.py
+++ b/jackdawspur/dispatch/tests/test_told_first.py
@@ -9,10 +9,10 @@
 
 from jackdawspur.dispatch import (
     CallClosed,
-    CancelAsked,
-    DrainAsked,
+    CancelRequested,
+    DrainRequested,
     Polled,
-    StatusLost,
+    StatusQueryFailed,
     Submitted,
 )
 from jackdawspur.dispatch.tests.conftest import (
@@ -42,138 +42,138 @@
 )
 
 
-def taken_and_done(bench, kind):
-    finish(bench, begin(bench, kind)[1])
+def taken_and_done(harness, kind):
+    finish(harness, begin(harness, kind)[1])
 
 
-def task_fails(bench, kind):
-    _, start = begin(bench, kind)
-    bench.verdicts(start)
-    bench.results(start, TaskState.FAILED)
+def task_fails(harness, kind):
+    _, start = begin(harness, kind)
+    harness.verdicts(start)
+    harness.results(start, TaskState.FAILED)
 
 
-def refused_then_taken(bench, kind):
-    _, start = begin(bench, kind)
-    again = bench.verdicts(start, RefusalReason.FULL) + bench.wait(0.5)
-    finish(bench, starts_in(again)[0])
+def refused_then_taken(harness, kind):
+    _, start = begin(harness, kind)
+    again = harness.verdicts(start, RefusalReason.FULL) + harness.wait(0.5)
+    finish(harness, starts_in(again)[0])
 
 
-def reply_lost_but_done(bench, kind):
-    _, start = begin(bench, kind)
-    lose(bench, start)
-    status(bench, start, TaskState.DONE)
+def reply_lost_but_done(harness, kind):
+    _, start = begin(harness, kind)
+    lose(harness, start)
+    status(harness, start, TaskState.DONE)
 
 
-def reply_lost_and_silent(bench, kind):
-    _, start = begin(bench, kind)
-    lose(bench, start)
+def reply_lost_and_silent(harness, kind):
+    _, start = begin(harness, kind)
+    lose(harness, start)
     tasks = tuple(s.task for s in start.starts)
-    bench.do(StatusLost(start.upstream, tasks))
-    bench.wait(6.0)
+    harness.send_event(StatusQueryFailed(start.upstream, tasks))
+    harness.wait(6.0)
 
 
-def barred_then_sent_again(bench, kind):
-    (known,) = starts_in(bench.do(Submitted(60, make_request(1))))
-    finish(bench, known)
-    (other,) = starts_in(bench.do(Submitted(61, make_request(1))))
-    finish(bench, other)
-    _, start = begin(bench, kind)
-    lose(bench, start)
-    again = status(bench, start, TaskState.SEALED)
-    finish(bench, starts_in(again)[0])
+def barred_then_sent_again(harness, kind):
+    (known,) = starts_in(harness.send_event(Submitted(60, make_request(1))))
+    finish(harness, known)
+    (other,) = starts_in(harness.send_event(Submitted(61, make_request(1))))
+    finish(harness, other)
+    _, start = begin(harness, kind)
+    lose(harness, start)
+    again = status(harness, start, TaskState.SEALED)
+    finish(harness, starts_in(again)[0])
 
 
-def barred_by_a_later_run(bench, kind):
-    _, start = begin(bench, kind)
-    lose(bench, start)
-    status(bench, start, TaskState.SEALED, SECOND_RUN)
+def barred_by_a_later_run(harness, kind):
+    _, start = begin(harness, kind)
+    lose(harness, start)
+    status(harness, start, TaskState.SEALED, SECOND_RUN)
 
 
-def no_trace(bench, kind):
-    _, start = begin(bench, kind)
-    lose(bench, start)
-    status(bench, start, TaskState.UNKNOWN)
+def no_trace(harness, kind):
+    _, start = begin(harness, kind)
+    lose(harness, start)
+    status(harness, start, TaskState.UNKNOWN)
 
 
-def upstream_restarts(bench, kind):
-    _, start = begin(bench, kind)
-    bench.verdicts(start)
-    bench.results(replace(start, starts=()), run=SECOND_RUN)
+def upstream_restarts(harness, kind):
+    _, start = begin(harness, kind)
+    harness.verdicts(start)
+    harness.results(replace(start, starts=()), run=SECOND_RUN)
 
 
-def never_left_then_taken(bench, kind):
-    _, start = begin(bench, kind)
-    again = lose(bench, start, left=False) + bench.wait(0.5)
-    finish(bench, starts_in(again)[0])
+def never_left_then_taken(harness, kind):
+    _, start = begin(harness, kind)
+    again = lose(harness, start, left=False) + harness.wait(0.5)
+    finish(harness, starts_in(again)[0])
 
 
-def cancelled_before(bench, kind):
-    request, submission = wait_in_queue(bench, kind)
-    bench.do(CancelAsked(2, "roster", submission))
-    bench.wait(1.0)
+def cancelled_before(harness, kind):
+    request, submission = wait_in_queue(harness, kind)
+    harness.send_event(CancelRequested(2, "roster", submission))
+    harness.wait(1.0)
 
 
-def cancelled_during(bench, kind):
-    _, start = begin(bench, kind)
-    bench.verdicts(start)
-    bench.do(CancelAsked(2, "roster", start.starts[0].task.submission))
-    bench.results(start)
+def cancelled_during(harness, kind):
+    _, start = begin(harness, kind)
+    harness.verdicts(start)
+    harness.send_event(CancelRequested(2, "roster", start.starts[0].task.submission))
+    harness.results(start)
 
 
-def cancelled_after(bench, kind):
-    _, start = begin(bench, kind)
-    finish(bench, start)
-    bench.do(CancelAsked(2, "roster", start.starts[0].task.submission))
+def cancelled_after(harness, kind):
+    _, start = begin(harness, kind)
+    finish(harness, start)
+    harness.send_event(CancelRequested(2, "roster", start.starts[0].task.submission))
 
 
-def deadline_before_start(bench, kind):
-    wait_in_queue(bench, kind)
-    bench.wait(6.0)
+def deadline_before_start(harness, kind):
+    wait_in_queue(harness, kind)
+    harness.wait(6.0)
 
 
-def deadline_after_start(bench, kind):
-    _, start = begin(bench, kind)
-    bench.verdicts(start)
-    bench.wait(6.0)
+def deadline_after_start(harness, kind):
+    _, start = begin(harness, kind)
+    harness.verdicts(start)
+    harness.wait(6.0)
 
 
-def pause_past_deadline(bench, kind):
-    begin(bench, kind)
-    bench.now += 20.0
-    bench.wait(0.6)
+def pause_past_deadline(harness, kind):
+    begin(harness, kind)
+    harness.now += 20.0
+    harness.wait(0.6)
 
 
-def drain_lets_it_end(bench, kind):
-    _, start = begin(bench, kind)
-    bench.do(DrainAsked(4000.0))
-    finish(bench, start)
+def drain_lets_it_end(harness, kind):
+    _, start = begin(harness, kind)
+    harness.send_event(DrainRequested(4000.0))
+    finish(harness, start)
 
 
-def drain_bound_in_queue(bench, kind):
-    wait_in_queue(bench, kind, 60_000.0)
-    bench.do(DrainAsked(1000.0))
-    bench.wait(1.5)
+def drain_bound_in_queue(harness, kind):
+    wait_in_queue(harness, kind, 60_000.0)
+    harness.send_event(DrainRequested(1000.0))
+    harness.wait(1.5)
 
 
-def drain_bound_while_running(bench, kind):
-    _, start = begin(bench, kind)
-    bench.verdicts(start)
-    bench.do(DrainAsked(1000.0))
-    bench.wait(1.5)
+def drain_bound_while_running(harness, kind):
+    _, start = begin(harness, kind)
+    harness.verdicts(start)
+    harness.send_event(DrainRequested(1000.0))
+    harness.wait(1.5)
 
 
-def drain_bound_in_doubt(bench, kind):
-    _, start = begin(bench, kind)
-    lose(bench, start)
-    bench.do(DrainAsked(1000.0))
-    bench.wait(1.5)
+def drain_bound_in_doubt(harness, kind):
+    _, start = begin(harness, kind)
+    lose(harness, start)
+    harness.send_event(DrainRequested(1000.0))
+    harness.wait(1.5)
 
 
-def caller_gone_then_polls(bench, kind):
-    _, start = begin(bench, kind)
-    bench.do(CallClosed(1))
-    finish(bench, start)
-    bench.do(Polled(2, "roster", start.starts[0].task.submission))
+def caller_gone_then_polls(harness, kind):
+    _, start = begin(harness, kind)
+    harness.send_event(CallClosed(1))
+    finish(harness, start)
+    harness.send_event(Polled(2, "roster", start.starts[0].task.submission))
 
 
 FOR_EVERY_KIND = (
@@ -203,11 +203,11 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("case", FOR_EVERY_KIND, ids=lambda case: case.act.__name__)
-def test_first_attempt(bench, kind, case):
+def test_first_attempt(harness, kind, case):
     """A supervisor's request meets one fault between its arrival and its answer.
 
     Whatever is lost on the way, its task is sent again only when an upstream's own
     word proves that it never ran.
     """
-    case.act(bench, kind)
-    check(bench, case.told)
+    case.act(harness, kind)
+    check(harness, case.told)
--- a/jackdawspur/dispatch/tests/told.py
+++ b/jackdawspur/dispatch/tests/told.py
@@ -7,16 +7,16 @@
     AppendClaim,
     Claim,
     ClaimsRead,
-    IdsAsked,
     IssueIds,
-    StartsLost,
+    StartRequestFailed,
     StatusReplied,
+    SubmissionIdsRequested,
     Submitted,
 )
 from jackdawspur.dispatch.tests.conftest import (
     FIRST_RUN,
     SIBLING,
-    Bench,
+    CoreHarness,
     answers_in,
     make_request,
     starts_in,
@@ -82,11 +82,13 @@
     told: Told
 
 
-def request_of(bench: Bench, kind: str, deadline_ms: float = DEADLINE_MS) -> JobRequest:
+def request_of(
+    harness: CoreHarness, kind: str, deadline_ms: float = DEADLINE_MS
+) -> JobRequest:
     once = kind in ("key_once", "issued_id")
     request = make_request(1, deadline_ms=deadline_ms, idempotent=not once)
     if kind == "issued_id":
-        effects = bench.do(IdsAsked(90, "roster", 1))
+        effects = harness.send_event(SubmissionIdsRequested(90, "roster", 1))
         (ids,) = [e.ids for e in effects if isinstance(e, IssueIds)]
         return replace(request, submission=ids[0])
     return request if kind == "plain" else replace(request, key="order-17")
@@ -96,59 +98,59 @@
     return tuple(e.claim for e in effects if isinstance(e, AppendClaim))
 
 
-def send(bench: Bench, request: JobRequest, call: int = 1) -> list:
+def send(harness: CoreHarness, request: JobRequest, call: int = 1) -> list:
     """Submit, and let the log confirm a claim at once."""
-    effects = bench.do(Submitted(call, request))
+    effects = harness.send_event(Submitted(call, request))
     claims = claims_in(effects)
-    return effects + bench.do(ClaimsRead(claims)) if claims else effects
+    return effects + harness.send_event(ClaimsRead(claims)) if claims else effects
 
 
-def fill(bench: Bench) -> None:
-    for start in bench.submit(make_request(FILL, deadline_ms=60_000.0), call=50):
-        bench.verdicts(start)
+def fill(harness: CoreHarness) -> None:
+    for start in harness.submit(make_request(FILL, deadline_ms=60_000.0), call=50):
+        harness.verdicts(start)
 
 
-def begin(bench: Bench, kind: str, deadline_ms: float = DEADLINE_MS):
+def begin(harness: CoreHarness, kind: str, deadline_ms: float = DEADLINE_MS):
     """Submit a job of one task; return its request and the one batch of starts."""
-    request = request_of(bench, kind, deadline_ms)
-    (start,) = starts_in(send(bench, request))
+    request = request_of(harness, kind, deadline_ms)
+    (start,) = starts_in(send(harness, request))
     return request, start
 
 
-def wait_in_queue(bench: Bench, kind: str, deadline_ms: float = DEADLINE_MS):
-    fill(bench)
-    request = request_of(bench, kind, deadline_ms)
-    send(bench, request)
-    return request, last_job(bench).submission
+def wait_in_queue(harness: CoreHarness, kind: str, deadline_ms: float = DEADLINE_MS):
+    fill(harness)
+    request = request_of(harness, kind, deadline_ms)
+    send(harness, request)
+    return request, last_job(harness).submission
 
 
-def last_job(bench: Bench):
-    return list(bench.core.state.jobs.values())[-1]
+def last_job(harness: CoreHarness):
+    return list(harness.core.state.jobs.values())[-1]
 
 
-def finish(bench: Bench, start) -> None:
-    bench.verdicts(start)
-    bench.results(start)
+def finish(harness: CoreHarness, start) -> None:
+    harness.verdicts(start)
+    harness.results(start)
 
 
-def lose(bench: Bench, start, left: bool = True) -> list:
+def lose(harness: CoreHarness, start, left: bool = True) -> list:
     tasks = tuple(s.task for s in start.starts)
-    return bench.do(StartsLost(start.upstream, tasks, left))
+    return harness.send_event(StartRequestFailed(start.upstream, tasks, left))
 
 
-def status(bench: Bench, start, state: TaskState, run: int = FIRST_RUN) -> list:
+def status(harness: CoreHarness, start, state: TaskState, run: int = FIRST_RUN) -> list:
     outcomes = tuple(TaskOutcome(s.task, state, "late") for s in start.starts)
     reply = UpstreamReply(start.upstream, run, outcomes=outcomes)
-    return bench.do(StatusReplied(reply)) + bench.wait(0.6)
+    return harness.send_event(StatusReplied(reply)) + harness.wait(0.6)
 
 
-def check(bench: Bench, told: Told) -> None:
-    answer = [e for e in answers_in(bench.effects)][-1]
-    own = [t for t in bench.started if t.submission != filler(bench)]
+def check(harness: CoreHarness, told: Told) -> None:
+    answer = [e for e in answers_in(harness.effects)][-1]
+    own = [t for t in harness.started if t.submission != filler(harness)]
     seen = Told(answer.state, answer.code, answer.not_run, len(own))
     assert seen == told, answer
 
 
-def filler(bench: Bench):
-    jobs = bench.core.state.jobs.values()
+def filler(harness: CoreHarness):
+    jobs = harness.core.state.jobs.values()
     return next((j.submission for j in jobs if len(j.request.tasks) == FILL), None)
--- a/jackdawspur/entry/_claims.py
+++ b/jackdawspur/entry/_claims.py
@@ -7,9 +7,9 @@
 import msgspec
 from result import Ok, Result
 
-from jackdawspur.adapters import Deadlines
-from jackdawspur.configuration import LogBudget, Purpose
-from jackdawspur.dispatch import Claim, ClaimEnded, ClaimsRead, Event
+from jackdawspur.adapters import TimerQueue
+from jackdawspur.configuration import AppendPurpose, AppendRateLimiter
+from jackdawspur.dispatch import Claim, ClaimAppendCompleted, ClaimsRead, Event
 from jackdawspur.external import (
     Log,
     LogRecord,
@@ -54,13 +54,13 @@
     def __init__(
         self,
         platform_log: Log,
-        budget: LogBudget,
-        deadlines: Deadlines,
+        budget: AppendRateLimiter,
+        timer_queue: TimerQueue,
         post: Callable[[Event], None],
     ) -> None:
         self._log = platform_log
         self._budget = budget
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._post = post
         self._waiting: list[Claim] = []
         self._appending = False
@@ -79,8 +79,8 @@
     def _pump(self) -> None:
         if self._appending or not self._waiting:
             return
-        if not self._budget.take(Purpose.CLAIM, self._deadlines.now):
-            self._deadlines.call_after(BUDGET_RETRY_S, self._pump)
+        if not self._budget.try_acquire(AppendPurpose.CLAIM, self._timer_queue.now):
+            self._timer_queue.call_later(BUDGET_RETRY_S, self._pump)
             return
         batch, self._waiting = self._waiting, []
         self._appending = True
@@ -96,7 +96,7 @@
         if not appended and isinstance(done.err_value, OutcomeUnknown):
             appended = None
         for claim in batch:
-            self._post(ClaimEnded(claim, appended))
+            self._post(ClaimAppendCompleted(claim, appended))
         self._pump()
 
     def _read(self) -> None:
@@ -107,29 +107,29 @@
         if isinstance(done, Ok):
             self._take(done.ok_value)
         elif isinstance(done.err_value, LogTrimmed):
-            self._skip(done.err_value.first)
+            self._skip(done.err_value.first_offset)
         else:
-            self._deadlines.call_after(READ_RETRY_S, self._read)
+            self._timer_queue.call_later(READ_RETRY_S, self._read)
 
     def _take(self, records: tuple[LogRecord, ...]) -> None:
-        claims = [claim for record in records for claim in _claims_of(record)]
+        claims = [claim for record in records for claim in decode_claims(record)]
         if records:
             self._next = records[-1].offset + 1
         self._caught_up = self._caught_up or not records
         if self._caught_up or claims:
             self._post(ClaimsRead(tuple(claims)))
         delay = 0.0 if records else EMPTY_READ_GAP_S
-        self._deadlines.call_after(delay, self._read)
+        self._timer_queue.call_later(delay, self._read)
 
     def _skip(self, first: int) -> None:
         """Go on where the log now starts; after a start that is no loss."""
         self._next = first
         if self._caught_up:
             self._post(ClaimsRead((), gap=True))
-        self._deadlines.call_after(0.0, self._read)
+        self._timer_queue.call_later(0.0, self._read)
 
 
-def _claims_of(record: LogRecord) -> list[Claim]:
+def decode_claims(record: LogRecord) -> list[Claim]:
     """Return the claims of a record; one that can't be read is reported."""
     try:
         read = _RECORDS.decode(record.body)
--- a/jackdawspur/entry/_host.py
+++ b/jackdawspur/entry/_host.py
@@ -10,50 +10,50 @@
 from result import Ok
 
 from jackdawspur.adapters import (
-    Deadlines,
     HttpClient,
     HttpHostList,
     HttpLog,
     Links,
+    TimerQueue,
     WebServer,
     split_address,
 )
-from jackdawspur.callers import HttpReply, reply_answer, reply_ids
+from jackdawspur.callers import HttpResponse, answer_response, ids_response
 from jackdawspur.configuration import (
-    ActivateWorld,
-    DeskReply,
-    DeskRequest,
-    HeartbeatSeen,
-    Keeper,
-    LogBudget,
-    OperatorDesk,
+    ActivateConfiguration,
+    AppendRateLimiter,
+    ConfigurationReplica,
+    HeartbeatReceived,
+    LivePeersChanged,
+    OperatorApi,
     OperatorEntry,
-    PeerAsked,
-    PeerRecords,
-    PeersSeen,
+    OperatorReply,
+    OperatorRequest,
     Readiness,
     ReadinessReason,
+    RecordsReceived,
+    RecordsRequested,
     Right,
 )
 from jackdawspur.dispatch import (
     TICK_S,
     AnswerCall,
     AppendClaim,
-    AskStatus,
-    DrainAsked,
+    BootstrapHostsLoaded,
+    ClusterSpecUpdated,
+    DrainRequested,
     Effect,
     EntryCore,
     Event,
-    HostsListed,
-    HostsNamed,
+    HostListUpdated,
     IssueIds,
-    PeerReceived,
-    SendPeer,
+    PeerMessageReceived,
+    QueryTaskStatus,
+    SendPeerMessage,
     StartTasks,
     StopTasks,
     Submitted,
     Tick,
-    WorldSet,
 )
 from jackdawspur.entry._claims import ClaimDriver
 from jackdawspur.entry._keeping import ConfigurationDriver
@@ -108,7 +108,7 @@
         self._exiting = False
         self._listed: tuple[ListedHost, ...] = ()
         self._meter = Meter(settings.statsd, str(self._own))
-        self._deadlines = Deadlines().register(self)
+        self._timer_queue = TimerQueue().register(self)
         self._routes = Routes(self)
         self._web = WebServer(settings.http, self._routes).register(self)
         self._links = Links(
@@ -117,16 +117,16 @@
         self._links.set_peers(_siblings(settings))
         self._open_platform(settings, rng, now)
         # Connections need the poller, which is found once the loop runs.
-        self._deadlines.call_after(0.0, self._begin)
+        self._timer_queue.call_later(0.0, self._begin)
         log_started(self._own)
 
     def _open_platform(
         self, settings: EntrySettings, rng: random.Random, now: float
     ) -> None:
-        budget = LogBudget(len(settings.siblings) + 1, now)
+        budget = AppendRateLimiter(len(settings.siblings) + 1, now)
         self._budget = budget
-        self._keeper = Keeper(self._own, rng, budget, now)
-        desk = OperatorDesk(self._keeper, _bootstrap(settings))
+        self._keeper = ConfigurationReplica(self._own, rng, budget, now)
+        desk = OperatorApi(self._keeper, _bootstrap(settings))
         self._desk = desk
         self._configuration = ConfigurationDriver(
             self._keeper,
@@ -137,30 +137,30 @@
             self._reply_operator,
         )
         claims_log = self._open_log(settings.log)
-        self._claims = ClaimDriver(claims_log, budget, self._deadlines, self.post)
+        self._claims = ClaimDriver(claims_log, budget, self._timer_queue, self.post)
         self._upstreams = UpstreamDriver(
             self._own,
             self,
-            self._deadlines,
+            self._timer_queue,
             self.post,
-            lambda upstream: bool(self._core.state.flights_at.get(upstream)),
+            lambda upstream: bool(self._core.state.in_flight_by_upstream.get(upstream)),
             settings.crosses_zones,
         )
         if settings.host_list is not None:
-            client = HttpClient(split_address(settings.host_list), self._deadlines)
+            client = HttpClient(split_address(settings.host_list), self._timer_queue)
             self._host_list = HttpHostList(client.register(self))
 
     def _begin(self) -> None:
         own = EntryHost(self._own.zone, self._own.name, "", "")
-        self.post(HostsNamed((own, *_siblings(self._settings))))
+        self.post(BootstrapHostsLoaded((own, *_siblings(self._settings))))
         self._claims.begin()
         if self._settings.host_list is not None:
             self._fetch_list()
         self._tick()
 
     def _open_log(self, address: str) -> HttpLog:
-        appends = HttpClient(split_address(address), self._deadlines).register(self)
-        reads = HttpClient(split_address(address), self._deadlines).register(self)
+        appends = HttpClient(split_address(address), self._timer_queue).register(self)
+        reads = HttpClient(split_address(address), self._timer_queue).register(self)
         return HttpLog(appends, reads)
 
     def post(self, event: Event) -> None:
@@ -168,13 +168,13 @@
         self._events.append(event)
         self._flush_soon()
 
-    def ask_desk(self, request: DeskRequest) -> None:
+    def handle_operator_request(self, request: OperatorRequest) -> None:
         """Hand a request to the operators' desk."""
         self._configuration.ask(request)
 
-    def reply(self, number: int, reply: HttpReply) -> None:
+    def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to an HTTP call."""
-        self._web.reply(number, reply)
+        self._web.reply(call_id, reply)
 
     def readiness(self) -> Readiness:
         """Tell whether new jobs are accepted, and why not."""
@@ -222,7 +222,7 @@
         if self._wake_at is not None and now < self._wake_at <= wake:
             return
         self._wake_at = wake
-        self._deadlines.call_after(max(0.0, wake - now), self._wake)
+        self._timer_queue.call_later(max(0.0, wake - now), self._wake)
 
     def _wake(self) -> None:
         self._wake_at = None
@@ -237,58 +237,58 @@
         self.post(Tick())
         self._configuration.tick()
         state = self._core.state
-        self._configuration.tell(PeersSeen(state.view.peers()))
-        self._desk.set_unreachable(state.view.unreachable_zones(monotonic()))
+        self._configuration.tell(LivePeersChanged(state.view.peers()))
+        self._desk.set_unreachable_zones(state.view.unreachable_zones(monotonic()))
         self._meter.report(self._core)
-        self._deadlines.call_after(TICK_S, self._tick)
+        self._timer_queue.call_later(TICK_S, self._tick)
 
     def _fetch_list(self) -> None:
         def fetched(done) -> None:
             if isinstance(done, Ok) and done.ok_value is not self._listed:
                 self._listed = done.ok_value
-                self.post(HostsListed(self._listed))
-            self._deadlines.call_after(HOST_LIST_INTERVAL_S, self._fetch_list)
+                self.post(HostListUpdated(self._listed))
+            self._timer_queue.call_later(HOST_LIST_INTERVAL_S, self._fetch_list)
 
         self._host_list.fetch(fetched)
 
     def _on_message(self, sender: HostId, message: Message) -> None:
         if isinstance(message, RecordsWanted):
-            self._configuration.tell(PeerAsked(sender, message))
+            self._configuration.tell(RecordsRequested(sender, message))
         elif isinstance(message, RecordsPassed):
-            self._configuration.tell(PeerRecords(sender, message))
+            self._configuration.tell(RecordsReceived(sender, message))
         else:
             if isinstance(message, Heartbeat):
-                self._configuration.tell(HeartbeatSeen(message))
-            self.post(PeerReceived(sender, message))
+                self._configuration.tell(HeartbeatReceived(message))
+            self.post(PeerMessageReceived(sender, message))
 
-    def _activate(self, effect: ActivateWorld) -> None:
-        world = effect.world
-        self._budget.set_hosts(max(1, len(world.entry_hosts)))
+    def _activate(self, effect: ActivateConfiguration) -> None:
+        world = effect.cluster_spec
+        self._budget.set_host_count(max(1, len(world.entry_hosts)))
         self._routes.set_configuration(effect.configuration)
         self._links.set_peers(world.entry_hosts or _siblings(self._settings))
         self._upstreams.set_upstreams(world.upstreams)
-        self.post(WorldSet(world))
+        self.post(ClusterSpecUpdated(world))
 
-    def _reply_operator(self, reply: DeskReply) -> None:
-        self._routes.desk_replied(reply)
+    def _reply_operator(self, reply: OperatorReply) -> None:
+        self._routes.deliver_operator_reply(reply)
 
     def _start(self, effect: StartTasks) -> None:
         self._upstreams.start(effect)
 
-    def _ask_status(self, effect: AskStatus) -> None:
-        self._upstreams.ask_status(effect)
+    def _ask_status(self, effect: QueryTaskStatus) -> None:
+        self._upstreams.query_task_status(effect)
 
     def _stop_tasks(self, effect: StopTasks) -> None:
         self._upstreams.stop(effect)
 
     def _answer(self, effect: AnswerCall) -> None:
         log_answer(effect.answer)
-        self._web.reply(effect.call, reply_answer(effect.answer))
+        self._web.reply(effect.call, answer_response(effect.answer))
 
     def _issue(self, effect: IssueIds) -> None:
-        self._web.reply(effect.call, reply_ids(effect.ids))
+        self._web.reply(effect.call, ids_response(effect.ids))
 
-    def _send(self, effect: SendPeer) -> None:
+    def _send(self, effect: SendPeerMessage) -> None:
         self._links.send(effect.to, effect.message)
 
     def _append_claim(self, effect: AppendClaim) -> None:
@@ -299,12 +299,12 @@
         """Drain at the first signal, end at the second."""
         event.stop()
         if self._draining:
-            self.post(DrainAsked(0.0))
-            self._deadlines.call_after(EXIT_GRACE_S, self.root.stop)
+            self.post(DrainRequested(0.0))
+            self._timer_queue.call_later(EXIT_GRACE_S, self.root.stop)
             return
         self._draining = True
         log_draining(self._core.state.live_jobs)
-        self.post(DrainAsked(self._settings.drain_ms))
+        self.post(DrainRequested(self._settings.drain_ms))
 
     def _exit_when_drained(self) -> None:
         """Stop once every caller has its answer and the bytes had time to leave."""
@@ -313,16 +313,16 @@
         if self._core.drained and not self._web.open_calls:
             self._exiting = True
             log_drained()
-            self._deadlines.call_after(EXIT_GRACE_S, self.root.stop)
+            self._timer_queue.call_later(EXIT_GRACE_S, self.root.stop)
 
 
 _ACTIONS = {
     StartTasks: EntryHostProcess._start,
-    AskStatus: EntryHostProcess._ask_status,
+    QueryTaskStatus: EntryHostProcess._ask_status,
     StopTasks: EntryHostProcess._stop_tasks,
     AnswerCall: EntryHostProcess._answer,
     IssueIds: EntryHostProcess._issue,
-    SendPeer: EntryHostProcess._send,
+    SendPeerMessage: EntryHostProcess._send,
     AppendClaim: EntryHostProcess._append_claim,
 }
 
--- a/jackdawspur/entry/_keeping.py
+++ b/jackdawspur/entry/_keeping.py
@@ -7,23 +7,23 @@
 from result import Ok, Result
 
 from jackdawspur.configuration import (
-    ActivateWorld,
-    AppendEnded,
+    ActivateConfiguration,
+    AppendCompleted,
     AppendRecord,
-    AskRecords,
-    Audited,
-    DeskReply,
-    DeskRequest,
-    Keeper,
-    KeeperEvent,
-    KeeperTick,
-    LogCut,
-    LogFailed,
-    LogRead,
-    OperatorDesk,
+    ConfigurationReplica,
+    LogReadFailed,
+    LogRecordsRead,
+    LogStartAdvanced,
+    OperatorApi,
+    OperatorReply,
+    OperatorRequest,
     ReadLog,
+    ReplicaEvent,
+    ReplicaTick,
     ReportSkipped,
+    RequestRecords,
     SendRecords,
+    WriteAuditEntry,
 )
 from jackdawspur.external import (
     Log,
@@ -46,12 +46,12 @@
 
     def __init__(
         self,
-        keeper: Keeper,
-        desk: OperatorDesk,
+        keeper: ConfigurationReplica,
+        desk: OperatorApi,
         platform_log: Log,
         send: Callable[[HostId, Message], object],
-        activate: Callable[[ActivateWorld], None],
-        reply: Callable[[DeskReply], None],
+        activate: Callable[[ActivateConfiguration], None],
+        reply: Callable[[OperatorReply], None],
     ) -> None:
         self._keeper = keeper
         self._desk = desk
@@ -60,19 +60,19 @@
         self._activate = activate
         self._reply = reply
 
-    def tell(self, event: KeeperEvent) -> None:
+    def tell(self, event: ReplicaEvent) -> None:
         """Let the keeper handle an event, then let the desk see what it settled."""
         now = monotonic()
         self._do(self._keeper.handle(now, event))
-        self._do(self._desk.settle(now))
+        self._do(self._desk.resolve_pending(now))
 
-    def ask(self, request: DeskRequest) -> None:
+    def ask(self, request: OperatorRequest) -> None:
         """Let the desk handle an operator's request."""
         self._do(self._desk.handle(monotonic(), request))
 
     def tick(self) -> None:
         """Let time pass."""
-        self.tell(KeeperTick(time()))
+        self.tell(ReplicaTick(time()))
 
     def _do(self, effects: Iterable[object]) -> None:
         for effect in effects:
@@ -85,32 +85,34 @@
 
     def _on_read(self, done: Result[tuple[LogRecord, ...], PlatformError]) -> None:
         if isinstance(done, Ok):
-            self.tell(LogRead(done.ok_value))
+            self.tell(LogRecordsRead(done.ok_value))
         elif isinstance(done.err_value, LogTrimmed):
-            self.tell(LogCut(done.err_value.first))
+            self.tell(LogStartAdvanced(done.err_value.first_offset))
         else:
-            self.tell(LogFailed(str(done.err_value)))
+            self.tell(LogReadFailed(str(done.err_value)))
 
     def _append(self, effect: AppendRecord) -> None:
         def appended(done: Result[int, PlatformError]) -> None:
             if isinstance(done, Ok):
-                event = AppendEnded(effect.record, done.ok_value)
+                event = AppendCompleted(effect.record_id, done.ok_value)
             else:
                 sent = isinstance(done.err_value, OutcomeUnknown)
-                event = AppendEnded(effect.record, None, sent)
-            self._do(self._desk.append_ended(monotonic(), event))
+                event = AppendCompleted(effect.record_id, None, sent)
+            self._do(self._desk.on_append_completed(monotonic(), event))
             self.tell(event)
 
         self._log.append(Stream.CONFIGURATION, effect.body, appended)
 
-    def _ask_records(self, effect: AskRecords) -> None:
+    def _ask_records(self, effect: RequestRecords) -> None:
         self._send(effect.to, effect.wanted)
 
     def _send_records(self, effect: SendRecords) -> None:
         self._send(effect.to, effect.passed)
 
-    def _activate_world(self, effect: ActivateWorld) -> None:
-        log.info("configuration in force", extra={"version": effect.world.version})
+    def _activate_world(self, effect: ActivateConfiguration) -> None:
+        log.info(
+            "configuration in force", extra={"version": effect.cluster_spec.version}
+        )
         self._activate(effect)
 
     def _report(self, effect: ReportSkipped) -> None:
@@ -118,7 +120,7 @@
         details = {"offset": skipped.offset, "reason": str(skipped.reason)}
         log.error("configuration record skipped", extra=details)
 
-    def _audit(self, effect: Audited) -> None:
+    def _audit(self, effect: WriteAuditEntry) -> None:
         entry = effect.entry
         details = {
             "operator": entry.operator,
@@ -128,17 +130,17 @@
         }
         log.warning("operator refused", extra=details)
 
-    def _reply_operator(self, effect: DeskReply) -> None:
+    def _reply_operator(self, effect: OperatorReply) -> None:
         self._reply(effect)
 
 
 _ACTIONS = {
     ReadLog: ConfigurationDriver._read,
     AppendRecord: ConfigurationDriver._append,
-    AskRecords: ConfigurationDriver._ask_records,
+    RequestRecords: ConfigurationDriver._ask_records,
     SendRecords: ConfigurationDriver._send_records,
-    ActivateWorld: ConfigurationDriver._activate_world,
+    ActivateConfiguration: ConfigurationDriver._activate_world,
     ReportSkipped: ConfigurationDriver._report,
-    Audited: ConfigurationDriver._audit,
-    DeskReply: ConfigurationDriver._reply_operator,
+    WriteAuditEntry: ConfigurationDriver._audit,
+    OperatorReply: ConfigurationDriver._reply_operator,
 }
--- a/jackdawspur/entry/_routes.py
+++ b/jackdawspur/entry/_routes.py
@@ -12,38 +12,38 @@
 from jackdawspur.adapters import Call, WebService
 from jackdawspur.callers import (
     BodyError,
-    HttpReply,
-    Standing,
+    HttpResponse,
+    JobClassSettings,
     read_ids_body,
     read_job_body,
-    reply_refusal,
+    refusal_response,
     to_request,
 )
 from jackdawspur.configuration import (
     Configuration,
     ConfirmAsked,
     CustomerEntry,
-    DeskReply,
-    DeskRequest,
     HistoryAsked,
+    OperatorReply,
+    OperatorRequest,
     PlanAsked,
     Readiness,
     StatusAsked,
-    class_of,
-    text_of,
+    find_job_class,
+    format_operator_reply,
     token_hash,
 )
 from jackdawspur.dispatch import (
     CallClosed,
-    CancelAsked,
+    CancelRequested,
     Event,
-    IdsAsked,
     Polled,
+    SubmissionIdsRequested,
     Submitted,
 )
 from jackdawspur.entry._status import HostStatus, text_of_status
 from jackdawspur.model import FailureCode, InvalidId, JobRequest, SubmissionId
-from jackdawspur.ownership import KEY_WINDOW_S
+from jackdawspur.ownership import IDEMPOTENCY_KEY_TTL_S
 
 __all__ = ["HostFace", "Routes"]
 
@@ -51,7 +51,7 @@
 MAX_KEY_LENGTH = 200
 # A key is forgotten after its window; a job that outlived it would run again on a
 # repeat. Half of the window leaves room for hosts that read the claim late.
-MAX_KEYED_DEADLINE_MS = KEY_WINDOW_S / 2 * 1000.0
+MAX_KEYED_DEADLINE_MS = IDEMPOTENCY_KEY_TTL_S / 2 * 1000.0
 TEXT = "text/plain; charset=utf-8"
 
 
@@ -61,10 +61,10 @@
     def post(self, event: Event) -> None:
         """Hand an event to the decisions."""
 
-    def ask_desk(self, request: DeskRequest) -> None:
+    def handle_operator_request(self, request: OperatorRequest) -> None:
         """Hand a request to the operators' desk."""
 
-    def reply(self, number: int, reply: HttpReply) -> None:
+    def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a call."""
 
     def readiness(self) -> Readiness:
@@ -112,7 +112,7 @@
             for hashed in customer.token_sha256
         }
 
-    def called(self, call: Call) -> None:
+    def handle_call(self, call: Call) -> None:
         """Handle one call by its route."""
         known_path = False
         for route in _ROUTES:
@@ -125,13 +125,13 @@
                 return
         self._refuse_unknown(call, known_path)
 
-    def closed(self, number: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Note that a caller went away."""
-        self._as_text.discard(number)
-        self._status_calls.discard(number)
-        self._host.post(CallClosed(number))
+        self._as_text.discard(call_id)
+        self._status_calls.discard(call_id)
+        self._host.post(CallClosed(call_id))
 
-    def desk_replied(self, reply: DeskReply) -> None:
+    def deliver_operator_reply(self, reply: OperatorReply) -> None:
         """Pass the desk's reply on to its operator."""
         as_text = reply.call in self._as_text
         self._as_text.discard(reply.call)
@@ -140,43 +140,47 @@
         if wants_status and reply.status == HTTPStatus.OK:
             self._reply_status(reply, as_text)
         elif as_text:
-            body = text_of(reply).encode()
-            self._host.reply(reply.call, HttpReply(int(reply.status), body, 0, TEXT))
+            body = format_operator_reply(reply).encode()
+            self._host.reply(reply.call, HttpResponse(int(reply.status), body, 0, TEXT))
         else:
             shown = _DeskBody(str(reply.code), reply.message, reply.page, reply.body)
             body = msgspec.json.encode(shown)
-            self._host.reply(reply.call, HttpReply(int(reply.status), body))
+            self._host.reply(reply.call, HttpResponse(int(reply.status), body))
 
-    def _reply_status(self, reply: DeskReply, as_text: bool) -> None:
+    def _reply_status(self, reply: OperatorReply, as_text: bool) -> None:
         status = self._host.status()
         if as_text:
-            body = (text_of_status(status) + text_of(reply)).encode()
-            self._host.reply(reply.call, HttpReply(200, body, 0, TEXT))
+            body = (text_of_status(status) + format_operator_reply(reply)).encode()
+            self._host.reply(reply.call, HttpResponse(200, body, 0, TEXT))
             return
         shown = _FullStatus(status, reply.body)
-        self._host.reply(reply.call, HttpReply(200, msgspec.json.encode(shown)))
+        self._host.reply(reply.call, HttpResponse(200, msgspec.json.encode(shown)))
 
     def _refuse_unknown(self, call: Call, known_path: bool) -> None:
         code = FailureCode.INVALID if known_path else FailureCode.NOT_FOUND
         text = f"{call.method} {call.path} is not offered here"
-        self._host.reply(call.number, reply_refusal(code, text))
+        self._host.reply(call.call_id, refusal_response(code, text))
 
     def _customer(self, call: Call) -> CustomerEntry | None:
         """Return the customer whose token came, or refuse the call."""
-        customer = self._customers.get(token_hash(call.token)) if call.token else None
+        customer = (
+            self._customers.get(token_hash(call.bearer_token))
+            if call.bearer_token
+            else None
+        )
         if customer is not None:
             return customer
         readiness = self._host.readiness()
         if not self._customers and not readiness.ready:
-            refused = reply_refusal(FailureCode.NOT_READY, readiness.message)
+            refused = refusal_response(FailureCode.NOT_READY, readiness.message)
         else:
             text = "a bearer token of a customer is needed"
-            refused = reply_refusal(FailureCode.UNAUTHORIZED, text)
-        self._host.reply(call.number, refused)
+            refused = refusal_response(FailureCode.UNAUTHORIZED, text)
+        self._host.reply(call.call_id, refused)
         return None
 
     def _refuse(self, call: Call, code: FailureCode, text: str) -> None:
-        self._host.reply(call.number, reply_refusal(code, text))
+        self._host.reply(call.call_id, refusal_response(code, text))
 
     def _submit(
         self, call: Call, submission: SubmissionId | None, key: str | None
@@ -190,13 +194,13 @@
             return
         try:
             body = read_job_body(call.body)
-            standing = _standing(customer, body.job_class)
+            standing = _job_class_settings(customer, body.job_class)
             request = to_request(body, customer.name, standing, key, submission)
             _check_keyed(request)
         except BodyError as error:
             self._refuse(call, FailureCode.INVALID, str(error))
             return
-        self._host.post(Submitted(call.number, request, call.flag("wait")))
+        self._host.post(Submitted(call.call_id, request, call.query_flag("wait")))
 
     def _post_job(self, call: Call, _match: re.Match[str]) -> None:
         self._submit(call, None, call.headers.get(KEY_HEADER))
@@ -217,14 +221,14 @@
         customer = self._customer(call)
         submission = self._submission(call, match) if customer else None
         if submission is not None:
-            wait = call.flag("wait")
-            self._host.post(Polled(call.number, customer.name, submission, wait))
+            wait = call.query_flag("wait")
+            self._host.post(Polled(call.call_id, customer.name, submission, wait))
 
     def _delete_submission(self, call: Call, match: re.Match[str]) -> None:
         customer = self._customer(call)
         submission = self._submission(call, match) if customer else None
         if submission is not None:
-            self._host.post(CancelAsked(call.number, customer.name, submission))
+            self._host.post(CancelRequested(call.call_id, customer.name, submission))
 
     def _post_submissions(self, call: Call, _match: re.Match[str]) -> None:
         customer = self._customer(call)
@@ -235,35 +239,41 @@
         except BodyError as error:
             self._refuse(call, FailureCode.INVALID, str(error))
             return
-        self._host.post(IdsAsked(call.number, customer.name, count))
+        self._host.post(SubmissionIdsRequested(call.call_id, customer.name, count))
 
     def _livez(self, call: Call, _match: re.Match[str]) -> None:
-        self._host.reply(call.number, HttpReply(200, b'{"live":true}'))
+        self._host.reply(call.call_id, HttpResponse(200, b'{"live":true}'))
 
     def _readyz(self, call: Call, _match: re.Match[str]) -> None:
         readiness = self._host.readiness()
         body = msgspec.json.encode(_Health(readiness.ready, readiness.message))
-        self._host.reply(call.number, HttpReply(200 if readiness.ready else 503, body))
+        self._host.reply(
+            call.call_id, HttpResponse(200 if readiness.ready else 503, body)
+        )
 
-    def _ask(self, call: Call, request: DeskRequest) -> None:
+    def _ask(self, call: Call, request: OperatorRequest) -> None:
         if "format=text" in call.query:
-            self._as_text.add(call.number)
-        self._host.ask_desk(request)
+            self._as_text.add(call.call_id)
+        self._host.handle_operator_request(request)
 
     def _plan(self, call: Call, _match: re.Match[str]) -> None:
         intent = call.body.decode(errors="replace")
-        self._ask(call, PlanAsked(call.number, call.token or "", intent, time()))
+        self._ask(
+            call, PlanAsked(call.call_id, call.bearer_token or "", intent, time())
+        )
 
     def _confirm(self, call: Call, match: re.Match[str]) -> None:
-        request = ConfirmAsked(call.number, call.token or "", match["id"], time())
+        request = ConfirmAsked(
+            call.call_id, call.bearer_token or "", match["id"], time()
+        )
         self._ask(call, request)
 
     def _history(self, call: Call, _match: re.Match[str]) -> None:
-        self._ask(call, HistoryAsked(call.number, call.token or "", time()))
+        self._ask(call, HistoryAsked(call.call_id, call.bearer_token or "", time()))
 
     def _status(self, call: Call, _match: re.Match[str]) -> None:
-        self._status_calls.add(call.number)
-        self._ask(call, StatusAsked(call.number, call.token or "", time()))
+        self._status_calls.add(call.call_id)
+        self._ask(call, StatusAsked(call.call_id, call.bearer_token or "", time()))
 
 
 @dataclass(frozen=True, slots=True)
@@ -278,12 +288,14 @@
         raise BodyError(f"deadline_ms: at most {most} with an {KEY_HEADER}")
 
 
-def _standing(customer: CustomerEntry, name: str) -> Standing:
-    settings = class_of(customer, name)
+def _job_class_settings(customer: CustomerEntry, name: str) -> JobClassSettings:
+    settings = find_job_class(customer, name)
     if settings is None:
         known = ", ".join(c.name for c in customer.classes) or "none"
         raise BodyError(f"job_class: no such class; configured are: {known}")
-    return Standing(settings.deadline_ms, settings.max_tasks, settings.idempotent)
+    return JobClassSettings(
+        settings.deadline_ms, settings.max_tasks, settings.idempotent
+    )
 
 
 def _route(method: str, path: str, handle) -> _Route:
--- a/jackdawspur/entry/_status.py
+++ b/jackdawspur/entry/_status.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from jackdawspur.dispatch import EntryCore
-from jackdawspur.metrics import Percentiles
+from jackdawspur.metrics import HistogramSummary
 
 __all__ = ["CustomerStatus", "HostStatus", "JobCounts", "status_of", "text_of_status"]
 
@@ -58,18 +58,18 @@
     link_bytes: int
     customers: tuple[CustomerStatus, ...]
     counts: JobCounts
-    responses: tuple[Percentiles, ...]
+    responses: tuple[HistogramSummary, ...]
 
 
 def status_of(core: EntryCore, link_bytes: int, now: float) -> HostStatus:
     """Return the status of a host."""
     state = core.state
-    upstreams = tuple(state.room.upstreams())
+    upstreams = tuple(state.resource_tracker.upstreams())
     return HostStatus(
         host=str(core.host),
         ready=core.ready,
         draining=state.draining,
-        version=state.world.version if state.world else -1,
+        version=state.cluster_spec.version if state.cluster_spec else -1,
         live_hosts=tuple(str(host) for host in state.view.peers()),
         unreachable_zones=state.view.unreachable_zones(now),
         slots=state.slots.capacity(),
@@ -78,7 +78,7 @@
         waiting_tasks=state.queue.waiting(),
         live_jobs=state.live_jobs,
         ejected=tuple(str(u) for u in state.health.ejected()),
-        leaving=tuple(str(u) for u in upstreams if state.view.upstream_leaving(u)),
+        leaving=tuple(str(u) for u in upstreams if state.view.is_upstream_leaving(u)),
         log_up=state.log_up,
         link_bytes=link_bytes,
         customers=tuple(_customer(core, name, now) for name in sorted(state.customers)),
--- a/jackdawspur/entry/_trial_settings.py
+++ b/jackdawspur/entry/_trial_settings.py
@@ -18,12 +18,12 @@
 )
 from jackdawspur.settings import (
     EntrySettings,
-    HostListStandin,
+    HostListStandinSettings,
     ListedHostSettings,
-    LogStandin,
+    LogStandinSettings,
     OperatorSettings,
-    RackStandin,
-    SiblingSettings,
+    PeerSettings,
+    WorkerPoolStandinSettings,
 )
 
 __all__ = [
@@ -64,9 +64,9 @@
 class TrialSettings:
     """Hold what the processes of a deployment are started with."""
 
-    log: LogStandin
-    host_list: HostListStandin
-    racks: tuple[RackStandin, ...]
+    log: LogStandinSettings
+    host_list: HostListStandinSettings
+    racks: tuple[WorkerPoolStandinSettings, ...]
     hosts: tuple[EntrySettings, ...]
     configuration: Configuration
 
@@ -101,7 +101,7 @@
     """Return settings and the first configuration of a deployment."""
     addresses = _Addresses()
     closed = addresses.take()
-    log = LogStandin(addresses.take(), sizes.append_delay_ms)
+    log = LogStandinSettings(addresses.take(), sizes.append_delay_ms)
     hosts = tuple(
         EntryHostEntry(
             zone=zone, name=f"e{n + 1}", http=addresses.take(), link=addresses.take()
@@ -130,25 +130,27 @@
     return TrialSettings(log, host_list, racks, entries, configuration)
 
 
-def _racks(sizes: Sizes, upstreams) -> tuple[RackStandin, ...]:
+def _racks(sizes: Sizes, upstreams) -> tuple[WorkerPoolStandinSettings, ...]:
     """Return racks of at most `RACK` upstreams of one zone each."""
     racks = []
     for zone in sizes.zones:
         addresses = [u.address for u in upstreams if u.zone == zone]
         racks += [
-            RackStandin(tuple(addresses[start : start + RACK]), seed=RACK * len(racks))
+            WorkerPoolStandinSettings(
+                tuple(addresses[start : start + RACK]), seed=RACK * len(racks)
+            )
             for start in range(0, len(addresses), RACK)
         ]
     return tuple(racks)
 
 
-def _host_list(address: str, sizes: Sizes, hosts, upstreams) -> HostListStandin:
+def _host_list(address: str, sizes: Sizes, hosts, upstreams) -> HostListStandinSettings:
     listed = [ListedHostSettings(h.zone, h.name, "entry") for h in hosts]
     listed += [
         ListedHostSettings(u.zone, u.name, "upstream")
         for u in (*upstreams, *_absent(sizes))
     ]
-    return HostListStandin(address, sizes.lag_ms, tuple(listed))
+    return HostListStandinSettings(address, sizes.lag_ms, tuple(listed))
 
 
 def _all_zones(sizes: Sizes) -> tuple[str, ...]:
@@ -171,7 +173,7 @@
 
 def _entry(host, hosts, log: str, host_list: str) -> EntrySettings:
     siblings = tuple(
-        SiblingSettings(h.zone, h.name, h.http, h.link) for h in hosts if h is not host
+        PeerSettings(h.zone, h.name, h.http, h.link) for h in hosts if h is not host
     )
     first = OperatorSettings(OPERATORS[0], token_hash(OPERATORS[0]))
     return EntrySettings(
--- a/jackdawspur/entry/_upstreams.py
+++ b/jackdawspur/entry/_upstreams.py
@@ -7,20 +7,20 @@
 from result import Ok, Result
 
 from jackdawspur.adapters import (
-    Deadlines,
     HttpClient,
-    HttpLimits,
-    HttpUpstream,
+    HttpClientLimits,
+    HttpUpstreamClient,
+    TimerQueue,
     split_address,
 )
 from jackdawspur.dispatch import (
-    AskStatus,
     Event,
+    QueryTaskStatus,
     ResultsReplied,
-    StartsLost,
+    StartRequestFailed,
     StartsReplied,
     StartTasks,
-    StatusLost,
+    StatusQueryFailed,
     StatusReplied,
     StopTasks,
     UsageReplied,
@@ -53,7 +53,7 @@
     """Hold the connections to one upstream and how far its results were read."""
 
     address: str
-    client: HttpUpstream
+    client: HttpUpstreamClient
     requests: HttpClient
     polls: HttpClient
     cursor: int = 0
@@ -73,14 +73,14 @@
         self,
         own: HostId,
         root: BaseComponent,
-        deadlines: Deadlines,
+        timer_queue: TimerQueue,
         post: Post,
         has_flights: Callable[[UpstreamId], bool],
         crosses_zones: bool = True,
     ) -> None:
         self._own = own
         self._root = root
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._post = post
         self._has_flights = has_flights
         self._links: dict[UpstreamId, _Link] = {}
@@ -112,7 +112,7 @@
         if not self._opening:
             return
         self._open(next(iter(self._unopened.values())))
-        self._deadlines.call_after(OPEN_GAP_S, self._open_next)
+        self._timer_queue.call_later(OPEN_GAP_S, self._open_next)
 
     def _link(self, name: UpstreamId) -> _Link | None:
         """Return the link to an upstream, opened if it is not open yet."""
@@ -124,13 +124,17 @@
         self._unopened.pop(upstream.id, None)
         address = split_address(upstream.address)
         share = max(1, min(upstream.connections, self._connections))
-        limits = HttpLimits(connections=share, waiting=MAX_WAITING_REQUESTS)
-        one = HttpLimits(connections=1, waiting=MAX_WAITING_REQUESTS)
-        requests = HttpClient(address, self._deadlines, limits).register(self._root)
-        requests.open_all()
+        limits = HttpClientLimits(
+            max_connections=share, max_pending_requests=MAX_WAITING_REQUESTS
+        )
+        one = HttpClientLimits(
+            max_connections=1, max_pending_requests=MAX_WAITING_REQUESTS
+        )
+        requests = HttpClient(address, self._timer_queue, limits).register(self._root)
+        requests.connect_all()
         # Registered with the first poll: most upstreams have no task of this host.
-        polls = HttpClient(address, self._deadlines, one)
-        client = HttpUpstream(upstream.id, self._own, requests, polls)
+        polls = HttpClient(address, self._timer_queue, one)
+        client = HttpUpstreamClient(upstream.id, self._own, requests, polls)
         link = _Link(upstream.address, client, requests, polls)
         self._links[upstream.id] = link
         self._ask_usage(upstream.id, link)
@@ -148,7 +152,7 @@
         link = self._link(effect.upstream)
         tasks = tuple(start.task for start in effect.starts)
         if link is None:
-            self._post(StartsLost(effect.upstream, tasks, left=False))
+            self._post(StartRequestFailed(effect.upstream, tasks, maybe_sent=False))
             return
 
         def done(reply: Reply) -> None:
@@ -156,23 +160,23 @@
                 self._post(StartsReplied(reply.ok_value))
                 return
             left = isinstance(reply.err_value, OutcomeUnknown)
-            self._post(StartsLost(effect.upstream, tasks, left))
+            self._post(StartRequestFailed(effect.upstream, tasks, left))
 
         link.client.start(effect.starts, done)
         self._poll(effect.upstream, link)
 
-    def ask_status(self, effect: AskStatus) -> None:
+    def query_task_status(self, effect: QueryTaskStatus) -> None:
         """Ask how far tasks are and bar those that have not started."""
         link = self._link(effect.upstream)
         if link is None:
-            self._post(StatusLost(effect.upstream, effect.tasks))
+            self._post(StatusQueryFailed(effect.upstream, effect.tasks))
             return
 
         def done(reply: Reply) -> None:
             if isinstance(reply, Ok):
                 self._post(StatusReplied(reply.ok_value))
             else:
-                self._post(StatusLost(effect.upstream, effect.tasks))
+                self._post(StatusQueryFailed(effect.upstream, effect.tasks))
 
         link.client.status(effect.tasks, True, done)
 
@@ -206,10 +210,10 @@
         link.polling = False
         if isinstance(reply, Ok):
             self._take_results(link, reply.ok_value)
-            self._deadlines.call_after(0.0, lambda: self._poll_again(upstream, link))
+            self._timer_queue.call_later(0.0, lambda: self._poll_again(upstream, link))
         else:
             # The upstream keeps results until a later cursor, so none is lost.
-            self._deadlines.call_after(
+            self._timer_queue.call_later(
                 POLL_RETRY_S, lambda: self._poll_again(upstream, link)
             )
 
@@ -233,7 +237,7 @@
             if isinstance(reply, Ok):
                 self._post(UsageReplied(reply.ok_value))
             interval_s = max(USAGE_INTERVAL_S, len(self._links) / USAGE_REQUESTS_PER_S)
-            self._deadlines.call_after(
+            self._timer_queue.call_later(
                 interval_s, lambda: self._ask_again(upstream, link)
             )
 
--- a/jackdawspur/entry/tests/raw_callers.py
+++ b/jackdawspur/entry/tests/raw_callers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from jackdawspur.adapters import WebServer
-from jackdawspur.callers import reply_answer
+from jackdawspur.callers import answer_response
 from jackdawspur.configuration import (
     Readiness,
     ReadinessReason,
@@ -36,7 +36,7 @@
             self.answer(event.call)
 
     def answer(self, call: int) -> None:
-        self.reply(call, reply_answer(Answer(JobState.COMPLETE, outputs=("x",))))
+        self.reply(call, answer_response(Answer(JobState.COMPLETE, outputs=("x",))))
 
     def reply(self, number, reply) -> None:
         self.server.reply(number, reply)
--- a/jackdawspur/entry/tests/test_bad_input.py
+++ b/jackdawspur/entry/tests/test_bad_input.py
@@ -6,7 +6,7 @@
 
 import jackdawspur.adapters._web as web
 from jackdawspur.adapters.tests.conftest import Loop
-from jackdawspur.callers import reply_answer
+from jackdawspur.callers import answer_response
 from jackdawspur.configuration import (
     Configuration,
     CustomerEntry,
@@ -340,7 +340,7 @@
     caller.send(request(JOB))
     loop.until(lambda: host.server.open_calls)
     large = Answer(JobState.COMPLETE, outputs=("x" * 8_000_000,))
-    host.reply(host.submitted[-1].call, reply_answer(large))
+    host.reply(host.submitted[-1].call, answer_response(large))
     loop.settle()
     caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     caller.sock.close()
@@ -376,7 +376,7 @@
     def broken(_call):
         raise KeyError("boom")
 
-    monkeypatch.setattr(host.routes, "called", broken)
+    monkeypatch.setattr(host.routes, "handle_call", broken)
     caller = call()
     caller.send(request(JOB))
     reply = caller.reply()
--- a/jackdawspur/external/_errors.py
+++ b/jackdawspur/external/_errors.py
@@ -20,9 +20,9 @@
 class LogTrimmed(PlatformError):
     """Raise when the wanted offset was trimmed away.
 
-    `first` is the oldest offset that can still be read.
+    `first_offset` is the oldest offset that can still be read.
     """
 
     def __init__(self, first: int) -> None:
         super().__init__(f"the log now starts at offset {first}")
-        self.first = first
+        self.first_offset = first
--- a/jackdawspur/front/__init__.py
+++ b/jackdawspur/front/__init__.py
@@ -2,25 +2,25 @@
 
 from jackdawspur.front._ports import (
     CallerPort,
-    CallerQuestion,
-    QuestionKind,
+    CallerRequest,
+    RequestKind,
     StoreListener,
     StorePort,
     UpstreamPort,
 )
-from jackdawspur.front._process import Ports
-from jackdawspur.front._routes import RouteTable, UnreadableConfiguration
+from jackdawspur.front._process import PlatformPorts
+from jackdawspur.front._routes import ConfigurationDecodeError, RouteTable
 from jackdawspur.front._run import run_front
 
 __all__ = [
     "CallerPort",
-    "CallerQuestion",
-    "Ports",
-    "QuestionKind",
+    "CallerRequest",
+    "ConfigurationDecodeError",
+    "PlatformPorts",
+    "RequestKind",
     "RouteTable",
     "StoreListener",
     "StorePort",
-    "UnreadableConfiguration",
     "UpstreamPort",
     "run_front",
 ]
--- a/jackdawspur/front/_early_calls.py
+++ b/jackdawspur/front/_early_calls.py
@@ -34,12 +34,12 @@
         """Keep a call; tell whether there was room."""
         if len(self._calls) >= MOST_CALLS:
             return False
-        self._calls[call.number] = EarlyCall(call, now)
+        self._calls[call.call_id] = EarlyCall(call, now)
         return True
 
-    def drop(self, number: int) -> None:
+    def drop(self, call_id: int) -> None:
         """Forget a call whose caller left."""
-        self._calls.pop(number, None)
+        self._calls.pop(call_id, None)
 
     def take_all(self) -> list[EarlyCall]:
         """Return all calls, which are kept no more."""
@@ -51,5 +51,5 @@
         """Return the calls that waited for as long as they may."""
         late = [one for one in self._calls.values() if now - one.arrived >= LONGEST_S]
         for one in late:
-            del self._calls[one.call.number]
+            del self._calls[one.call.call_id]
         return late
--- a/jackdawspur/front/_gauges.py
+++ b/jackdawspur/front/_gauges.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from jackdawspur.metrics import ClassName, Histograms, Percentiles
+from jackdawspur.metrics import HistogramKey, Histograms, HistogramSummary
 from jackdawspur.runs import JobEnd, LossCause
 
 __all__ = ["Gauges"]
@@ -23,7 +23,7 @@
     def ended(self, route: str, end: JobEnd, took_ms: float) -> None:
         """Count the end of a job and record how long its caller waited."""
         self._counts[f"jobs_{end.value}"] += 1
-        self._times.record(ClassName(route, end.value), took_ms)
+        self._times.record(HistogramKey(route, end.value), took_ms)
 
     def lost(self, route: str, cause: LossCause) -> None:
         """Count a job that the leading host lost, by its cause."""
@@ -31,7 +31,7 @@
 
     def begun(self, route: str, last_start_ms: float) -> None:
         """Record how long after its coming the last task of a job first started."""
-        self._last_starts.record(ClassName(route, ""), last_start_ms)
+        self._last_starts.record(HistogramKey(route, ""), last_start_ms)
 
     def lines(self) -> list[str]:
         """Return one line for each counter and percentile."""
@@ -44,7 +44,7 @@
         return lines
 
 
-def _histogram(name: str, labels: str, one: Percentiles) -> list[str]:
+def _histogram(name: str, labels: str, one: HistogramSummary) -> list[str]:
     quantiles = (("0.5", one.p50), ("0.99", one.p99))
     return [
         f"jackdawspur_{name}_count{{{labels}}} {one.count}",
--- a/jackdawspur/front/_heartbeats.py
+++ b/jackdawspur/front/_heartbeats.py
@@ -10,11 +10,11 @@
 from jackdawspur.front._service import CallerService
 from jackdawspur.front._views import StoreView
 from jackdawspur.group import (
-    FOLLOWER_SILENCE_S,
-    SILENCE_S,
+    FOLLOWER_TIMEOUT_S,
+    HEARTBEAT_TIMEOUT_S,
     Group,
     HostAddress,
-    HostBeat,
+    HostHeartbeat,
     JobProgress,
 )
 
@@ -61,14 +61,14 @@
         may have to offer a job to one of these at any moment.
         """
         group = self._owner.group
-        leads = {beat.host.name for beat in group.other_leads(now)}
+        leads = {beat.host.name for beat in group.other_group_leaders(now)}
         leads |= self._owner.callers.far_leaders()
-        outsiders = group.outsiders
+        outsiders = group.other_group_hosts
         leading = tuple(host for host in outsiders if host.name in leads)
-        if not group.leads:
-            return group.known + leading
+        if not group.is_leader:
+            return group.known_peers + leading
         others = tuple(host for host in outsiders if host.name not in leads)
-        return group.known + leading + others
+        return group.known_peers + leading + others
 
     def send(self, now: float, to_all: bool = False) -> None:
         """Send what is due to each host, `to_all` when the leading host has changed."""
@@ -77,9 +77,9 @@
         done = owner.lead.progress_by_host()
         leader = group.leader(now)
         common = self._common(now)
-        tells = group.leads and self._sent % LEARNED_EVERY == 0
+        tells = group.is_leader and self._sent % LEARNED_EVERY == 0
         learned = owner.lead.learned(now) if tells else None
-        for peer in group.known:
+        for peer in group.known_peers:
             if not (to_all or self._is_due(peer.name, leader, now)):
                 continue
             silent_s = group.silent_s(peer.name, now)
@@ -89,7 +89,7 @@
             )
             self._mesh.send(peer.name, beat)
             self.redial_if_silent(peer.name, silent_s, now)
-        if group.leads:
+        if group.is_leader:
             self._send_outside(common, done, now, to_all)
 
     def greet(self, names: list[str], now: float) -> None:
@@ -117,17 +117,17 @@
         Each connection carries one direction and may go silent by itself; who sends on
         it learns that only from the other side. What is queued on it is lost.
         """
-        last = self._redialled.get(name, now - 2 * SILENCE_S)
+        last = self._redialled.get(name, now - 2 * HEARTBEAT_TIMEOUT_S)
         ends = (name, self._owner.address.name)
         leads = self._owner.group.leader(now) in ends
-        limit_s = REDIAL_S if leads else FOLLOWER_SILENCE_S
-        if silent_s > limit_s and now - last > SILENCE_S:
+        limit_s = REDIAL_S if leads else FOLLOWER_TIMEOUT_S
+        if silent_s > limit_s and now - last > HEARTBEAT_TIMEOUT_S:
             self._redialled[name] = now
             self._mesh.redial(name)
 
     def _send_outside(
         self,
-        common: HostBeat,
+        common: HostHeartbeat,
         done: dict[str, tuple[JobProgress, ...]],
         now: float,
         to_all: bool,
@@ -139,10 +139,10 @@
         """
         group = self._owner.group
         waiting = self._owner.lead.hosts()
-        leads = [beat.host.name for beat in group.other_leads(now)]
+        leads = [beat.host.name for beat in group.other_group_leaders(now)]
         offers_room = self._sent % OTHER_LEADS_EVERY == 0
         room = self._owner.lead.room_for(leads, now) if offers_room else {}
-        for peer in group.outsiders:
+        for peer in group.other_group_hosts:
             due = to_all or peer.name in waiting or peer.name in room
             if due or self._sent % OUTSIDERS_EVERY == 0:
                 silent_s = group.silent_s(peer.name, now)
@@ -153,21 +153,21 @@
                 )
                 self._mesh.send(peer.name, beat)
 
-    def _common(self, now: float) -> HostBeat:
+    def _common(self, now: float) -> HostHeartbeat:
         """Return what all hosts are told alike."""
         owner, group = self._owner, self._owner.group
         term = group.term(now)
-        return HostBeat(
+        return HostHeartbeat(
             host=owner.address,
             sent_at=now,
-            leads=group.leads,
-            fence=group.fence if group.leads else 0,
+            leads=group.is_leader,
+            fence=group.fence if group.is_leader else 0,
             ready=owner.able,
             draining=group.draining,
             slow=group.slow,
             configuration=owner.routes.version,
             upstreams_age_s=owner.views.age_s(now),
-            knows=group.known if self._sent % KNOWN_EVERY == 0 else (),
+            knows=group.known_peers if self._sent % KNOWN_EVERY == 0 else (),
             follows=term.fence if term else 0,
             by_zone=group.by_zone,
             too_large=group.too_large,
--- a/jackdawspur/front/_lead.py
+++ b/jackdawspur/front/_lead.py
@@ -11,37 +11,37 @@
 from jackdawspur.front._service import CallerService
 from jackdawspur.front._views import StoreView
 from jackdawspur.group import (
+    CapacityOffer,
     Group,
     GroupMessage,
     HostAddress,
-    HostBeat,
-    JobAnswered,
-    JobOffered,
-    JobPassedOn,
+    HostHeartbeat,
+    JobOffer,
     JobProgress,
-    RoomOffered,
-    is_late,
+    JobRedirect,
+    JobResult,
+    is_stale_message,
 )
 from jackdawspur.leases import Fence, UpstreamEntry
 from jackdawspur.model import HostId
 from jackdawspur.runs import (
     AnswerJob,
+    DecisionRecord,
     Dispatcher,
     DropCause,
     Effect,
-    JobBegun,
+    InitialTasksStarted,
     JobLost,
-    Learned,
-    LookAt,
-    Note,
+    LearnedStats,
     Offer,
-    PassJobOn,
-    Place,
+    PollUpstream,
     Progress,
-    SpareRoom,
+    RedirectJob,
+    RemoteLeader,
+    SpareCapacity,
     StartRun,
     StopRun,
-    deal,
+    split_round_robin,
 )
 
 __all__ = ["LeadDriver"]
@@ -87,11 +87,11 @@
         self._actions = {
             StartRun: self._start,
             StopRun: self._stop,
-            LookAt: self._look,
+            PollUpstream: self._look,
             AnswerJob: self._answer,
-            PassJobOn: self._pass_on,
-            Note: self._note,
-            JobBegun: self._begun,
+            RedirectJob: self._pass_on,
+            DecisionRecord: self._note,
+            InitialTasksStarted: self._begun,
             JobLost: self._lost,
         }
 
@@ -106,19 +106,19 @@
         log.info(
             "leadership",
             extra={
-                "leads": group.leads,
+                "leads": group.is_leader,
                 "fence": group.fence,
                 "leader": group.leader(now),
                 "handed_to": group.handed_to,
             },
         )
-        if group.leads:
+        if group.is_leader:
             self.upstreams_changed(now)
             self._compare_lists(now)
-            self._dispatcher.lead(group.fence, now)
+            self._dispatcher.start_leading(group.fence, now)
         else:
-            self._dispatcher.resign(now)
-            self._upstreams.keep_only(set())
+            self._dispatcher.stop_leading(now)
+            self._upstreams.close_connections_except(set())
 
     def upstreams_changed(self, now: float) -> None:
         """Use the newest list of upstreams."""
@@ -131,9 +131,13 @@
         ]
         listed = self._owner.views.entries
         self._dispatcher.set_upstreams(entries, now, listed, group.by_zone)
-        if self._dispatcher.leads:
-            held = {one.entry.address for one in self._dispatcher.fleet.held}
-            self._upstreams.keep_only({e.address for e in entries} | held)
+        if self._dispatcher.is_leader:
+            held = {
+                one.entry.address for one in self._dispatcher.upstream_pool.upstreams
+            }
+            self._upstreams.close_connections_except(
+                {e.address for e in entries} | held
+            )
         self._owner.flush_soon()
 
     def _usable(self, entry: UpstreamEntry) -> UpstreamEntry:
@@ -142,7 +146,7 @@
             return replace(entry, draining=True)
         return entry
 
-    def offered(self, message: JobOffered, now: float) -> None:
+    def offered(self, message: JobOffer, now: float) -> None:
         """Take a job of another host, if it is meant for the present term.
 
         A host that has not heard of the present one yet repeats an offer for the one
@@ -150,9 +154,9 @@
         """
         if self._is_late(message, now):
             return
-        self._owner.group.note_message(message.sender, now)
+        self._owner.group.record_message(message.sender, now)
         present = message.fence == self._owner.group.fence
-        if not self._dispatcher.leads or not present:
+        if not self._dispatcher.is_leader or not present:
             return
         arrived = now - message.age_ms / MS_PER_S
         deadline = now + message.left_ms / MS_PER_S
@@ -174,7 +178,7 @@
             now,
         )
 
-    def _is_late(self, message: JobOffered, now: float) -> bool:
+    def _is_late(self, message: JobOffer, now: float) -> bool:
         """Tell whether an offer was held up on its way, and say so in the log.
 
         It may wait seconds for the end of a cut, or of a connection that broke. Its
@@ -182,7 +186,7 @@
         tells its caller, who asks again. Taken as new the job would run twice at one
         time. Sound hosts' offers are a few milliseconds old, and repeated anyway.
         """
-        if not is_late(message.leader_at, now):
+        if not is_stale_message(message.leader_at, now):
             return False
         self._owner.gauges.count("late_offers")
         log.info(
@@ -212,46 +216,49 @@
         no fence would keep the runs of one job apart. Its host is heard by both, and
         its heartbeats repeat what a single message might lose.
         """
-        if self._dispatcher.leads and follows > self._owner.group.fence:
+        if self._dispatcher.is_leader and follows > self._owner.group.fence:
             self._dispatcher.drop_host(host, DropCause.HANDED_ON, now)
             self._owner.flush_soon()
 
-    def room_heard(self, beat: HostBeat, now: float) -> None:
+    def room_heard(self, beat: HostHeartbeat, now: float) -> None:
         """Take in the room that the leading host of another group offers."""
-        room = {one.service: SpareRoom(one.free, one.slow) for one in beat.room}
-        place = Place(beat.host.name, beat.fence)
-        self._dispatcher.room_offered(place, room, now)
+        room = {one.service: SpareCapacity(one.free, one.slow) for one in beat.room}
+        place = RemoteLeader(beat.host.name, beat.fence)
+        self._dispatcher.update_offered_capacity(place, room, now)
 
-    def learned(self, now: float) -> Learned | None:
+    def learned(self, now: float) -> LearnedStats | None:
         """Return what to tell the hosts of the own group of upstreams and routes."""
-        return self._dispatcher.estimates.told(now)
+        return self._dispatcher.estimates.next_update(now)
 
-    def learned_heard(self, beat: HostBeat, now: float) -> None:
+    def learned_heard(self, beat: HostHeartbeat, now: float) -> None:
         """Keep what the host that leads this one has learned."""
         leads = beat.host.name == self._owner.group.leader(now)
         if beat.learned is not None and leads:
-            self._dispatcher.estimates.take_in(beat.learned, now)
+            self._dispatcher.estimates.merge_update(beat.learned, now)
 
     def room_for(
         self, leaders: list[str], now: float
-    ) -> dict[str, tuple[RoomOffered, ...]]:
+    ) -> dict[str, tuple[CapacityOffer, ...]]:
         """Return what room is offered to each leading host of another group.
 
         Those whose jobs found none have all of it, if there are any.
         """
-        beats = self._owner.group.other_leads(now)
+        beats = self._owner.group.other_group_leaders(now)
         wanting = {beat.host.name for beat in beats if beat.wants_room}
         takers = [name for name in leaders if name in wanting] or leaders
-        room: dict[str, list[RoomOffered]] = {name: [] for name in leaders}
-        for service, spare in self._dispatcher.spare_room(now).items():
-            fast, slow = deal(spare.fast, takers), deal(spare.slow, takers)
+        room: dict[str, list[CapacityOffer]] = {name: [] for name in leaders}
+        for service, spare in self._dispatcher.spare_capacity(now).items():
+            fast, slow = (
+                split_round_robin(spare.fast, takers),
+                split_round_robin(spare.slow, takers),
+            )
             for name in takers:
-                room[name].append(RoomOffered(service, fast[name], slow[name]))
+                room[name].append(CapacityOffer(service, fast[name], slow[name]))
         return {name: tuple(offers) for name, offers in room.items()}
 
     def wants_room(self, now: float) -> bool:
         """Tell whether this host leads a group in which jobs found no room."""
-        return self._dispatcher.leads and self._dispatcher.wants_room(now)
+        return self._dispatcher.is_leader and self._dispatcher.needs_capacity(now)
 
     def hosts(self) -> set[str]:
         """Return the hosts whose jobs are here."""
@@ -259,16 +266,16 @@
 
     def fenced_for(self, now: float) -> float:
         """Return for how long an upstream has obeyed a higher fence."""
-        since = self._dispatcher.fleet.fenced_since
+        since = self._dispatcher.upstream_pool.fenced_since
         return now - since if since is not None else 0.0
 
     def progress_by_host(self) -> dict[str, tuple[JobProgress, ...]]:
         """Return what is new of jobs' tasks, by the host whose caller waits."""
-        if not self._dispatcher.leads:
+        if not self._dispatcher.is_leader:
             return {}
         news: dict[str, tuple[JobProgress, ...]] = {}
         told: dict[str, Progress] = {}
-        crashes = self._dispatcher.fleet.crashes
+        crashes = self._dispatcher.upstream_pool.crashes
         jobs_of = self._dispatcher.open_jobs.progress_by_host(crashes)
         for host, jobs in jobs_of.items():
             told.update(jobs)
@@ -279,22 +286,24 @@
 
     def tick(self, now: float) -> None:
         """Give up what is late or gone."""
-        if not self._dispatcher.leads:
+        if not self._dispatcher.is_leader:
             return
         group = self._owner.group
         for host in self._dispatcher.open_jobs.hosts():
             if not group.alive(host, now):
                 self._dispatcher.drop_host(host, DropCause.SILENT, now)
-        outsiders = set(filter(group.is_outside, self._dispatcher.open_jobs.hosts()))
-        self._dispatcher.drop_unrepeated(outsiders, now)
+        outsiders = set(
+            filter(group.is_in_other_group, self._dispatcher.open_jobs.hosts())
+        )
+        self._dispatcher.drop_unrefreshed(outsiders, now)
         self._compare_lists(now)
         self._dispatcher.tick(now)
 
     def _compare_lists(self, now: float) -> None:
         group, views = self._owner.group, self._owner.views
-        longest, all_read_at = group.others_lists(now)
-        behind = views.age_s(now) - group.newest_list_s(now) > BEHIND_S
-        self._dispatcher.compare_lists(longest, all_read_at, behind)
+        longest, all_read_at = group.peer_list_bounds(now)
+        behind = views.age_s(now) - group.newest_peer_list_age_s(now) > BEHIND_S
+        self._dispatcher.update_peer_lists(longest, all_read_at, behind)
 
     def flush(self, now: float) -> None:
         """Carry out what the decisions ask for."""
@@ -325,25 +334,25 @@
 
         self._upstreams.stop(order, replied)
 
-    def _look(self, order: LookAt) -> None:
+    def _look(self, order: PollUpstream) -> None:
         self._owner.gauges.count("looks")
 
         def replied(result) -> None:
-            self._dispatcher.look_replied(order, result, now_s())
+            self._dispatcher.poll_replied(order, result, now_s())
             self._owner.flush_soon()
 
-        self._upstreams.look(order, replied)
+        self._upstreams.poll_runs(order, replied)
 
     def _answer(self, answer: AnswerJob) -> None:
-        message = JobAnswered(answer.job, answer.call, answer.handed, answer.outcome)
+        message = JobResult(answer.job, answer.call, answer.handovers, answer.outcome)
         if answer.host == self._owner.address.name:
             self._owner.callers.answered(message)
         else:
             self._owner.send(answer.host, message)
 
-    def _pass_on(self, order: PassJobOn) -> None:
-        place = order.place
-        message = JobPassedOn(
+    def _pass_on(self, order: RedirectJob) -> None:
+        place = order.remote_leader
+        message = JobRedirect(
             order.job, order.call, order.attempt, place.leader, place.fence
         )
         if order.host == self._owner.address.name:
@@ -351,14 +360,14 @@
         else:
             self._owner.send(order.host, message)
 
-    def _note(self, note: Note) -> None:
+    def _note(self, note: DecisionRecord) -> None:
         inputs = dict(note.inputs)
         log.info(
             note.decision.value,
             extra={"job": note.job, "upstream": note.upstream, "inputs": inputs},
         )
 
-    def _begun(self, begun: JobBegun) -> None:
+    def _begun(self, begun: InitialTasksStarted) -> None:
         self._owner.gauges.begun(begun.route, begun.last_start_ms)
 
     def _lost(self, lost: JobLost) -> None:
--- a/jackdawspur/front/_mesh.py
+++ b/jackdawspur/front/_mesh.py
@@ -9,8 +9,8 @@
 from jackdawspur.adapters import Inbox, Outbox
 from jackdawspur.group import (
     GroupMessage,
+    GroupMessageDecodeError,
     HostAddress,
-    UnreadableGroupMessage,
     decode_message,
     encode_message,
 )
@@ -40,7 +40,7 @@
         self._deliver = deliver
         self._out: dict[str, tuple[HostAddress, Outbox]] = {}
         Inbox(bind, poller, MAX_MESSAGE_BYTES, self._receive).register(self)
-        self.dropped = 0
+        self.dropped_messages = 0
         self.bytes_sent = 0
 
     def set_peers(self, hosts: tuple[HostAddress, ...]) -> list[str]:
@@ -72,11 +72,11 @@
         """Queue a message; False when the host is unknown or its queue is full."""
         known = self._out.get(name)
         if known is None:
-            self.dropped += 1
+            self.dropped_messages += 1
             return False
         data = encode_message(message)
         if not known[1].send(data):
-            self.dropped += 1
+            self.dropped_messages += 1
             return False
         self.bytes_sent += len(data)
         return True
@@ -91,5 +91,5 @@
     def _receive(self, data: bytes) -> None:
         try:
             self._deliver(decode_message(data))
-        except UnreadableGroupMessage as error:
+        except GroupMessageDecodeError as error:
             log.warning("message dropped", extra={"reason": str(error)})
--- a/jackdawspur/front/_own_jobs.py
+++ b/jackdawspur/front/_own_jobs.py
@@ -10,7 +10,7 @@
     JobOutcome,
     JobRequest,
     Progress,
-    TaskTrouble,
+    TaskFailureCounts,
 )
 
 __all__ = ["OwnJob", "OwnJobs"]
@@ -38,11 +38,11 @@
     arrived: float
     deadline: float
     limit: WaitLimit
-    handed: int = 0
+    handovers: int = 0
     offered_to: Term | None = None
     offered_at: float = 0.0
     done: set[str] = field(default_factory=set)
-    troubles: dict[str, TaskTrouble] = field(default_factory=dict)
+    troubles: dict[str, TaskFailureCounts] = field(default_factory=dict)
     attempt: int = 0
     far: Term | None = None
     far_since: float = 0.0
@@ -160,7 +160,7 @@
     A job that was handed to a host may have run there, so only one that never was is
     refused as not run.
     """
-    never_offered = job.offered_to is None and not job.handed
+    never_offered = job.offered_to is None and not job.handovers
     if now >= job.deadline:
         if never_offered:
             return JobOutcome(JobEnd.REFUSED, True, RETRY_AFTER_S, "no leading host")
--- a/jackdawspur/front/_pages.py
+++ b/jackdawspur/front/_pages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from jackdawspur.adapters import Call, WebService
-from jackdawspur.callers import HttpReply
+from jackdawspur.callers import HttpResponse
 from jackdawspur.front._clock import now_s
 from jackdawspur.front._gauges import Gauges
 from jackdawspur.front._mesh import Mesh
@@ -25,7 +25,7 @@
     late_s: float
     mesh: Mesh
 
-    def reply_metrics(self, number: int, reply: HttpReply) -> None:
+    def reply_metrics(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a request for a page."""
 
 
@@ -35,37 +35,37 @@
     def __init__(self, owner: PageOwner) -> None:
         self._owner = owner
 
-    def called(self, call: Call) -> None:
+    def handle_call(self, call: Call) -> None:
         """Answer with one page."""
         reply = self._status(call) if call.path == STATUS_PATH else self._metrics()
-        self._owner.reply_metrics(call.number, reply)
+        self._owner.reply_metrics(call.call_id, reply)
 
-    def closed(self, number: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Do nothing; a page keeps nothing."""
 
-    def _status(self, call: Call) -> HttpReply:
+    def _status(self, call: Call) -> HttpResponse:
         status = status_of(self._owner, now_s())
         if AS_TEXT in call.query:
-            return HttpReply(200, text_of(status).encode(), content_type=TEXT)
-        return HttpReply(200, msgspec.json.encode(status))
+            return HttpResponse(200, text_of(status).encode(), content_type=TEXT)
+        return HttpResponse(200, msgspec.json.encode(status))
 
-    def _metrics(self) -> HttpReply:
+    def _metrics(self) -> HttpResponse:
         lines = [*self._owner.gauges.lines(), *_gauge_lines(self._owner), ""]
-        return HttpReply(200, "\n".join(lines).encode(), content_type=TEXT)
+        return HttpResponse(200, "\n".join(lines).encode(), content_type=TEXT)
 
 
 def _gauge_lines(owner: PageOwner) -> list[str]:
     """Return one line for each figure of this moment."""
     now = now_s()
     return [
-        f"jackdawspur_leads {int(owner.group.leads)}",
+        f"jackdawspur_leads {int(owner.group.is_leader)}",
         f"jackdawspur_configuration_version {owner.routes.version}",
         f"jackdawspur_upstreams {len(owner.views.entries)}",
         f"jackdawspur_upstreams_age_s {owner.views.age_s(now):.3f}",
-        f"jackdawspur_hosts_alive {len(owner.group.present_beats(now)) + 1}",
+        f"jackdawspur_hosts_alive {len(owner.group.running_heartbeats(now)) + 1}",
         f"jackdawspur_open_jobs {len(owner.lead.dispatcher.open_jobs)}",
         f"jackdawspur_callers_waiting {owner.callers.waiting}",
-        f"jackdawspur_messages_dropped {owner.mesh.dropped}",
+        f"jackdawspur_messages_dropped {owner.mesh.dropped_messages}",
         f"jackdawspur_message_bytes_sent {owner.mesh.bytes_sent}",
         f"jackdawspur_loop_late_ms {owner.late_s * 1000:.3f}",
     ]
--- a/jackdawspur/front/_ports.py
+++ b/jackdawspur/front/_ports.py
@@ -6,14 +6,14 @@
 from enum import Enum
 
 from jackdawspur.adapters import Call
-from jackdawspur.callers import HttpReply
+from jackdawspur.callers import HttpResponse
 from jackdawspur.front._routes import RouteTable
 from jackdawspur.group import HostAddress
-from jackdawspur.leases import CallOutcome, LookReport, UpstreamEntry
+from jackdawspur.leases import CallOutcome, PollReport, UpstreamEntry
 from jackdawspur.runs import (
     JobOutcome,
     JobRequest,
-    LookAt,
+    PollUpstream,
     Route,
     StartRun,
     StopRun,
@@ -21,8 +21,8 @@
 
 __all__ = [
     "CallerPort",
-    "CallerQuestion",
-    "QuestionKind",
+    "CallerRequest",
+    "RequestKind",
     "StoreListener",
     "StorePort",
     "UpstreamPort",
@@ -41,13 +41,13 @@
         """Stop a run."""
 
     @abc.abstractmethod
-    def look(
-        self, order: LookAt, done: Callable[[LookReport | CallOutcome], None]
+    def poll_runs(
+        self, order: PollUpstream, done: Callable[[PollReport | CallOutcome], None]
     ) -> None:
         """Ask for all runs and prolong the lease."""
 
     @abc.abstractmethod
-    def keep_only(self, addresses: set[str]) -> None:
+    def close_connections_except(self, addresses: set[str]) -> None:
         """Close the connections to all other addresses."""
 
 
@@ -56,27 +56,27 @@
 
     @property
     @abc.abstractmethod
-    def list_every_s(self) -> float:
+    def upstream_list_interval_s(self) -> float:
         """Return how often the list of upstreams is to be read, in seconds."""
 
     @abc.abstractmethod
-    def configuration_read(self, version: int, document: bytes) -> None:
+    def on_configuration(self, version: int, document: bytes) -> None:
         """Take in the newest configuration, as published."""
 
     @abc.abstractmethod
-    def upstreams_read(self, entries: tuple[UpstreamEntry, ...]) -> None:
+    def on_upstreams(self, entries: tuple[UpstreamEntry, ...]) -> None:
         """Take in the whole list of upstreams."""
 
     @abc.abstractmethod
-    def evacuated_read(self, zones: frozenset[str]) -> None:
+    def on_evacuated_zones(self, zones: frozenset[str]) -> None:
         """Take in the zones on whose upstreams nothing more may start."""
 
     @abc.abstractmethod
-    def hosts_read(self, hosts: tuple[HostAddress, ...]) -> None:
+    def on_hosts(self, hosts: tuple[HostAddress, ...]) -> None:
         """Take in the hosts that announced themselves."""
 
     @abc.abstractmethod
-    def store_changed(self, reachable: bool, reason: str) -> None:
+    def on_store_reachability(self, reachable: bool, reason: str) -> None:
         """Take in that the store is lost or regained."""
 
 
@@ -84,7 +84,7 @@
     """Follow the platform's store."""
 
     @abc.abstractmethod
-    def follow(self, listener: StoreListener) -> None:
+    def start_watch(self, listener: StoreListener) -> None:
         """Begin to read, and never stop."""
 
     @abc.abstractmethod
@@ -92,7 +92,7 @@
         """Publish where this host is, until it worked."""
 
 
-class QuestionKind(Enum):
+class RequestKind(Enum):
     """Say what a caller wants."""
 
     SUBMIT = "submit"
@@ -102,43 +102,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerQuestion:
-    """Carry one caller's request; `patience_s` is how long it waits, if it said so."""
+class CallerRequest:
+    """Carry one caller's request; `caller_timeout_s` is how long it waits, if it said
+    so."""
 
-    kind: QuestionKind
+    kind: RequestKind
     route: Route
     job: str
     request: JobRequest | None
-    patience_s: float | None
+    caller_timeout_s: float | None
 
 
 class CallerPort(abc.ABC):
     """Translate between callers and the product."""
 
     @abc.abstractmethod
-    def read_call(self, call: Call, routes: RouteTable) -> CallerQuestion | HttpReply:
+    def decode_call(
+        self, call: Call, routes: RouteTable
+    ) -> CallerRequest | HttpResponse:
         """Return what a caller asks, or the refusal of what can't be understood."""
 
     @abc.abstractmethod
-    def reply_outcome(self, outcome: JobOutcome) -> HttpReply:
+    def encode_outcome(self, outcome: JobOutcome) -> HttpResponse:
         """Return the reply to a submission."""
 
     @abc.abstractmethod
-    def reply_count(self, waiting: int) -> HttpReply:
+    def encode_waiting_count(self, waiting: int) -> HttpResponse:
         """Return the reply to a question how many jobs wait."""
 
     @abc.abstractmethod
-    def reply_unknown_job(self) -> HttpReply:
+    def encode_unknown_job(self) -> HttpResponse:
         """Return the reply to a question about a job that is not here."""
 
     @abc.abstractmethod
-    def reply_cancelled(self) -> HttpReply:
+    def encode_cancelled(self) -> HttpResponse:
         """Return the reply to a cancel that was carried out."""
 
     @abc.abstractmethod
-    def reply_not_ready(self, reason: str) -> HttpReply:
+    def encode_not_ready(self, reason: str) -> HttpResponse:
         """Return the refusal of a host that can't serve yet."""
 
     @abc.abstractmethod
-    def read_configuration(self, document: bytes) -> RouteTable:
-        """Return the routes of a configuration; raise `UnreadableConfiguration`."""
+    def decode_configuration(self, document: bytes) -> RouteTable:
+        """Return the routes of a configuration; raise `ConfigurationDecodeError`."""
