--- a/jackdawspur/front/_process.py
+++ b/jackdawspur/front/_process.py
@@ -7,8 +7,8 @@
 from circuits import Component, Event as LoopEvent, handler
 from circuits.core.pollers import EPoll
 
-from jackdawspur.adapters import Deadlines, WebServer
-from jackdawspur.callers import HttpReply
+from jackdawspur.adapters import TimerQueue, WebServer
+from jackdawspur.callers import HttpResponse
 from jackdawspur.front._clock import now_s, unix_ms
 from jackdawspur.front._gauges import Gauges
 from jackdawspur.front._heartbeats import Heartbeats
@@ -21,22 +21,22 @@
 from jackdawspur.front._service import CallerService, ReadyService
 from jackdawspur.front._views import StoreView
 from jackdawspur.group import (
-    BEAT_S,
-    ConfigurationPassed,
+    HEARTBEAT_INTERVAL_S,
+    ConfigurationUpdate,
     Group,
     GroupMessage,
     HostAddress,
-    HostBeat,
+    HostHeartbeat,
     HostLimits,
-    JobAnswered,
-    JobDropped,
-    JobOffered,
-    JobPassedOn,
-    UpstreamsPassed,
+    JobCancellation,
+    JobOffer,
+    JobRedirect,
+    JobResult,
+    UpstreamListUpdate,
 )
 from jackdawspur.settings import HostSettings
 
-__all__ = ["FrontProcess", "Ports"]
+__all__ = ["FrontProcess", "PlatformPorts"]
 
 TICK_S = 0.025
 NEVER_S = float("inf")
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ports:
+class PlatformPorts:
     """Carry the adapter's ways to the platform."""
 
     callers: CallerPort
@@ -83,7 +83,7 @@
         self,
         settings: HostSettings,
         poller: EPoll,
-        make_ports: Callable[[Component, Deadlines], Ports],
+        make_ports: Callable[[Component, TimerQueue], PlatformPorts],
         read_settings: Callable[[], HostSettings],
     ) -> None:
         """Open the sockets; circuits passes the constructor's arguments."""
@@ -95,9 +95,9 @@
         self.address = _address(settings, limits)
         self.routes: RouteTable = NO_ROUTES
         self.gauges = Gauges()
-        self._deadlines = Deadlines(now_s).register(self)
-        self._ports = make_ports(self, self._deadlines)
-        most_upstreams = min(settings.most_upstreams, limits.upstreams)
+        self._timer_queue = TimerQueue(now_s).register(self)
+        self._ports = make_ports(self, self._timer_queue)
+        most_upstreams = min(settings.most_upstreams, limits.max_upstreams)
         self.group = Group(self.address, now, most_upstreams)
         self.views = StoreView(self)
         self.mesh = Mesh(settings.link, poller, self._on_message).register(self)
@@ -114,7 +114,7 @@
         self.late_s = 0.0
         self._drain_from: float | None = None
         self._exiting = False
-        self._deadlines.call_after(0.0, self._begin)
+        self._timer_queue.call_later(0.0, self._begin)
         place = {"host": settings.name, "zone": settings.zone}
         log.info("host started", extra={**place, **limits.log_fields()})
 
@@ -144,17 +144,17 @@
         """Return when a host that drains ends at the latest."""
         return self._drain_from + self._settings.grace_s - DRAIN_MARGIN_S
 
-    def reply(self, number: int, reply: HttpReply) -> None:
+    def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a caller."""
-        self._web.reply(number, reply)
+        self._web.reply(call_id, reply)
 
-    def reply_ready(self, number: int, reply: HttpReply) -> None:
+    def reply_ready(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a look at readiness."""
-        self._ready_web.reply(number, reply)
+        self._ready_web.reply(call_id, reply)
 
-    def reply_metrics(self, number: int, reply: HttpReply) -> None:
+    def reply_metrics(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to an operator."""
-        self._metrics_web.reply(number, reply)
+        self._metrics_web.reply(call_id, reply)
 
     def send(self, host: str, message: GroupMessage) -> None:
         """Send a message to another host."""
@@ -163,7 +163,7 @@
     def upstreams_changed(self) -> None:
         """Use a new list of upstreams, of all zones or of the own one."""
         now = now_s()
-        self.group.set_size(len(self.views.entries), now)
+        self.group.set_upstream_count(len(self.views.entries), now)
         if self.group.by_zone == self._by_zone:
             self.lead.upstreams_changed(now)
         else:
@@ -173,7 +173,7 @@
         """Use the upstreams of the zones that the group has now."""
         self._by_zone = self.group.by_zone
         self.lead.upstreams_changed(now)
-        if self.group.leads:
+        if self.group.is_leader:
             # Hosts that now belong to another group choose its leading host.
             log.info("group changed", extra={"by_zone": self._by_zone})
             self._beat(now, to_all=True)
@@ -186,7 +186,7 @@
         """
         if not self._greeting:
             self._greeting = True
-            self._deadlines.call_after(GREET_S, self._greet)
+            self._timer_queue.call_later(GREET_S, self._greet)
 
     def _greet(self) -> None:
         self._greeting = False
@@ -198,7 +198,7 @@
 
     def waiting_jobs(self, route: str) -> int:
         """Return the number of a route's jobs that wait, as far as known here."""
-        return self.lead.dispatcher.open_jobs.not_begun(route)
+        return self.lead.dispatcher.open_jobs.count_not_started(route)
 
     def set_routes(self, routes: RouteTable) -> None:
         """Serve these routes from now on; older versions are ignored."""
@@ -213,9 +213,9 @@
             if routes.services != services:
                 self.upstreams_changed()
 
-    def read_configuration(self, document: bytes) -> RouteTable:
-        """Return the routes of a document; raise `UnreadableConfiguration`."""
-        return self._ports.callers.read_configuration(document)
+    def decode_configuration(self, document: bytes) -> RouteTable:
+        """Return the routes of a document; raise `ConfigurationDecodeError`."""
+        return self._ports.callers.decode_configuration(document)
 
     def flush_soon(self) -> None:
         """Let the decisions act at the end of this pass."""
@@ -228,7 +228,7 @@
         if when < self._flush_due:
             self._flush_due = when
             wait_s = max(0.0, when - now_s())
-            self._deadlines.call_after(wait_s, self._flush_overdue)
+            self._timer_queue.call_later(wait_s, self._flush_overdue)
 
     def _flush_overdue(self) -> None:
         self._flush_due = NEVER_S
@@ -242,7 +242,7 @@
     def _begin(self) -> None:
         self._tick_due = now_s()
         self._tick()
-        self._ports.store.follow(self.views)
+        self._ports.store.start_watch(self.views)
         self._ports.store.announce(self.address)
 
     def _tick(self) -> None:
@@ -253,12 +253,12 @@
         self._tick_due = now + tick_s
         # First, so that an error further down costs one tick and not all to come: a
         # host without ticks tells nobody that it lives, and no signal would stop it.
-        self._deadlines.call_after(tick_s, self._tick)
+        self._timer_queue.call_later(tick_s, self._tick)
         if self._reload_asked:
             self._reload_asked = False
             self._settings = reloaded(self._settings, self._read_settings)
         self.group.slow = self.late_s > SLOW_LATE_S
-        self.group.store_reached = self.views.reachable
+        self.group.store_reachable = self.views.reachable
         self._connect(now)
         self._follow_leader(now)
         self.callers.tick(now)
@@ -274,16 +274,16 @@
     def _calm(self, now: float) -> bool:
         """Tell whether this host only follows."""
         group = self.group
-        led = group.leader(now) is not None and not group.leads
+        led = group.leader(now) is not None and not group.is_leader
         return led and not self.callers.waiting and not group.draining
 
     def _beat(self, now: float, to_all: bool = False) -> None:
         """Send heartbeats; those due between two ticks go with the earlier one."""
-        self._beat_due = now + BEAT_S - TICK_S / 2
+        self._beat_due = now + HEARTBEAT_INTERVAL_S - TICK_S / 2
         self._heartbeats.send(now, to_all)
 
     def _follow_leader(self, now: float) -> None:
-        changed = self.group.decide(self.able, unix_ms(), now)
+        changed = self.group.update_leadership(self.able, unix_ms(), now)
         if self.group.by_zone != self._by_zone:
             self._zones_changed(now)
         if changed:
@@ -304,18 +304,18 @@
     def _pass_on(self, now: float) -> None:
         """Give peers what the store refuses them: a newer configuration, the list."""
         group = self.group
-        others = group.other_leads(now) if group.leads else []
+        others = group.other_group_leaders(now) if group.is_leader else []
         for beat in (*group.live_beats(now), *others):
             if beat.configuration < self.routes.version and self.views.document:
-                passed = ConfigurationPassed(self.routes.version, self.views.document)
+                passed = ConfigurationUpdate(self.routes.version, self.views.document)
                 self.mesh.send(beat.host.name, passed)
             age = self.views.age_s(now)
             fresh = beat.upstreams_age_s > STALE_LIST_S > age
             # A host that started after the store went away has none, and could not
             # lead when the others are gone.
             if fresh or beat.upstreams_age_s - age > STALE_LIST_S:
-                passed = UpstreamsPassed(
-                    group.clock_of(beat.host.name, now),
+                passed = UpstreamListUpdate(
+                    group.clock_lower_bound(beat.host.name, now),
                     age,
                     self.views.entries,
                     tuple(self.views.evacuated),
@@ -324,24 +324,24 @@
 
     def _on_message(self, message: GroupMessage) -> None:
         now = now_s()
-        if isinstance(message, HostBeat):
+        if isinstance(message, HostHeartbeat):
             self._heard(message, now)
-        elif isinstance(message, JobOffered):
+        elif isinstance(message, JobOffer):
             self.lead.offered(message, now)
-        elif isinstance(message, JobPassedOn):
+        elif isinstance(message, JobRedirect):
             self.callers.passed_on(message)
-        elif isinstance(message, JobDropped):
+        elif isinstance(message, JobCancellation):
             self.lead.dropped(message.sender, message.job, message.call, now)
-        elif isinstance(message, JobAnswered):
+        elif isinstance(message, JobResult):
             self.callers.answered(message)
-        elif isinstance(message, ConfigurationPassed):
-            self.views.configuration_read(message.version, message.document)
-        elif isinstance(message, UpstreamsPassed):
+        elif isinstance(message, ConfigurationUpdate):
+            self.views.on_configuration(message.version, message.document)
+        elif isinstance(message, UpstreamListUpdate):
             self.views.upstreams_passed(message, now)
         self.flush_soon()
 
-    def _heard(self, beat: HostBeat, now: float) -> None:
-        if self.group.heard(beat, now):
+    def _heard(self, beat: HostHeartbeat, now: float) -> None:
+        if self.group.record_heartbeat(beat, now):
             self.hosts_learned()
         for progress in beat.progress:
             self.callers.note_progress(progress)
@@ -372,12 +372,12 @@
         """Stop once no caller waits and the balancer sends nobody any more."""
         if self._drain_from is None or self._exiting:
             return
-        idle = not self._web.open_calls and not self.group.leads
+        idle = not self._web.open_calls and not self.group.is_leader
         settled = now - self._drain_from > LEAST_DRAIN_S
         if now > self._stops_at or (idle and settled):
             self._exiting = True
-            self._web.close_idle()
-            self._deadlines.call_after(EXIT_GRACE_S, self._exit)
+            self._web.close_idle_connections()
+            self._timer_queue.call_later(EXIT_GRACE_S, self._exit)
 
     def _exit(self) -> None:
         """Stop, unless a request came on a connection that was to be closed."""
--- a/jackdawspur/front/_routes.py
+++ b/jackdawspur/front/_routes.py
@@ -5,10 +5,10 @@
 from jackdawspur.exceptions import JackdawspurError
 from jackdawspur.runs import Route
 
-__all__ = ["NO_ROUTES", "RouteTable", "UnreadableConfiguration"]
+__all__ = ["ConfigurationDecodeError", "NO_ROUTES", "RouteTable"]
 
 
-class UnreadableConfiguration(JackdawspurError):
+class ConfigurationDecodeError(JackdawspurError):
     """Raise when a configuration can't be used; names the field."""
 
 
--- a/jackdawspur/front/_run.py
+++ b/jackdawspur/front/_run.py
@@ -7,8 +7,8 @@
 from circuits import Component
 from circuits.core.pollers import EPoll
 
-from jackdawspur.adapters import Deadlines
-from jackdawspur.front._process import FrontProcess, Ports
+from jackdawspur.adapters import TimerQueue
+from jackdawspur.front._process import FrontProcess, PlatformPorts
 from jackdawspur.settings import HostSettings
 
 __all__ = ["run_front"]
@@ -19,7 +19,7 @@
 
 def run_front(
     settings: HostSettings,
-    make_ports: Callable[[Component, Deadlines], Ports],
+    make_ports: Callable[[Component, TimerQueue], PlatformPorts],
     read_settings: Callable[[], HostSettings],
 ) -> None:
     """Run a host until it is told to stop and has drained."""
--- a/jackdawspur/front/_service.py
+++ b/jackdawspur/front/_service.py
@@ -4,23 +4,23 @@
 from typing import Protocol
 
 from jackdawspur.adapters import Call, WebService
-from jackdawspur.callers import HttpReply
+from jackdawspur.callers import HttpResponse
 from jackdawspur.front._clock import now_s
 from jackdawspur.front._early_calls import EarlyCalls
 from jackdawspur.front._gauges import Gauges
 from jackdawspur.front._limits import WaitLimit
 from jackdawspur.front._own_jobs import OwnJob, OwnJobs
-from jackdawspur.front._ports import CallerPort, CallerQuestion, QuestionKind
+from jackdawspur.front._ports import CallerPort, CallerRequest, RequestKind
 from jackdawspur.front._routes import RouteTable
 from jackdawspur.group import (
     Group,
     GroupMessage,
     HostAddress,
-    JobAnswered,
-    JobDropped,
-    JobOffered,
-    JobPassedOn,
+    JobCancellation,
+    JobOffer,
     JobProgress,
+    JobRedirect,
+    JobResult,
     Term,
 )
 from jackdawspur.runs import JobEnd, JobOutcome, Offer
@@ -35,8 +35,8 @@
 # A host counts as lost after 0.4 s without a sign; offers are all that another group's
 # leading host hears of this one.
 FAR_AGAIN_S = 0.12
-READY = HttpReply(200, b"{}")
-NOT_READY = HttpReply(503, b"{}")
+READY = HttpResponse(200, b"{}")
+NOT_READY = HttpResponse(503, b"{}")
 
 log = logging.getLogger("jackdawspur.callers")
 
@@ -51,10 +51,10 @@
     lead: "JobTaker"
     ready: bool
 
-    def reply(self, number: int, reply: HttpReply) -> None:
+    def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a caller."""
 
-    def reply_ready(self, number: int, reply: HttpReply) -> None:
+    def reply_ready(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a look at readiness."""
 
     def waiting_jobs(self, route: str) -> int:
@@ -80,12 +80,12 @@
     def __init__(self, owner: ServiceOwner) -> None:
         self._owner = owner
 
-    def called(self, call: Call) -> None:
+    def handle_call(self, call: Call) -> None:
         """Answer one look."""
         reply = READY if self._owner.ready else NOT_READY
-        self._owner.reply_ready(call.number, reply)
+        self._owner.reply_ready(call.call_id, reply)
 
-    def closed(self, number: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Do nothing; a look keeps nothing."""
 
 
@@ -104,7 +104,7 @@
         """Return the number of callers that wait."""
         return len(self._jobs)
 
-    def called(self, call: Call) -> None:
+    def handle_call(self, call: Call) -> None:
         """Take one request."""
         now = now_s()
         if self._owner.routes.version:
@@ -118,24 +118,24 @@
             self._read(early.call, early.arrived)
 
     def _refuse_early(self, call: Call) -> None:
-        reply = self._port.reply_not_ready("no configuration yet")
-        self._owner.reply(call.number, reply)
+        reply = self._port.encode_not_ready("no configuration yet")
+        self._owner.reply(call.call_id, reply)
 
     def _read(self, call: Call, arrived: float) -> None:
-        asked = self._port.read_call(call, self._owner.routes)
-        if isinstance(asked, HttpReply):
+        asked = self._port.decode_call(call, self._owner.routes)
+        if isinstance(asked, HttpResponse):
             log.info(
                 "request refused",
                 extra={"path": call.path, "status": asked.status},
             )
-            self._owner.reply(call.number, asked)
+            self._owner.reply(call.call_id, asked)
             return
         self._asked(call, asked, arrived)
 
-    def closed(self, number: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Stop the job of a caller that left, at once."""
-        self._early.drop(number)
-        job = self._jobs.take(number)
+        self._early.drop(call_id)
+        job = self._jobs.take(call_id)
         if job is None:
             return
         self._owner.gauges.count("callers_left")
@@ -153,7 +153,7 @@
         for early in self._early.take_all():
             self._refuse_early(early.call)
 
-    def answered(self, answer: JobAnswered) -> None:
+    def answered(self, answer: JobResult) -> None:
         """Pass the leading host's answer on to the caller.
 
         A result is one whoever had the job. A refusal of a host that led before says
@@ -162,7 +162,7 @@
         job = self._jobs.find(answer.call, answer.job)
         if job is None:
             return
-        earlier = answer.handed != job.handed
+        earlier = answer.handed != job.handovers
         if earlier and answer.outcome.end not in (JobEnd.COMPLETE, JobEnd.FAILED):
             return
         self._jobs.take(job.call)
@@ -170,14 +170,14 @@
             self._drop(job)
         self._reply(job, answer.outcome)
 
-    def passed_on(self, message: JobPassedOn) -> None:
+    def passed_on(self, message: JobRedirect) -> None:
         """Offer a job to another group, for which the own one has no room.
 
         Only what was never handed over: an earlier leading host may run it. And only in
         reply to the last offer: the leading host has taken that one, and may run it.
         """
         job = self._jobs.find(message.call, message.job)
-        if job is None or job.handed or job.far is not None:
+        if job is None or job.handovers or job.far is not None:
             return
         if message.attempt != job.attempt:
             return
@@ -201,7 +201,7 @@
             self._refuse_early(early.call)
         group = self._owner.group
         leaderless = group.leader(now) is None
-        patience_s = 0.0 if group.yielding else LEADERLESS_S
+        patience_s = 0.0 if group.backing_off else LEADERLESS_S
         for job, outcome in self._jobs.given_up(leaderless, patience_s, now):
             self._jobs.take(job.call)
             self._drop(job)
@@ -215,7 +215,7 @@
         The repeated offer is also what tells that group that this host lives. When it
         is lost the job may have run there, on upstreams that this group does not hold.
         """
-        if self._owner.group.still_leads(job.far, job.far_since, now):
+        if self._owner.group.is_term_active(job.far, job.far_since, now):
             if now - job.offered_at > FAR_AGAIN_S:
                 self._offer(job, job.far, now)
         elif job.passed_on:
@@ -230,7 +230,7 @@
         group = self._owner.group
         term = group.term(now)
         for job in self._jobs.left_behind(term):
-            if group.leads_apart(job.offered_to, now):
+            if group.leads_other_group(job.offered_to, now):
                 self._stay(job, now)
         if term is None:
             return
@@ -261,7 +261,7 @@
         self._offer(job, job.far, now)
 
     def _hand_over(self, job: OwnJob, term: Term) -> None:
-        job.handed += 1
+        job.handovers += 1
         job.earlier_all_zones = job.all_zones
         job.outranked = job.highest > term.fence
         log.info(
@@ -272,33 +272,33 @@
                 "before_fence": job.offered_to.fence,
                 "leader": term.leader,
                 "fence": term.fence,
-                "hand_overs": job.handed,
+                "hand_overs": job.handovers,
             },
         )
 
-    def _asked(self, call: Call, asked: CallerQuestion, arrived: float) -> None:
-        if asked.kind is QuestionKind.SUBMIT:
+    def _asked(self, call: Call, asked: CallerRequest, arrived: float) -> None:
+        if asked.kind is RequestKind.SUBMIT:
             self._submit(call, asked, arrived)
-        elif asked.kind is QuestionKind.COUNT:
+        elif asked.kind is RequestKind.COUNT:
             waiting = self._owner.waiting_jobs(asked.route.name)
-            self._owner.reply(call.number, self._port.reply_count(waiting))
-        elif asked.kind is QuestionKind.CANCEL and self._cancel(asked.job):
-            self._owner.reply(call.number, self._port.reply_cancelled())
+            self._owner.reply(call.call_id, self._port.encode_waiting_count(waiting))
+        elif asked.kind is RequestKind.CANCEL and self._cancel(asked.job):
+            self._owner.reply(call.call_id, self._port.encode_cancelled())
         else:
-            self._owner.reply(call.number, self._port.reply_unknown_job())
+            self._owner.reply(call.call_id, self._port.encode_unknown_job())
 
-    def _submit(self, call: Call, asked: CallerQuestion, arrived: float) -> None:
+    def _submit(self, call: Call, asked: CallerRequest, arrived: float) -> None:
         now = now_s()
-        limit = WaitLimit(asked.patience_s, asked.route.timeout_s)
+        limit = WaitLimit(asked.caller_timeout_s, asked.route.timeout_s)
         ends = arrived + limit.wait_s
         if self._stops_at is not None:
             ends = min(ends, self._stops_at)
         deadline = ends - ANSWER_S
         if deadline <= now:
-            reply = self._port.reply_not_ready("this host stops")
-            self._owner.reply(call.number, reply)
+            reply = self._port.encode_not_ready("this host stops")
+            self._owner.reply(call.call_id, reply)
             return
-        self._jobs.add(OwnJob(call.number, asked.request, arrived, deadline, limit))
+        self._jobs.add(OwnJob(call.call_id, asked.request, arrived, deadline, limit))
         self.offer_waiting(now)
 
     def _offer(self, job: OwnJob, term: Term, now: float) -> None:
@@ -313,7 +313,7 @@
                     job.call,
                     job.arrived,
                     job.deadline,
-                    job.handed,
+                    job.handovers,
                     job.progress,
                     attempt=job.attempt,
                     zone=self._owner.address.zone,
@@ -325,16 +325,16 @@
             return
         self._owner.send(term.leader, self._message(job, term, now))
 
-    def _message(self, job: OwnJob, term: Term, now: float) -> JobOffered:
-        return JobOffered(
+    def _message(self, job: OwnJob, term: Term, now: float) -> JobOffer:
+        return JobOffer(
             sender=self._owner.address.name,
             fence=term.fence,
-            leader_at=self._owner.group.clock_of(term.leader, now),
+            leader_at=self._owner.group.clock_lower_bound(term.leader, now),
             job=job.request,
             call=job.call,
             age_ms=(now - job.arrived) * MS_PER_S,
             left_ms=(job.deadline - now) * MS_PER_S,
-            handed=job.handed,
+            handed=job.handovers,
             progress=job.progress,
             far=job.far is not None,
             attempt=job.attempt,
@@ -360,7 +360,7 @@
         if leader == own:
             self._owner.lead.dropped(own, job.request.id, job.call, now)
         elif leader is not None:
-            self._owner.send(leader, JobDropped(own, job.request.id, job.call))
+            self._owner.send(leader, JobCancellation(own, job.request.id, job.call))
 
     def _reply(self, job: OwnJob, outcome: JobOutcome) -> None:
         took_ms = (now_s() - job.arrived) * MS_PER_S
@@ -374,9 +374,9 @@
                 "end": outcome.end.value,
                 "not_run": outcome.not_run,
                 "took_ms": round(took_ms, 1),
-                "hand_overs": job.handed,
+                "hand_overs": job.handovers,
                 "reason": outcome.reason,
                 **job.limit.log_fields(),
             },
         )
-        self._owner.reply(job.call, self._port.reply_outcome(outcome))
+        self._owner.reply(job.call, self._port.encode_outcome(outcome))
--- a/jackdawspur/front/_status.py
+++ b/jackdawspur/front/_status.py
@@ -9,7 +9,7 @@
 from jackdawspur.front._service import CallerService
 from jackdawspur.front._views import StoreView
 from jackdawspur.group import Group, HostAddress
-from jackdawspur.leases import HeldUpstream
+from jackdawspur.leases import LeasedUpstream
 
 __all__ = ["FrontStatus", "StatusOwner", "status_of", "text_of"]
 
@@ -110,7 +110,7 @@
         zone=owner.address.zone,
         ready=owner.ready,
         draining=group.draining,
-        leads=group.leads,
+        leads=group.is_leader,
         leader=term.leader if term else "",
         fence=term.fence if term else 0,
         callers_waiting=owner.callers.waiting,
@@ -141,7 +141,7 @@
         PeerStatus(
             name=beat.host.name,
             zone=beat.host.zone,
-            alive=group.present(beat.host.name, now),
+            alive=group.is_running(beat.host.name, now),
             silent_s=round(group.silent_s(beat.host.name, now), 3),
             leads=beat.leads,
             ready=beat.ready,
@@ -149,26 +149,26 @@
             slow=beat.slow,
             configuration=beat.configuration,
         )
-        for beat in group.last_beats
+        for beat in group.last_heartbeats
     )
 
 
 def _upstreams(lead: LeadDriver, now: float) -> tuple[UpstreamStatus, ...]:
-    held = lead.dispatcher.fleet.held
+    held = lead.dispatcher.upstream_pool.upstreams
     return tuple(_upstream(one, lead, now) for one in held)
 
 
-def _upstream(held: HeldUpstream, lead: LeadDriver, now: float) -> UpstreamStatus:
+def _upstream(held: LeasedUpstream, lead: LeadDriver, now: float) -> UpstreamStatus:
     estimates, upstream = lead.dispatcher.estimates, held.entry.id
     return UpstreamStatus(
         name=upstream.name,
         zone=upstream.zone,
-        owned=held.held,
-        answers=held.answered,
-        silent_ms=round((now - held.heard_at) * MS_PER_S),
+        owned=held.acquired,
+        answers=held.responsive,
+        silent_ms=round((now - held.last_reply_at) * MS_PER_S),
         draining=held.entry.draining,
         allowed=estimates.allows(upstream, now),
-        pace=round(estimates.pace(upstream), 2),
+        pace=round(estimates.slowdown(upstream), 2),
         runs=len(held.runs),
         free_cpu_millis=held.free.cpu_millis,
     )
--- a/jackdawspur/front/_views.py
+++ b/jackdawspur/front/_views.py
@@ -5,8 +5,14 @@
 
 from jackdawspur.front._clock import now_s
 from jackdawspur.front._ports import StoreListener
-from jackdawspur.front._routes import RouteTable, UnreadableConfiguration
-from jackdawspur.group import Group, HostAddress, Term, UpstreamsPassed, is_late
+from jackdawspur.front._routes import ConfigurationDecodeError, RouteTable
+from jackdawspur.group import (
+    Group,
+    HostAddress,
+    Term,
+    UpstreamListUpdate,
+    is_stale_message,
+)
 from jackdawspur.leases import UpstreamEntry
 
 __all__ = ["StoreView"]
@@ -26,7 +32,7 @@
 
     group: Group
 
-    def read_configuration(self, document: bytes) -> RouteTable:
+    def decode_configuration(self, document: bytes) -> RouteTable:
         """Return the routes of a document."""
 
     def set_routes(self, routes: RouteTable) -> None:
@@ -54,21 +60,21 @@
         self.evacuated: frozenset[str] = frozenset()
 
     @property
-    def list_every_s(self) -> float:
+    def upstream_list_interval_s(self) -> float:
         """Return how often the list of upstreams is to be read, in seconds."""
-        return LEADING_LIST_S if self._owner.group.leads else FOLLOWING_LIST_S
+        return LEADING_LIST_S if self._owner.group.is_leader else FOLLOWING_LIST_S
 
     def age_s(self, now: float) -> float:
         """Return how old the list of upstreams is."""
         return NEVER_S if self.list_read_at is None else now - self.list_read_at
 
-    def configuration_read(self, version: int, document: bytes) -> None:
+    def on_configuration(self, version: int, document: bytes) -> None:
         """Put a newer configuration in force; an unreadable one changes nothing."""
         if version <= self._version:
             return
         try:
-            routes = self._owner.read_configuration(document)
-        except UnreadableConfiguration as error:
+            routes = self._owner.decode_configuration(document)
+        except ConfigurationDecodeError as error:
             log.error(
                 "configuration refused",
                 extra={"version": version, "reason": str(error)},
@@ -79,14 +85,14 @@
         self.in_force_at = now_s()
         self._owner.set_routes(routes)
 
-    def upstreams_read(self, entries: tuple[UpstreamEntry, ...]) -> None:
+    def on_upstreams(self, entries: tuple[UpstreamEntry, ...]) -> None:
         """Take in the list as the store has it."""
         self.list_read_at = now_s()
         self.reachable = True
         self.store_said = ""
         self._set_entries(entries)
 
-    def evacuated_read(self, zones: frozenset[str]) -> None:
+    def on_evacuated_zones(self, zones: frozenset[str]) -> None:
         """Start nothing more in these zones, and say so in the log."""
         if zones == self.evacuated:
             return
@@ -97,26 +103,26 @@
         self.evacuated = zones
         self._owner.upstreams_changed()
 
-    def upstreams_passed(self, passed: UpstreamsPassed, now: float) -> None:
+    def upstreams_passed(self, passed: UpstreamListUpdate, now: float) -> None:
         """Take in another host's list if it is newer.
 
         One that was held up by a cut is older than it says.
         """
-        if is_late(passed.receiver_at, now):
+        if is_stale_message(passed.receiver_at, now):
             return
         if passed.age_s < self.age_s(now):
             self.list_read_at = now - passed.age_s
             if not self.reachable:
-                self.evacuated_read(frozenset(passed.evacuated))
+                self.on_evacuated_zones(frozenset(passed.evacuated))
             self._set_entries(passed.entries)
 
-    def hosts_read(self, hosts: tuple[HostAddress, ...]) -> None:
+    def on_hosts(self, hosts: tuple[HostAddress, ...]) -> None:
         """Learn where the other hosts are."""
-        new = [host for host in hosts if self._owner.group.learn(host)]
+        new = [host for host in hosts if self._owner.group.add_host(host)]
         if new:
             self._owner.hosts_learned()
 
-    def store_changed(self, reachable: bool, reason: str) -> None:
+    def on_store_reachability(self, reachable: bool, reason: str) -> None:
         """Say in the log that the store is lost or regained."""
         self.reachable = reachable
         self.store_said = "" if reachable else reason
--- a/jackdawspur/front/tests/drawn.py
+++ b/jackdawspur/front/tests/drawn.py
@@ -78,7 +78,7 @@
             self.world.timers_first = self.rng.random() < 0.5
         self.faults = []
         if layout in UNLIKE:
-            monkeypatch.setattr(_leadership_transfer, "KEPT_S", UNLIKE_KEPT_S)
+            monkeypatch.setattr(_leadership_transfer, "MIN_LEADERSHIP_S", UNLIKE_KEPT_S)
         for zone in self.zones:
             self.world.add_upstreams(zone, upstreams)
         for number in range(hosts):
--- a/jackdawspur/front/tests/faulty.py
+++ b/jackdawspur/front/tests/faulty.py
@@ -40,7 +40,7 @@
 class Timers(VirtualDeadlines):
     """Call back at virtual times, after what was read or before."""
 
-    def call_after(self, seconds: float, callback: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
         life = self._life
         frozen = None if self._world.timers_first else life
 
@@ -73,7 +73,7 @@
     def __init__(self, monkeypatch, most_upstreams: int, seed: int) -> None:
         super().__init__(monkeypatch, most_upstreams)
         self.rng = random.Random(seed)
-        self.tally = Starts()
+        self.counters = Starts()
         self.callers: list[Caller] = []
         self.isolated: set[str] = set()
         self.one_way: set[tuple[str, str]] = set()
@@ -90,7 +90,7 @@
     def _patch(self, monkeypatch) -> None:
         super()._patch(monkeypatch)
         monkeypatch.setattr(
-            _process, "Deadlines", lambda *_: Timers(self, self._starting)
+            _process, "TimerQueue", lambda *_: Timers(self, self._starting)
         )
 
     # Hosts.
@@ -143,7 +143,7 @@
             self._add(entry)
 
     def _add(self, entry: UpstreamEntry) -> None:
-        self.upstreams[entry.id] = FaultyUpstream(entry, 1.0, self.tally, self.rng)
+        self.upstreams[entry.id] = FaultyUpstream(entry, 1.0, self.counters, self.rng)
         self.listed += (entry,)
 
     def unlist(self, one: UpstreamId) -> None:
@@ -234,7 +234,7 @@
         self._calls[life, number] = asked
         life.process._web.open_calls += 1
         call = Call(number, "POST", path, "", None, b"")
-        self.after(CALL_S, lambda: life.process.callers.called(call), life)
+        self.after(CALL_S, lambda: life.process.callers.handle_call(call), life)
         self.after(asked.waits_s + WAYS_S, lambda: self._give_up(life, number))
         logging.getLogger("caller").info("%s asks %s", caller.request.id, life.name)
 
@@ -250,7 +250,7 @@
         if asked is None:
             return
         asked.reply, asked.answered_at = reply, self.now
-        asked.whole = asked.caller.tasks <= self.tally.done
+        asked.whole = asked.caller.tasks <= self.counters.done
         logging.getLogger("caller").info(
             "%s gets %s from %s", asked.request.id, reply.status, life.name
         )
@@ -297,7 +297,7 @@
     def _tell_closed(self, life: Life, number: int) -> None:
         def closed() -> None:
             life.process._web.open_calls -= 1
-            life.process.callers.closed(number)
+            life.process.callers.caller_disconnected(number)
 
         self.after(CALL_S, closed, life)
 
@@ -357,13 +357,13 @@
         way_s = self.rng.uniform(0.0003, 0.002)
 
         def unknown() -> None:
-            self.after(order.limit_s, lambda: done(CallOutcome.UNKNOWN), life)
+            self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
 
         def late() -> None:
             if not upstream.boot_over and not upstream.silent:
-                open_looks = len(self.waiting)
+                pending_polls = len(self.waiting)
                 act(upstream)
-                del self.waiting[open_looks:]
+                del self.waiting[pending_polls:]
 
         def arrive() -> None:
             if self._unreached(life, upstream):
@@ -383,15 +383,15 @@
     def _return(self, life: Life, upstream, order, result, done) -> None:
         lost = self._unreached(life, upstream) or self.rng.random() < self.lost_share
         if lost:
-            self.after(order.limit_s, lambda: done(CallOutcome.UNKNOWN), life)
+            self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
         else:
             self.after(CALL_S, lambda: done(result), life)
 
     def _answer_look(self, order, life: Life, done, until: float) -> None:
         upstream = self.upstreams[order.upstream]
         if upstream.boot_over:
-            self.after(order.limit_s, lambda: done(CallOutcome.UNKNOWN), life)
-        elif not upstream.unseen and self.now < until:
+            self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+        elif not upstream.has_unacknowledged_ends and self.now < until:
             self.waiting.append((order, life, done, until))
         else:
             self._return(life, upstream, order, upstream.report(self.now), done)
--- a/jackdawspur/front/tests/faulty_parts.py
+++ b/jackdawspur/front/tests/faulty_parts.py
@@ -4,10 +4,10 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from jackdawspur.bench import FrontUpstream, Tally
+from jackdawspur.bench import RunCounters, SimulatedUpstream
 from jackdawspur.front.tests.virtual import Asked
 from jackdawspur.front.tests.virtual_parts import Life
-from jackdawspur.leases import CallOutcome, Ending, LookReport, RunId
+from jackdawspur.leases import CallOutcome, PollReport, RunId, RunResult
 from jackdawspur.runs import JobRequest
 
 __all__ = ["Attempt", "Caller", "FaultyUpstream", "Starts"]
@@ -59,7 +59,7 @@
         return {f"{self.request.id}.0.0.{number}" for number in range(count)}
 
 
-class Starts(Tally):
+class Starts(RunCounters):
     """Keep besides what was started, what ended well, and under what some crashed."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         self.crashed: set[str] = set()
 
 
-class FaultyUpstream(FrontUpstream):
+class FaultyUpstream(SimulatedUpstream):
     """Crash, take a while to stop, and keep a slow clock.
 
     `drift` is by how much its clock is slow, `guards` that it refuses starts beyond its
@@ -77,8 +77,8 @@
     that another boot answers in its place.
     """
 
-    def __init__(self, entry, pace, tally: Starts, rng: random.Random) -> None:
-        super().__init__(entry, pace, tally, rng)
+    def __init__(self, entry, pace, counters: Starts, rng: random.Random) -> None:
+        super().__init__(entry, pace, counters, rng)
         self.drift = rng.choice((0.0, 0.01, 0.02))
         self.boot_over = self.gone = False
         self.boot = 1
@@ -115,7 +115,7 @@
                 continue
             del self._stops[run]
             if run in self._tasks:
-                self._end(self._tasks[run], Ending.STOPPED)
+                self._end_run(self._tasks[run], RunResult.STOPPED)
         if self._tasks:
             super().advance(now)
 
@@ -124,32 +124,32 @@
         self.boot_over = True
         self.crashes += 1
         for one in self._tasks.values():
-            self._tally.running[one.run.task] -= 1
-            self._tally.crashed.add(one.run.task)
+            self._counters.running_by_task[one.run.task] -= 1
+            self._counters.crashed.add(one.run.task)
         self._tasks.clear()
-        self._ended.clear()
+        self._unacknowledged_ends.clear()
 
     def start_again(self, now: float) -> None:
         """Be another boot under the same name, which knows nothing of before."""
         self.boot_over = False
         self.boot += 1
-        self._clock_at_0 = -int(now * MS_PER_S)
+        self._clock_offset_ms = -int(now * MS_PER_S)
         self._fence = self._lease_ms = self._ends = 0
-        self._last.clear()
+        self._last_run_number.clear()
         self._stops.clear()
 
-    def report(self, now: float) -> LookReport:
-        return replace(super().report(now), boot=self.boot)
+    def report(self, now: float) -> PollReport:
+        return replace(super().report(now), incarnation=self.boot)
 
-    def _count(self, run: RunId, cpu: int) -> None:
-        if self._tally.running.get(run.task, 0):
+    def _count_start(self, run: RunId, cpu: int) -> None:
+        if self._counters.running_by_task.get(run.task, 0):
             logging.getLogger("upstream").info("TWICE %s %s", run, self.entry.id)
-        super()._count(run, cpu)
-        self._tally.started.add(run.task)
+        super()._count_start(run, cpu)
+        self._counters.started.add(run.task)
         logging.getLogger("upstream").info("began %s %s", run, self.entry.id)
 
-    def _end(self, one, ending: Ending) -> None:
-        super()._end(one, ending)
-        if ending is Ending.DONE:
-            self._tally.done.add(one.run.task)
+    def _end_run(self, one, ending: RunResult) -> None:
+        super()._end_run(one, ending)
+        if ending is RunResult.DONE:
+            self._counters.done.add(one.run.task)
         logging.getLogger("upstream").info("%s %s %s", ending, one.run, self.entry.id)
--- a/jackdawspur/front/tests/findings.py
+++ b/jackdawspur/front/tests/findings.py
@@ -22,10 +22,10 @@
 def find(world: FaultyWorld, last: list[Caller]) -> list[Finding]:
     """Return the rules that were broken."""
     found = []
-    if world.tally.two_at_once:
-        found.append(Finding("TWICE", str(world.tally.two_at_once)))
-    if world.tally.over_capacity:
-        found.append(Finding("LIMIT", str(world.tally.over_capacity)))
+    if world.counters.two_at_once:
+        found.append(Finding("TWICE", str(world.counters.two_at_once)))
+    if world.counters.over_capacity:
+        found.append(Finding("LIMIT", str(world.counters.over_capacity)))
     for caller in world.callers:
         found += [Finding(rule, caller.request.id) for rule in _broken(world, caller)]
     for caller in last:
@@ -41,13 +41,13 @@
     broken = []
     refused = [one.status in REFUSED for one in replies]
     if refused and all(refused) and len(replies) == len(caller.attempts):
-        if caller.tasks & world.tally.started:
+        if caller.tasks & world.counters.started:
             broken.append("REFUSED")
     ended = [one for one in caller.attempts if one.reply and one.reply.status == 200]
     done = [one for one in ended if one.reply.body != FAILED]
     if not all(one.whole for one in done):
         broken.append("COMPLETED")
-    if len(done) < len(ended) and not caller.tasks & world.tally.crashed:
+    if len(done) < len(ended) and not caller.tasks & world.counters.crashed:
         broken.append("FAILED")
     if any(not _in_time(one) for one in caller.attempts):
         broken.append("ANSWER")
--- a/jackdawspur/front/tests/test_between_groups.py
+++ b/jackdawspur/front/tests/test_between_groups.py
@@ -11,7 +11,7 @@
 
 ZONES = ("z1", "z2")
 HOSTS = (("a1", "z1"), ("b1", "z2"), ("a2", "z1"), ("b2", "z2"))
-BEAT_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
 
 
 def start_all(world: World, apart_s: float = 0.0) -> None:
@@ -79,7 +79,7 @@
     for turn in range(20):
         world.kill(late)
         # At another moment between two heartbeats of the other zone each time.
-        world.run(1.0 + turn * BEAT_S / 2)
+        world.run(1.0 + turn * HEARTBEAT_INTERVAL_S / 2)
         world.shown[late] = turn % 2
         world.start(late, "z2")
         for _ in range(5):
@@ -87,7 +87,7 @@
             asked.append(world.submit(late, 0.3))
         world.shown.clear()
         world.run(2.5)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
     assert {one.reply.status for one in asked} <= {200, 503}
 
 
@@ -112,7 +112,7 @@
         asked += ask_all_hosts(world, 4.0)
         world.run(2.0)
         assert len(world.leaders()) == leading
-        assert world.tally.two_at_once == world.tally.over_capacity == 0
+        assert world.counters.two_at_once == world.counters.over_capacity == 0
         statuses = Counter(one.reply.status for one in asked)
         assert statuses[200] > 0.8 * len(asked)
 
@@ -132,7 +132,7 @@
     assert process.group.by_zone
     world.run(2.0)
     assert not process.group.by_zone
-    held = process.lead.dispatcher.fleet.held
+    held = process.lead.dispatcher.upstream_pool.upstreams
     assert {one.entry.id for one in held} == {world.listed[0].id}
 
 
@@ -197,7 +197,7 @@
             ask_all_hosts(world, 4.0)
             world.run(2.0)
             assert len(world.leaders()) == 1
-            twice[left] += world.tally.two_at_once
+            twice[left] += world.counters.two_at_once
     assert not +twice
 
 
@@ -225,5 +225,5 @@
         for name in others:
             world.late_until[frozenset((leader, name))] = world.now + late_s
         world.run(5.0)
-        twice[late_s] += world.tally.two_at_once
+        twice[late_s] += world.counters.two_at_once
     assert not +twice
--- a/jackdawspur/front/tests/test_callers_waits.py
+++ b/jackdawspur/front/tests/test_callers_waits.py
@@ -29,7 +29,7 @@
     world.run(max(STATED_S))
     assert [asked.reply.status for asked in sent] == [200, 200, 200]
     assert all(asked.answered_at - asked.sent_at < 1.1 * LONG_S for asked in sent)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 # Guards against a long job dropped and begun anew because its host seemed to have
--- a/jackdawspur/front/tests/test_changing_hands.py
+++ b/jackdawspur/front/tests/test_changing_hands.py
@@ -36,13 +36,13 @@
     leader, host = hosts_of(world, "z1")
     caller = world.ask("z1", 1.4, 1, world.lives[host])
     world.run(0.1)
-    assert caller.tasks == world.tally.started
+    assert caller.tasks == world.counters.started
     world.silent_links.add((host, leader))
     (call,) = world.open_calls
     world.reset(*call)
     caller.zone = "z2"
     world.run(3.0)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 @pytest.mark.parametrize("down_s", [0.1, 0.25, 0.35, 0.6])
@@ -54,13 +54,13 @@
     _, host = hosts_of(world, "z1")
     caller = world.ask("z1", 1.4, 1, world.lives[host])
     world.run(0.1)
-    assert caller.tasks == world.tally.started
+    assert caller.tasks == world.counters.started
     world.kill(host)
     world.run(down_s)
     world.start(host, "z1")
     caller.zone = "z2"
     world.run(3.0)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 # At several moments between two reads of the list.
@@ -87,7 +87,7 @@
     world.cut.clear()
     world.storeless.clear()
     world.run(3.0)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 @pytest.mark.parametrize("phase_s", [0.05, 0.15])
@@ -114,4 +114,4 @@
     world.run(2.95)
     world.cut.discard(CUT)
     world.run(3.0)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
--- a/jackdawspur/front/tests/test_crashing_tasks.py
+++ b/jackdawspur/front/tests/test_crashing_tasks.py
@@ -76,7 +76,7 @@
     world.run(4.0)
     assert max(world.crashes.values()) <= MOST_CRASHES
     assert lost(callers) <= MOST_LOST_SHARE * len(callers)
-    assert world.tally.two_at_once == world.tally.over_capacity == 0
+    assert world.counters.two_at_once == world.counters.over_capacity == 0
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -90,4 +90,4 @@
     world.run(4.0)
     assert max(world.crashes.values()) <= tasks
     assert lost(callers) <= MOST_LOST_SHARE * len(callers)
-    assert world.tally.two_at_once == world.tally.over_capacity == 0
+    assert world.counters.two_at_once == world.counters.over_capacity == 0
--- a/jackdawspur/front/tests/test_drawn_faults.py
+++ b/jackdawspur/front/tests/test_drawn_faults.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jackdawspur.callers import HttpReply
+from jackdawspur.callers import HttpResponse
 from jackdawspur.front.tests.drawn import LAYOUTS, Play, play
 from jackdawspur.front.tests.virtual_parts import Life
 from jackdawspur.leases import Resources
@@ -43,7 +43,7 @@
     return next(
         (life, number)
         for (life, number), asked in world._calls.items()
-        if any(world.tally.running.get(task) for task in asked.caller.tasks)
+        if any(world.counters.running_by_task.get(task) for task in asked.caller.tasks)
     )
 
 
@@ -52,7 +52,7 @@
     run = next(run for one in world.upstreams.values() for run in one._tasks)
     other = next(one for one in world.upstreams.values() if run not in one._tasks)
     until_ms = other.clock_ms(world.now) + 1000
-    other.start(run, until_ms, HIGHEST, world.work_of(run.task), world.now)
+    other.start(run, until_ms, HIGHEST, world.demand_of(run.task), world.now)
 
 
 def shrink_upstreams(played: Play, _seconds: float) -> None:
@@ -61,22 +61,22 @@
 
 
 def refuse_what_runs(played: Play, _seconds: float) -> None:
-    played.world.replied(*open_call(played), HttpReply(429, b""))
+    played.world.replied(*open_call(played), HttpResponse(429, b""))
 
 
 def complete_what_runs(played: Play, _seconds: float) -> None:
-    played.world.replied(*open_call(played), HttpReply(200, b""))
+    played.world.replied(*open_call(played), HttpResponse(200, b""))
 
 
 def fail_what_runs(played: Play, _seconds: float) -> None:
-    played.world.replied(*open_call(played), HttpReply(200, b'{"state":"failed"}'))
+    played.world.replied(*open_call(played), HttpResponse(200, b'{"state":"failed"}'))
 
 
 def lose_an_answer(played: Play, _seconds: float) -> None:
     life, lost = open_call(played)
     reply = life.process._web.reply
 
-    def lossy(number: int, answer: HttpReply) -> None:
+    def lossy(number: int, answer: HttpResponse) -> None:
         if number != lost:
             reply(number, answer)
 
@@ -85,7 +85,7 @@
 
 def deafen_a_host(played: Play, _seconds: float) -> None:
     life = next(iter(played.world.lives.values()))
-    life.process.callers.called = lambda call: None
+    life.process.callers.handle_call = lambda call: None
 
 
 @pytest.mark.parametrize(
--- a/jackdawspur/front/tests/test_evacuated_zones.py
+++ b/jackdawspur/front/tests/test_evacuated_zones.py
@@ -58,11 +58,11 @@
 def test_a_run_in_an_evacuated_zone_ends_whole(world: World):
     asked = [world.submit(host, 4 * SHORT_S) for host in HOSTS]
     world.run(READ_S)
-    starts = world.tally.starts
+    starts = world.counters.starts
     world.evacuated.add("z1")
     world.run(8 * SHORT_S)
     assert {one.reply.status for one in asked} == {200}
-    assert world.tally.starts == starts
+    assert world.counters.starts == starts
 
 
 def test_callers_of_an_evacuated_zone_are_served_by_the_other(world: World):
--- a/jackdawspur/front/tests/test_full_link.py
+++ b/jackdawspur/front/tests/test_full_link.py
@@ -8,7 +8,7 @@
 from jackdawspur.front.tests.virtual import World
 from jackdawspur.front.tests.virtual_parts import Life
 from jackdawspur.leases import CallOutcome
-from jackdawspur.runs import LookAt, StartRun, StopRun
+from jackdawspur.runs import PollUpstream, StartRun, StopRun
 
 ZONES = ("z1", "z2", "z3", "z4", "z5")
 HOSTS_A_ZONE = 2
@@ -16,7 +16,7 @@
 LINK_MBPS = 2.0
 BITS_A_BYTE = 8
 # About what whole requests take, heads included.
-ORDER_BYTES = {StartRun: 1000, StopRun: 250, LookAt: 300}
+ORDER_BYTES = {StartRun: 1000, StopRun: 250, PollUpstream: 300}
 REPLY_BYTES = 300
 
 
@@ -54,7 +54,7 @@
         sent_s = self.wait_s(life.name, "out", ORDER_BYTES[type(order)])
         self.after(sent_s, lambda: forward(life, order, act, replied), life)
         late = CallOutcome.UNKNOWN
-        self.after(order.limit_s, lambda: end_once(late), life)
+        self.after(order.timeout_s, lambda: end_once(late), life)
 
 
 def _once(done: Callable) -> Callable:
@@ -89,4 +89,4 @@
     world.run(2.0)
     assert statuses(asked) == {200: len(asked)}
     assert len(world.leaders()) == len(ZONES)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
--- a/jackdawspur/front/tests/test_heartbeats.py
+++ b/jackdawspur/front/tests/test_heartbeats.py
@@ -6,7 +6,13 @@
 import pytest
 
 from jackdawspur.front._heartbeats import Heartbeats
-from jackdawspur.group import BEAT_S, FOLLOWER_SILENCE_S, Group, HostAddress, HostBeat
+from jackdawspur.group import (
+    FOLLOWER_TIMEOUT_S,
+    HEARTBEAT_INTERVAL_S,
+    Group,
+    HostAddress,
+    HostHeartbeat,
+)
 
 HOSTS = tuple("abcdefghijklm")
 LEADER = "a"
@@ -67,10 +73,10 @@
     """Keep what was sent and to whom a new connection was made."""
 
     def __init__(self) -> None:
-        self.sent: list[tuple[str, HostBeat]] = []
+        self.sent: list[tuple[str, HostHeartbeat]] = []
         self.redialled: list[str] = []
 
-    def send(self, name: str, beat: HostBeat) -> None:
+    def send(self, name: str, beat: HostHeartbeat) -> None:
         self.sent.append((name, beat))
 
     def redial(self, name: str) -> None:
@@ -96,14 +102,14 @@
         self.mesh = FakeMesh()
         self.heartbeats = Heartbeats(self, self.mesh)
         for name in self.knows:
-            self.group.learn(address(name))
+            self.group.add_host(address(name))
         for name in HOSTS:
             if name != self.name and not self.knows:
                 self.hear(name)
 
-    def hear(self, name: str, follows: int = 7) -> HostBeat:
+    def hear(self, name: str, follows: int = 7) -> HostHeartbeat:
         leads = name == LEADER
-        beat = HostBeat(
+        beat = HostHeartbeat(
             host=address(name),
             sent_at=self.now,
             leads=leads,
@@ -116,12 +122,12 @@
             knows=(),
             follows=follows,
         )
-        self.group.heard(beat, self.now)
+        self.group.record_heartbeat(beat, self.now)
         return beat
 
     def send(self, beats: int) -> None:
         for _ in range(beats):
-            self.now += BEAT_S
+            self.now += HEARTBEAT_INTERVAL_S
             self.hear(LEADER)
             self.heartbeats.send(self.now)
 
@@ -146,7 +152,7 @@
 
 
 def test_a_host_that_went_silent_for_good_is_connected_to_anew(host: Host):
-    host.send(round((FOLLOWER_SILENCE_S + 1.0) / BEAT_S))
+    host.send(round((FOLLOWER_TIMEOUT_S + 1.0) / HEARTBEAT_INTERVAL_S))
     assert "c" in host.mesh.redialled
 
 
@@ -184,14 +190,16 @@
                     self._tick(name, host)
 
     def _tick(self, name: str, host: Host) -> None:
-        changed = host.group.decide(True, UNIX_MS + 1000 * self.now, self.now)
-        if changed and host.group.leads:
+        changed = host.group.update_leadership(
+            True, UNIX_MS + 1000 * self.now, self.now
+        )
+        if changed and host.group.is_leader:
             self.led.add(name)
         leader = host.group.leader(self.now)
         lost = leader is None and self._followed[name] is not None
         self._followed[name] = leader
         if changed or lost or self.now >= self._beat_due[name]:
-            self._beat_due[name] = self.now + BEAT_S - TICK_S / 2
+            self._beat_due[name] = self.now + HEARTBEAT_INTERVAL_S - TICK_S / 2
             host.heartbeats.send(self.now, to_all=changed or lost)
         self._deliver(name)
 
@@ -201,11 +209,11 @@
             if name in self.away or frozenset((sender, name)) in self.cut:
                 continue
             receiver = self.hosts[name]
-            receiver.group.heard(beat, self.now)
+            receiver.group.record_heartbeat(beat, self.now)
             self._deliver(name)
 
     def leaders(self) -> list[str]:
-        return [n for n, host in self.hosts.items() if host.group.leads]
+        return [n for n, host in self.hosts.items() if host.group.is_leader]
 
 
 @pytest.fixture
--- a/jackdawspur/front/tests/test_late_messages.py
+++ b/jackdawspur/front/tests/test_late_messages.py
@@ -6,7 +6,7 @@
 
 from jackdawspur.front._views import StoreView
 from jackdawspur.front.tests.faulty import FaultyWorld
-from jackdawspur.group import UpstreamsPassed
+from jackdawspur.group import UpstreamListUpdate
 from jackdawspur.leases import Resources, UpstreamEntry
 from jackdawspur.model import UpstreamId
 
@@ -48,7 +48,7 @@
         world.run(1.8)
         world.cut.discard(CUT)
         world.run(4.0)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 @pytest.fixture
@@ -62,6 +62,6 @@
     view: StoreView, way_s: float, taken: bool
 ):
     # Guards against a host that leads by a list which is older than it says.
-    passed = UpstreamsPassed(SENT_AT, 0.1, (ENTRY,))
+    passed = UpstreamListUpdate(SENT_AT, 0.1, (ENTRY,))
     view.upstreams_passed(passed, SENT_AT + way_s)
     assert bool(view.entries) is taken
--- a/jackdawspur/front/tests/test_lead.py
+++ b/jackdawspur/front/tests/test_lead.py
@@ -7,10 +7,10 @@
 from jackdawspur.front._gauges import Gauges
 from jackdawspur.front._lead import LeadDriver
 from jackdawspur.front._routes import RouteTable
-from jackdawspur.group import Group, HostAddress, JobOffered
+from jackdawspur.group import Group, HostAddress, JobOffer
 from jackdawspur.leases import Resources, UpstreamEntry
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs import JobBegun, JobRequest, JobStep, Progress, Route
+from jackdawspur.runs import InitialTasksStarted, JobRequest, JobStep, Progress, Route
 
 ROUTE = Route("r", "h", "/q/", "s", 1500.0, 60.0, 1.6, 0, 3)
 REQUEST = JobRequest("aa", "", (JobStep(1, Resources(1), 10.0),), ROUTE)
@@ -32,7 +32,7 @@
 class NoUpstreams:
     """Be called by nobody, since there is no upstream."""
 
-    def keep_only(self, addresses: set[str]) -> None:
+    def close_connections_except(self, addresses: set[str]) -> None:
         pass
 
 
@@ -56,7 +56,7 @@
 @pytest.fixture
 def owner() -> Owner:
     one = Owner()
-    assert one.group.decide(True, UNIX_MS, 5.0)
+    assert one.group.update_leadership(True, UNIX_MS, 5.0)
     return one
 
 
@@ -67,8 +67,8 @@
     return one
 
 
-def offer(fence: int, handed: int = 0, sent_at: float = SENT_AT) -> JobOffered:
-    return JobOffered("h2", fence, sent_at, REQUEST, 1, 0.0, 1000.0, handed, Progress())
+def offer(fence: int, handed: int = 0, sent_at: float = SENT_AT) -> JobOffer:
+    return JobOffer("h2", fence, sent_at, REQUEST, 1, 0.0, 1000.0, handed, Progress())
 
 
 def test_an_offer_for_the_present_term_is_taken(owner: Owner, driver: LeadDriver):
@@ -84,7 +84,7 @@
     # not heard of that, offered it again, and now it was too late for it.
     before = owner.group.fence
     driver.offered(offer(before), 5.0)
-    owner.group.contested(UNIX_MS, 5.1)
+    owner.group.resolve_contention(UNIX_MS, 5.1)
     driver.leadership_changed(5.1)
     driver.offered(offer(before), 5.2)
     assert len(driver.dispatcher.open_jobs) == 0
@@ -128,7 +128,9 @@
     ]
     owner.views.entries = tuple(entries)
     driver.upstreams_changed(6.0)
-    assert [held.entry.id.name for held in driver.dispatcher.fleet.held] == ["u1"]
+    assert [
+        held.entry.id.name for held in driver.dispatcher.upstream_pool.upstreams
+    ] == ["u1"]
 
 
 @pytest.mark.parametrize(("late_s", "taken"), [(0.0, 1), (0.39, 1), (0.41, 0)])
@@ -152,7 +154,7 @@
 
 def test_the_wait_for_the_last_start_is_told_by_route(driver: LeadDriver, owner: Owner):
     for ms in (0.0, 5.0, 40.0):
-        driver._act(JobBegun("aa", "r", ms))
+        driver._act(InitialTasksStarted("aa", "r", ms))
     lines = owner.gauges.lines()
     assert 'jackdawspur_last_start_ms_count{route="r"} 3' in lines
     assert 'jackdawspur_last_start_ms{route="r",quantile="0.5"} 5' in lines
--- a/jackdawspur/front/tests/test_learned.py
+++ b/jackdawspur/front/tests/test_learned.py
@@ -7,7 +7,7 @@
 from jackdawspur.front.tests.test_between_groups import leader_of
 from jackdawspur.front.tests.test_zones_that_differ import alive, drain
 from jackdawspur.front.tests.virtual import World
-from jackdawspur.group import HostBeat, decode_message, encode_message
+from jackdawspur.group import HostHeartbeat, decode_message, encode_message
 from jackdawspur.model import UpstreamId
 from jackdawspur.runs import Dispatcher
 
@@ -29,16 +29,16 @@
 
     def carry(self, sender, name: str, data: bytes) -> None:
         message = decode_message(data)
-        if isinstance(message, HostBeat):
+        if isinstance(message, HostHeartbeat):
             learned = message.learned
             bare = encode_message(_without(message)) if learned else data
             self.sizes.append((sender.name, name, len(data), len(data) - len(bare)))
         self._carry(sender, name, data)
 
 
-def _without(beat: HostBeat) -> HostBeat:
+def _without(beat: HostHeartbeat) -> HostHeartbeat:
     values = {name: getattr(beat, name) for name in beat.__struct_fields__}
-    return HostBeat(**values | {"learned": None})
+    return HostHeartbeat(**values | {"learned": None})
 
 
 @pytest.fixture
@@ -58,7 +58,7 @@
 
 
 def pace(world: World, name: str) -> float:
-    return dispatcher_of(world, name).estimates.pace(SLOW)
+    return dispatcher_of(world, name).estimates.slowdown(SLOW)
 
 
 def work(world: World, seconds: float) -> None:
@@ -147,14 +147,14 @@
     follower, other = sorted(set(alive(world)) - {leader})
     lead = world.lives[follower].process.lead
     heard = []
-    lead.dispatcher.estimates.take_in = lambda learned, _now: heard.append(learned)
+    lead.dispatcher.estimates.merge_update = lambda learned, _now: heard.append(learned)
     beat = world.lives[leader].process._heartbeats._common(world.now)
-    told = dispatcher_of(world, leader).estimates.told(world.now + 20.0)
+    told = dispatcher_of(world, leader).estimates.next_update(world.now + 20.0)
     values = {name: getattr(beat, name) for name in beat.__struct_fields__}
     strange = {"host": world.announced[other], "learned": told}
-    lead.learned_heard(HostBeat(**values | strange), world.now)
+    lead.learned_heard(HostHeartbeat(**values | strange), world.now)
     assert heard == []
-    lead.learned_heard(HostBeat(**values | {"learned": told}), world.now)
+    lead.learned_heard(HostHeartbeat(**values | {"learned": told}), world.now)
     assert heard == [told]
 
 
--- a/jackdawspur/front/tests/test_new_upstreams.py
+++ b/jackdawspur/front/tests/test_new_upstreams.py
@@ -52,5 +52,5 @@
         world.kill(stopped)
         world.start(stopped, ZONES[stopped])
         world.run(3.0)
-    assert world.tally.two_at_once == world.tally.over_capacity == 0
+    assert world.counters.two_at_once == world.counters.over_capacity == 0
     assert {one.reply.status for one in asked} <= {200, 429, 503, 504}
--- a/jackdawspur/front/tests/test_operations.py
+++ b/jackdawspur/front/tests/test_operations.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jackdawspur.soak import Deployment, answers, wait_until
+from jackdawspur.soak import Deployment, wait_for_answers, wait_until
 
 STORE_WORDS = ("lost", "regained")
 
@@ -18,7 +18,7 @@
 
 def grep(deployment: Deployment, text: str) -> list[dict]:
     """Return the lines of all hosts that hold a text, as the page's commands do."""
-    lines = [line for host in deployment.hosts for line in host.lines()]
+    lines = [line for host in deployment.hosts for line in host.log_lines()]
     return [line for line in lines if text in str(line)]
 
 
@@ -32,7 +32,7 @@
     sent = deployment.submit(deployment.hosts[0], run_ms=2500.0, job=job)
     time.sleep(0.4)
     deployment.set_faults(silent=[0, 1])
-    assert answers([sent])[0].status in (503, 504)
+    assert wait_for_answers([sent])[0].status in (503, 504)
     about = grep(deployment, job)
     assert with_message(about, "job ended")[0]["end"] == "out_of_time"
     lost = with_message(about, "run lost")[0]
@@ -46,7 +46,7 @@
     # end in time.
     host = deployment.hosts[1]
     sent = [deployment.submit(host, run_ms=400.0, tasks=4) for _ in range(12)]
-    got = answers(sent)
+    got = wait_for_answers(sent)
     refused = [answer for answer in got if answer.status == 429]
     assert refused
     assert all(int(answer.retry_after) >= 1 for answer in refused)
@@ -68,7 +68,7 @@
     lost = max(grep(deployment, "store lost"), key=lambda line: line["time"])
     assert lost["reason"]
     assert lost["list_age_s"] < 5.0
-    assert answers([deployment.submit(deployment.hosts[0])])[0].status == 200
+    assert wait_for_answers([deployment.submit(deployment.hosts[0])])[0].status == 200
     deployment.set_faults(store_down=False)
     wait_until(
         lambda: len(grep(deployment, "store regained")) > before["regained"], "returns"
--- a/jackdawspur/front/tests/test_process.py
+++ b/jackdawspur/front/tests/test_process.py
@@ -6,7 +6,7 @@
 from circuits import Component
 from circuits.core.pollers import EPoll
 
-from jackdawspur.front import Ports
+from jackdawspur.front import PlatformPorts
 from jackdawspur.front._process import FrontProcess
 from jackdawspur.settings import check_host_settings
 
@@ -17,7 +17,7 @@
 class Store:
     """Be a store that can't be followed."""
 
-    def follow(self, _views) -> None:
+    def start_watch(self, _views) -> None:
         raise RuntimeError("a fault of ours")
 
     def announce(self, _address) -> None:
@@ -31,14 +31,14 @@
     settings = check_host_settings({"name": "h0", "zone": "z1", **places}, "test")
     root = Component()
     poller = EPoll().register(root)
-    parts = Ports(SimpleNamespace(), SimpleNamespace(), Store())
+    parts = PlatformPorts(SimpleNamespace(), SimpleNamespace(), Store())
     one = FrontProcess(settings, poller, lambda *_: parts, lambda: settings)
     one.register(root)
     return one
 
 
 def run(process: FrontProcess) -> None:
-    process._deadlines.call_after(SECONDS, process.root.stop)
+    process._timer_queue.call_later(SECONDS, process.root.stop)
     process.root.run()
 
 
--- a/jackdawspur/front/tests/test_status.py
+++ b/jackdawspur/front/tests/test_status.py
@@ -16,7 +16,7 @@
 
 
 def page(deployment: Deployment, host) -> dict:
-    return host.call("GET", "/status", port=host.metrics).body
+    return host.call("GET", "/status", port=host.metrics_port).body
 
 
 def test_a_leading_host_shows_its_upstreams_queues_and_peers(deployment: Deployment):
@@ -50,7 +50,7 @@
 
 def test_the_command_prints_it_for_people(deployment: Deployment):
     leader = deployment.leader()
-    words = ["status", f"--host=127.0.0.1:{leader.metrics}"]
+    words = ["status", f"--host=127.0.0.1:{leader.metrics_port}"]
     done = subprocess.run(
         [sys.executable, "-m", "jackdawspur", *words],
         capture_output=True,
--- a/jackdawspur/front/tests/test_strong_hosts.py
+++ b/jackdawspur/front/tests/test_strong_hosts.py
@@ -32,4 +32,4 @@
     world.run(2.0)
     assert world.leaders() == {"strong": "z1"}
     assert statuses(asked) == {200: len(asked)}
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
--- a/jackdawspur/front/tests/test_two_groups.py
+++ b/jackdawspur/front/tests/test_two_groups.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jackdawspur.soak import Deployment, answers, wait_until
+from jackdawspur.soak import Deployment, wait_for_answers, wait_until
 
 # Two workers a zone, with room for two tasks each.
 ROOM = 4
@@ -23,7 +23,7 @@
 
 
 def passed_on(deployment: Deployment) -> int:
-    lines = [line for host in deployment.hosts for line in host.lines()]
+    lines = [line for host in deployment.hosts for line in host.log_lines()]
     return sum(line["message"] == "job passed on to another group" for line in lines)
 
 
@@ -32,7 +32,7 @@
     host = deployment.hosts[0]
     began = time.monotonic()
     sent = [deployment.submit(host, run_ms=1500.0, tasks=ROOM) for _ in range(2)]
-    got = answers(sent)
+    got = wait_for_answers(sent)
     assert [a.status for a in got] == [200] * 2
     assert {a.body["state"] for a in got} == {"completed"}
     assert time.monotonic() - began < 2.8
@@ -51,7 +51,7 @@
     wait_until(lambda: passed_on(deployment) == 1, "job passed on", 3.0)
     time.sleep(0.3)
     other.process.kill()
-    assert sorted(a.status for a in answers([first, second])) == [200, 504]
+    assert sorted(a.status for a in wait_for_answers([first, second])) == [200, 504]
 
 
 def test_a_caller_that_leaves_stops_its_job_in_the_other_zone(deployment: Deployment):
@@ -65,6 +65,6 @@
     assert host.call("DELETE", f"/q/{job}").status == 200
     assert second.result(5).body["state"] == "failed"
     far = deployment.hosts[1]
-    again = answers([deployment.submit(far, run_ms=100.0, tasks=ROOM)])
+    again = wait_for_answers([deployment.submit(far, run_ms=100.0, tasks=ROOM)])
     assert again[0].status == 200
     assert first.result(10).status == 200
--- a/jackdawspur/front/tests/test_whole_path.py
+++ b/jackdawspur/front/tests/test_whole_path.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from jackdawspur.soak import Deployment, answers, stop, wait_until
+from jackdawspur.soak import Deployment, stop_host, wait_for_answers, wait_until
 
 
 @pytest.fixture
@@ -27,7 +27,7 @@
 
 def test_jobs_of_all_hosts_end_complete(deployment: Deployment):
     sent = [deployment.submit(h, tasks=3) for h in deployment.hosts for _ in range(4)]
-    got = answers(sent)
+    got = wait_for_answers(sent)
     assert [a.status for a in got] == [200] * 12
     assert {a.body["state"] for a in got} == {"completed"}
     assert deployment.report().starts == 36
@@ -42,11 +42,11 @@
     sent = [deployment.submit(host, run_ms=1500.0) for _ in range(4)]
     time.sleep(0.4)
     leader.process.kill()
-    got = answers(sent)
+    got = wait_for_answers(sent)
     assert [a.status for a in got] == [200] * 4
     report = deployment.report()
     assert report.starts == 4 + report.lapsed
-    ended = [x for x in host.lines() if x["message"] == "job ended"]
+    ended = [x for x in host.log_lines() if x["message"] == "job ended"]
     assert [x["hand_overs"] for x in ended] == [1] * 4
 
 
@@ -56,18 +56,18 @@
     leader = deployment.leader()
     sent = [deployment.submit(leader, run_ms=800.0) for _ in range(3)]
     time.sleep(0.2)
-    assert stop(leader) == 0
-    assert [a.status for a in answers(sent)] == [200] * 3
+    assert stop_host(leader) == 0
+    assert [a.status for a in wait_for_answers(sent)] == [200] * 3
 
 
 def test_serving_goes_on_while_the_store_is_away(deployment: Deployment):
     deployment.set_faults(store_down=True)
     time.sleep(1.0)
-    got = answers([deployment.submit(host) for host in deployment.hosts])
+    got = wait_for_answers([deployment.submit(host) for host in deployment.hosts])
     assert [a.status for a in got] == [200] * 3
     deployment.set_faults(store_down=False, forget=True)
     time.sleep(0.5)
-    assert answers([deployment.submit(deployment.hosts[0])])[0].status == 200
+    assert wait_for_answers([deployment.submit(deployment.hosts[0])])[0].status == 200
 
 
 def test_a_silent_workers_task_runs_again_elsewhere(deployment: Deployment):
@@ -76,7 +76,7 @@
     sent = [deployment.submit(host, run_ms=1200.0, tasks=2)]
     time.sleep(0.4)
     deployment.set_faults(silent=[0, 1])
-    got = answers(sent)
+    got = wait_for_answers(sent)
     assert got[0].status == 200
 
 
@@ -87,7 +87,7 @@
     time.sleep(0.4)
     assert host.call("DELETE", f"/q/{job}").status == 200
     assert future.result(5).body["state"] == "failed"
-    again = answers([deployment.submit(host, tasks=8)])
+    again = wait_for_answers([deployment.submit(host, tasks=8)])
     assert again[0].status == 200
 
 
@@ -100,7 +100,7 @@
     assert host.call("GET", "/none/").status == 404
     assert host.call("GET", "/q/").body == {"waiting": 0}
     assert host.call("GET", "/q/00000000000000ab").status == 410
-    assert answers([deployment.submit(host)])[0].status == 200
+    assert wait_for_answers([deployment.submit(host)])[0].status == 200
 
 
 def test_a_host_reads_its_settings_again_on_sighup(deployment: Deployment):
@@ -112,7 +112,7 @@
     host.process.send_signal(1)
     assert sent.result(5).status == 200
     wait_until(
-        lambda: any(x["message"] == "settings read again" for x in host.lines()),
+        lambda: any(x["message"] == "settings read again" for x in host.log_lines()),
         "line about the settings",
     )
 
@@ -122,7 +122,7 @@
     # of each other, and each took the lead.
     deployment.leader()
     time.sleep(1.0)
-    lines = [line for host in deployment.hosts for line in host.lines()]
+    lines = [line for host in deployment.hosts for line in host.log_lines()]
     led = [x for x in lines if x["message"] == "leadership" and x["leads"]]
     assert len(led) == 1
 
@@ -133,10 +133,10 @@
     host = deployment.hosts[0]
     host.process.kill()
     host.process.wait()
-    started = len(host.lines())
+    started = len(host.log_lines())
     host.start()
     wait_until(lambda: ignores_reload(host.process.pid), "ignored signal")
-    assert len(host.lines()) == started
+    assert len(host.log_lines()) == started
     host.process.send_signal(SIGHUP)
     wait_until(host.is_ready, "ready host")
     assert host.process.poll() is None
--- a/jackdawspur/front/tests/test_zones_that_differ.py
+++ b/jackdawspur/front/tests/test_zones_that_differ.py
@@ -56,7 +56,7 @@
 
 def in_use(world: World, name: str) -> set[str]:
     """Return the zones whose upstreams a leading host has."""
-    held = world.lives[name].process.lead.dispatcher.fleet.held
+    held = world.lives[name].process.lead.dispatcher.upstream_pool.upstreams
     return {one.entry.id.zone for one in held}
 
 
@@ -83,7 +83,7 @@
     world.listed = world.listed[:4]
     ask(world, 4.0)
     world.run(2.0)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 def test_zones_that_are_told_apart_use_their_own_upstreams(monkeypatch):
@@ -107,7 +107,7 @@
     ask(world, 0.36, 0.8, hosts, 0.05)
     drain(world, leader_of(world, "z1"))
     world.run(2.5)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 def test_zones_that_join_use_the_upstreams_of_all(monkeypatch):
@@ -158,13 +158,13 @@
     world.silent_links.add((leader, other))
     world.storeless.add(other)
     world.listed = world.listed[:6]
-    world.lives[leader].process.views.upstreams_read(world.listed)
+    world.lives[leader].process.views.on_upstreams(world.listed)
     for _ in range(4):
         world.run(wait_s / 4)
         world.submit(other, 0.8)
     drain(world, leader)
     world.run(2.5)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
 
 
 def test_a_zone_that_the_store_refuses_while_groups_join(monkeypatch):
@@ -199,7 +199,7 @@
     world.run(0.1)
     world.add_upstreams("z2", 1)
     for name in alive(world):
-        world.lives[name].process.views.upstreams_read(world.listed)
+        world.lives[name].process.views.on_upstreams(world.listed)
     world.run(0.05)
     here = running_in(world, zone)
     assert here == 8
@@ -245,8 +245,8 @@
     world.run(0.1)
     world.listed = world.listed[5:]
     for name in (leader, *alive(world)):
-        world.lives[name].process.views.upstreams_read(world.listed)
+        world.lives[name].process.views.on_upstreams(world.listed)
         world.run(0.01)
     drain(world, leader)
     world.run(2.5)
-    assert world.tally.two_at_once == 0
+    assert world.counters.two_at_once == 0
--- a/jackdawspur/front/tests/virtual.py
+++ b/jackdawspur/front/tests/virtual.py
@@ -11,9 +11,9 @@
 from types import SimpleNamespace
 
 from jackdawspur.adapters import Call
-from jackdawspur.bench import FrontUpstream, Tally, Work
-from jackdawspur.callers import HttpReply
-from jackdawspur.front import Ports, _clock, _process
+from jackdawspur.bench import JobDemand, RunCounters, SimulatedUpstream
+from jackdawspur.callers import HttpResponse
+from jackdawspur.front import PlatformPorts, _clock, _process
 from jackdawspur.front._process import FrontProcess
 from jackdawspur.front.tests.virtual_parts import (
     ROUTE,
@@ -49,7 +49,7 @@
 
     request: JobRequest
     sent_at: float
-    reply: HttpReply | None = None
+    reply: HttpResponse | None = None
     answered_at: float = 0.0
     states_s: float | None = None
 
@@ -68,11 +68,11 @@
     def __init__(self, monkeypatch, most_upstreams: int) -> None:
         self.now = 1000.0
         self.rng = random.Random(1)
-        self.tally = Tally()
+        self.counters = RunCounters()
         self.lives: dict[str, Life] = {}
         self.zones: dict[str, str] = {}
         self.announced: dict[str, HostAddress] = {}
-        self.upstreams: dict[UpstreamId, FrontUpstream] = {}
+        self.upstreams: dict[UpstreamId, SimulatedUpstream] = {}
         self.listed: tuple[UpstreamEntry, ...] = ()
         self.asked: dict[str, Asked] = {}
         self.storeless: set[str] = set()
@@ -100,7 +100,7 @@
         )
         monkeypatch.setattr(_clock, "time", clock)
         made = {
-            "Deadlines": lambda *_: VirtualDeadlines(self, self._starting),
+            "TimerQueue": lambda *_: VirtualDeadlines(self, self._starting),
             "Mesh": lambda _link, _poller, deliver: VirtualMesh(
                 self, self._starting, deliver
             ),
@@ -116,7 +116,7 @@
         for _ in range(count):
             one = UpstreamId(zone, f"u{len(self.upstreams)}")
             entry = UpstreamEntry(one, "s", f"{zone}:{one.name}", ROOM, (), False)
-            self.upstreams[one] = FrontUpstream(entry, 1.0, self.tally, self.rng)
+            self.upstreams[one] = SimulatedUpstream(entry, 1.0, self.counters, self.rng)
             self.listed += (entry,)
 
     def start(self, name: str, zone: str) -> None:
@@ -129,7 +129,7 @@
         values |= {"most_upstreams": self._most_upstreams, **self.stated.get(name, {})}
         settings = check_host_settings(values, "test")
         life = self._starting = self.lives[name] = self.life_type(name)
-        parts = Ports(Callers(self), Upstreams(self, life), Store(self, life))
+        parts = PlatformPorts(Callers(self), Upstreams(self, life), Store(self, life))
         process = FrontProcess(settings, None, lambda *_: parts, lambda: settings)
         process.fire = lambda _event: self.after(0.0, process._on_flush, life)
         life.process = process
@@ -148,7 +148,7 @@
         return {
             name: self.zones[name]
             for name, life in self.lives.items()
-            if not life.dead and life.process.group.leads
+            if not life.dead and life.process.group.is_leader
         }
 
     def announce(self, host: HostAddress) -> None:
@@ -175,15 +175,15 @@
         self._calls[life, number] = asked
         life.process._web.open_calls += 1
         call = Call(number, "POST", f"/q/{job}", "", None, b"")
-        self.after(CALL_S, lambda: life.process.callers.called(call), life)
+        self.after(CALL_S, lambda: life.process.callers.handle_call(call), life)
         return asked
 
-    def replied(self, life: Life, number: int, reply: HttpReply) -> None:
+    def replied(self, life: Life, number: int, reply: HttpResponse) -> None:
         """Keep a reply."""
         asked = self._calls.pop((life, number))
         asked.reply, asked.answered_at = reply, self.now
 
-    def work_of(self, task: str) -> Work:
+    def demand_of(self, task: str) -> JobDemand:
         """Return how long the tasks of a task's job take."""
         request = self.asked[f"/q/{task.split('.', 1)[0]}"].request
         step = request.steps[0]
@@ -191,7 +191,7 @@
             f"{request.id}.0.0.{n}": step.estimate_ms / MS_PER_S
             for n in range(step.count)
         }
-        return Work(seconds, step.resources)
+        return JobDemand(seconds, step.resources)
 
     # Time and messages.
 
@@ -246,7 +246,7 @@
 
         def arrive() -> None:
             if upstream.silent or not self.reachable(self.zones[life.name], zone):
-                self.after(order.limit_s, lambda: done(CallOutcome.UNKNOWN), life)
+                self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
                 return
             outcome = act(upstream)
             if outcome is not None:
@@ -264,7 +264,7 @@
 
     def _answer_look(self, order, life: Life, done, until: float) -> None:
         upstream = self.upstreams[order.upstream]
-        if not upstream.unseen and self.now < until:
+        if not upstream.has_unacknowledged_ends and self.now < until:
             self.waiting.append((order, life, done, until))
             return
         report = upstream.report(self.now)
--- a/jackdawspur/front/tests/virtual_parts.py
+++ b/jackdawspur/front/tests/virtual_parts.py
@@ -4,11 +4,11 @@
 from typing import TYPE_CHECKING
 
 from jackdawspur.adapters import Call
-from jackdawspur.bench import FrontUpstream
-from jackdawspur.callers import HttpReply
+from jackdawspur.bench import SimulatedUpstream
+from jackdawspur.callers import HttpResponse
 from jackdawspur.front import (
-    CallerQuestion,
-    QuestionKind,
+    CallerRequest,
+    RequestKind,
     RouteTable,
     StoreListener,
     StorePort,
@@ -18,8 +18,8 @@
 from jackdawspur.front._process import FrontProcess
 from jackdawspur.group import GroupMessage, HostAddress, encode_message
 from jackdawspur.leases import CallOutcome
-from jackdawspur.platform import PlatformCallers
-from jackdawspur.runs import LookAt, Route, StartRun, StopRun
+from jackdawspur.platform import PlatformCallerCodec
+from jackdawspur.runs import PollUpstream, Route, StartRun, StopRun
 
 if TYPE_CHECKING:
     from jackdawspur.front.tests.virtual import World
@@ -60,14 +60,14 @@
     def register(self, _owner) -> "VirtualDeadlines":
         return self
 
-    def call_after(self, seconds: float, callback: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
         self._world.after(seconds, callback, self._life)
 
 
 class VirtualMesh:
     """Carry messages to hosts that can be reached."""
 
-    dropped = 0
+    dropped_messages = 0
     bytes_sent = 0
 
     def __init__(self, world: "World", life: Life, deliver) -> None:
@@ -105,31 +105,31 @@
     def register(self, _owner) -> "VirtualWeb":
         return self
 
-    def reply(self, number: int, reply: HttpReply) -> None:
+    def reply(self, call_id: int, reply: HttpResponse) -> None:
         self.open_calls -= 1
-        self._world.replied(self._life, number, reply)
+        self._world.replied(self._life, call_id, reply)
 
     def drain(self) -> None:
         pass
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         pass
 
 
-class Callers(PlatformCallers):
+class Callers(PlatformCallerCodec):
     """Know the jobs by their paths."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
 
-    def read_call(self, call: Call, routes: RouteTable) -> CallerQuestion:
+    def decode_call(self, call: Call, routes: RouteTable) -> CallerRequest:
         asked = self._world.asked[call.path]
         request = asked.request
-        return CallerQuestion(
-            QuestionKind.SUBMIT, request.route, request.id, request, asked.states_s
+        return CallerRequest(
+            RequestKind.SUBMIT, request.route, request.id, request, asked.states_s
         )
 
-    def read_configuration(self, document: bytes) -> RouteTable:
+    def decode_configuration(self, document: bytes) -> RouteTable:
         return RouteTable(1, (ROUTE,))
 
 
@@ -140,11 +140,11 @@
         self._world = world
         self._life = life
 
-    def follow(self, listener: StoreListener) -> None:
+    def start_watch(self, listener: StoreListener) -> None:
         self._listener = listener
         self._every(lambda: READ_S, self._read_configuration)
         self._every(lambda: READ_S, self._read_hosts)
-        self._every(lambda: listener.list_every_s, self._read_list)
+        self._every(lambda: listener.upstream_list_interval_s, self._read_list)
 
     def announce(self, host: HostAddress) -> None:
         self._world.after(READ_S, lambda: self._world.announce(host), self._life)
@@ -158,17 +158,17 @@
         self._world.after(READ_S, again, self._life)
 
     def _read_configuration(self) -> None:
-        self._listener.configuration_read(1, b"1")
-        self._listener.evacuated_read(frozenset(self._world.evacuated))
+        self._listener.on_configuration(1, b"1")
+        self._listener.on_evacuated_zones(frozenset(self._world.evacuated))
 
     def _read_hosts(self) -> None:
-        self._listener.hosts_read(tuple(self._world.announced.values()))
+        self._listener.on_hosts(tuple(self._world.announced.values()))
 
     def _read_list(self) -> None:
         shown = self._world.shown.get(self._life.name)
         entries = self._world.listed[:shown]
         if entries:
-            self._listener.upstreams_read(entries)
+            self._listener.on_upstreams(entries)
 
 
 class Upstreams(UpstreamPort):
@@ -180,27 +180,27 @@
 
     def start(self, order: StartRun, done: Callable[[CallOutcome], None]) -> None:
         world = self._world
-        work = world.work_of(order.run.task)
+        work = world.demand_of(order.run.task)
 
-        def act(upstream: FrontUpstream) -> CallOutcome:
+        def act(upstream: SimulatedUpstream) -> CallOutcome:
             return upstream.start(
-                order.run, order.until_ms, order.fence, work, world.now
+                order.run, order.lease_until_ms, order.fence, work, world.now
             )
 
         world.call(self._life, order, act, done)
 
     def stop(self, order: StopRun, done: Callable[[CallOutcome], None]) -> None:
-        def act(upstream: FrontUpstream) -> CallOutcome:
+        def act(upstream: SimulatedUpstream) -> CallOutcome:
             return upstream.stop(order.run, order.fence, self._world.now)
 
         self._world.call(self._life, order, act, done)
 
-    def look(self, order: LookAt, done: Callable) -> None:
+    def poll_runs(self, order: PollUpstream, done: Callable) -> None:
         world = self._world
 
-        def act(upstream: FrontUpstream) -> CallOutcome | None:
+        def act(upstream: SimulatedUpstream) -> CallOutcome | None:
             outcome = upstream.hold(
-                order.fence, order.last_seen, order.until_ms, world.now
+                order.fence, order.last_seen, order.lease_until_ms, world.now
             )
             if outcome is not CallOutcome.OK:
                 return outcome
@@ -210,5 +210,5 @@
 
         world.call(self._life, order, act, done)
 
-    def keep_only(self, addresses: set[str]) -> None:
+    def close_connections_except(self, addresses: set[str]) -> None:
         pass
--- a/jackdawspur/fuzz/tests/test_callers.py
+++ b/jackdawspur/fuzz/tests/test_callers.py
@@ -17,12 +17,12 @@
     ReadinessReason,
     token_hash,
 )
-from jackdawspur.dispatch import AnswerCall, IssueIds, SendPeer
-from jackdawspur.dispatch.tests.conftest import OWN, SIBLING, bench  # noqa: F401
+from jackdawspur.dispatch import AnswerCall, IssueIds, SendPeerMessage
+from jackdawspur.dispatch.tests.conftest import OWN, SIBLING, harness  # noqa: F401
 from jackdawspur.entry._routes import Routes
 from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
 from jackdawspur.links import Envelope, encode
-from jackdawspur.model import MAX_TASKS
+from jackdawspur.model import MAX_TASKS_PER_JOB
 
 TOKEN = "token-roster"
 BODY = {
@@ -63,7 +63,7 @@
     def post(self, event) -> None:
         self.effects += self.decide(event)
 
-    def reply(self, number, reply) -> None:
+    def reply(self, call_id, reply) -> None:
         self.replies.append(reply)
 
     def readiness(self) -> Readiness:
@@ -80,7 +80,7 @@
         return
     numbers = [task.run_ms for task in job.tasks] + [job.deadline_ms or 1.0]
     assert all(math.isfinite(number) and number >= 0 for number in numbers)
-    assert 1 <= len(job.tasks) <= MAX_TASKS
+    assert 1 <= len(job.tasks) <= MAX_TASKS_PER_JOB
 
 
 @FUZZ
@@ -100,24 +100,24 @@
 
 @FUZZ
 @given(METHODS, PATHS, QUERIES, KEYS, TOKENS, BODIES | st.just(b""))
-def test_each_call_gets_one_reply(bench, method, path, query, key, token, body):  # noqa: F811
+def test_each_call_gets_one_reply(harness, method, path, query, key, token, body):  # noqa: F811
     """A caller waits for ever, or one odd request ends the whole host.
 
     A call is refused by the routes, or ends up at the decisions, whose messages to
     other hosts must be such that a link can carry them.
     """
-    face = Face(bench.do)
+    face = Face(harness.send_event)
     routes = Routes(face)
     routes.set_configuration(Configuration(schema_version=1, customers=CUSTOMERS))
     headers = Headers([("Authorization", token)])
     if key is not None:
         headers["Idempotency-Key"] = key
-    number = len(bench.effects) + 100
-    routes.called(Call(number, method, path, query, headers, body))
-    effects = face.effects + bench.wait(1.0)
+    number = len(harness.effects) + 100
+    routes.handle_call(Call(number, method, path, query, headers, body))
+    effects = face.effects + harness.wait(1.0)
     for effect in effects:
-        if isinstance(effect, SendPeer):
+        if isinstance(effect, SendPeerMessage):
             encode(Envelope(OWN, effect.to, 0.0, effect.message))
     answers = [e for e in effects if isinstance(e, AnswerCall | IssueIds)]
     assert len(face.replies) + sum(e.call == number for e in answers) <= 1
-    assert len(face.replies) == 1 or face.effects or bench.core.state.forwards
+    assert len(face.replies) == 1 or face.effects or harness.core.state.pending_forwards
--- a/jackdawspur/fuzz/tests/test_entries.py
+++ b/jackdawspur/fuzz/tests/test_entries.py
@@ -9,10 +9,18 @@
 from jackdawspur.group import HostAddress
 from jackdawspur.leases import UpstreamEntry
 from jackdawspur.platform import PlatformStore
-from jackdawspur.platform.tests.test_entries import HOST, SOUND, changed
+from jackdawspur.platform.tests.test_entries import (
+    VALID_HOST_ENTRY,
+    VALID_UPSTREAM_ENTRY,
+    with_changes,
+)
 
 OTHER = "i-2"
-ENTRIES = mutated_json(SOUND) | mutated_json(HOST) | st.binary(max_size=60)
+ENTRIES = (
+    mutated_json(VALID_UPSTREAM_ENTRY)
+    | mutated_json(VALID_HOST_ENTRY)
+    | st.binary(max_size=60)
+)
 
 
 @FUZZ
@@ -21,11 +29,11 @@
     upstreams, hosts = [], []
     store = PlatformStore("127.0.0.1:1", Component(), SimpleNamespace(now=1.0))
     store._listener = SimpleNamespace(
-        upstreams_read=upstreams.extend, hosts_read=hosts.extend
+        on_upstreams=upstreams.extend, on_hosts=hosts.extend
     )
-    store._servers_wrote({name: data, OTHER: changed(SOUND)}, True)
-    store._hosts_wrote({name: data, OTHER: changed(HOST)}, True)
+    store._servers_wrote({name: data, OTHER: with_changes(VALID_UPSTREAM_ENTRY)}, True)
+    store._hosts_wrote({name: data, OTHER: with_changes(VALID_HOST_ENTRY)}, True)
     assert all(isinstance(entry, UpstreamEntry) for entry in upstreams)
     assert all(isinstance(host, HostAddress) for host in hosts)
     assert any(entry.id.name == OTHER for entry in upstreams)
-    assert any(host.name == HOST["name"] for host in hosts)
+    assert any(host.name == VALID_HOST_ENTRY["name"] for host in hosts)
--- a/jackdawspur/fuzz/tests/test_links.py
+++ b/jackdawspur/fuzz/tests/test_links.py
@@ -9,19 +9,19 @@
 
 from jackdawspur.dispatch import (
     AnswerCall,
+    ClusterSpecUpdated,
     EntryCore,
-    IdsAsked,
-    PeerReceived,
-    SendPeer,
+    PeerMessageReceived,
+    SendPeerMessage,
+    SubmissionIdsRequested,
     Submitted,
     Tick,
-    WorldSet,
 )
 from jackdawspur.dispatch.tests.conftest import (
+    CLUSTER_SPEC,
     OWN,
     SIBLING,
-    WORLD,
-    Bench,
+    CoreHarness,
     make_request,
 )
 from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes
@@ -113,22 +113,22 @@
 
     A sound job is submitted in between, and must be sent to an upstream exactly once.
     """
-    bench = Bench(EntryCore(OWN, random.Random(1), 0.0))
-    bench.do(WorldSet(WORLD))
-    bench.do(IdsAsked(1, "roster", 2))
-    bench.wait(0.6)
+    harness = CoreHarness(EntryCore(OWN, random.Random(1), 0.0))
+    harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
+    harness.send_event(SubmissionIdsRequested(1, "roster", 2))
+    harness.wait(0.6)
     for turn, (sender, message) in enumerate([*sent, (SIBLING, None)]):
         if turn == min(place, len(sent)):
-            bench.do(Submitted(7, make_request(2), waits))
+            harness.send_event(Submitted(7, make_request(2), waits))
         brought = carried(message) if message is not None else None
         if brought is not None:
-            bench.do(PeerReceived(sender, brought))
-        bench.do(Tick())
-    bench.wait(7.0)
-    counts = Counter(bench.started)
+            harness.send_event(PeerMessageReceived(sender, brought))
+        harness.send_event(Tick())
+    harness.wait(7.0)
+    counts = Counter(harness.started)
     assert not [task for task, count in counts.items() if count > 1]
-    answered = Counter(e.call for e in bench.effects if isinstance(e, AnswerCall))
+    answered = Counter(e.call for e in harness.effects if isinstance(e, AnswerCall))
     assert answered[7] == 1
-    for effect in bench.effects:
-        if isinstance(effect, SendPeer):
+    for effect in harness.effects:
+        if isinstance(effect, SendPeerMessage):
             encode(Envelope(OWN, effect.to, 0.0, effect.message))
--- a/jackdawspur/fuzz/tests/test_log_records.py
+++ b/jackdawspur/fuzz/tests/test_log_records.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.configuration import (
     Configuration,
-    Fold,
+    ConfigurationStateMachine,
     Intent,
     changes_between,
     encode_record,
@@ -18,13 +18,13 @@
 from jackdawspur.configuration._records import (
     Confirm,
     decode_envelope,
-    decode_mark,
     decode_record,
+    decode_snapshot_header,
 )
-from jackdawspur.configuration._tail import snapshot_of
+from jackdawspur.configuration._tail import build_snapshot
 from jackdawspur.configuration.tests.conftest import EXAMPLES
 from jackdawspur.dispatch import Claim
-from jackdawspur.entry._claims import _claims_of
+from jackdawspur.entry._claims import decode_claims
 from jackdawspur.external import LogRecord
 from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
 
@@ -46,14 +46,14 @@
 }
 
 
-def _folded(*bodies: str) -> Fold:
-    fold = Fold()
-    fold.fold([LogRecord(offset, body) for offset, body in enumerate(bodies)])
+def _folded(*bodies: str) -> ConfigurationStateMachine:
+    fold = ConfigurationStateMachine()
+    fold.apply_records([LogRecord(offset, body) for offset, body in enumerate(bodies)])
     return fold
 
 
 GOOD = [encode_record(PROPOSAL), encode_record(CONFIRM)]
-GOOD.append(encode_record(snapshot_of(_folded(*GOOD), 3.0)))
+GOOD.append(encode_record(build_snapshot(_folded(*GOOD), 3.0)))
 
 
 def _bodies(good: str):
@@ -70,7 +70,7 @@
 @FUZZ
 @given(BODIES)
 def test_a_record_is_read_or_refused_with_a_reason(body):
-    for decode in (decode_envelope, decode_mark, decode_record):
+    for decode in (decode_envelope, decode_snapshot_header, decode_record):
         try:
             decode(body)
         except RecordError as error:
@@ -82,11 +82,11 @@
 def test_hosts_fold_the_same_and_never_go_back(bodies):
     """Two zones obey different versions after one odd record in the log."""
     records = [LogRecord(offset, body) for offset, body in enumerate(bodies)]
-    one, other = Fold(), Fold()
-    one.fold(records)
+    one, other = ConfigurationStateMachine(), ConfigurationStateMachine()
+    one.apply_records(records)
     versions = []
     for record in records:
-        other.fold([record])
+        other.apply_records([record])
         versions.append(other.version)
     assert versions == sorted(versions)
     assert (one.version, one.configuration) == (other.version, other.configuration)
@@ -99,12 +99,12 @@
     fold = _folded(*GOOD[:2], body)
     assert fold.version == 1
     assert fold.through == 2
-    assert _claims_of(LogRecord(0, body)) == []
+    assert decode_claims(LogRecord(0, body)) == []
 
 
 @FUZZ
 @given(_bodies(json.dumps(CLAIMS)))
 def test_claims_are_read_or_skipped(body):
-    for claim in _claims_of(LogRecord(3, body)):
+    for claim in decode_claims(LogRecord(3, body)):
         assert isinstance(claim, Claim)
         assert isinstance(claim.key, str) and isinstance(claim.customer, str)
--- a/jackdawspur/fuzz/tests/test_runs.py
+++ b/jackdawspur/fuzz/tests/test_runs.py
@@ -6,12 +6,12 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
-from jackdawspur.bench import FrontUpstream, Tally, Work
+from jackdawspur.bench import JobDemand, RunCounters, SimulatedUpstream
 from jackdawspur.fuzz.tests.mutations import FUZZ, MORE
 from jackdawspur.leases import (
     FENCE_STEP,
     CallOutcome,
-    LookReport,
+    PollReport,
     Resources,
     UpstreamEntry,
 )
@@ -20,8 +20,8 @@
     Dispatcher,
     JobRequest,
     JobStep,
-    LookAt,
     Offer,
+    PollUpstream,
     Progress,
     Route,
     StartRun,
@@ -39,7 +39,7 @@
 # A caller whose request broke off asks again after this.
 RESEND_S = 1.3
 
-Order = StartRun | StopRun | LookAt
+Order = StartRun | StopRun | PollUpstream
 
 
 @dataclass
@@ -47,10 +47,10 @@
     """Keep fenced upstreams, orders on their way to them and replies to these."""
 
     now: float = 100.0
-    tally: Tally = field(default_factory=Tally)
+    counters: RunCounters = field(default_factory=RunCounters)
     sent: list[Order] = field(default_factory=list)
     forgotten: list[Order] = field(default_factory=list)
-    replies: list[tuple[Order, LookReport | CallOutcome]] = field(default_factory=list)
+    replies: list[tuple[Order, PollReport | CallOutcome]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         rng = random.Random(1)
@@ -61,22 +61,24 @@
             for n in range(3)
         ]
         self.all = {
-            entry.id: FrontUpstream(entry, 1.0, self.tally, rng)
+            entry.id: SimulatedUpstream(entry, 1.0, self.counters, rng)
             for entry in self.entries
         }
 
-    def carry_out(self, order: Order) -> LookReport | CallOutcome:
+    def carry_out(self, order: Order) -> PollReport | CallOutcome:
         """Let an upstream do what it is told, and return its reply."""
         upstream = self.all[order.upstream]
         upstream.advance(self.now)
         if isinstance(order, StartRun):
-            work = Work({order.run.task: TASK_S}, TASK)
+            work = JobDemand({order.run.task: TASK_S}, TASK)
             return upstream.start(
-                order.run, order.until_ms, order.fence, work, self.now
+                order.run, order.lease_until_ms, order.fence, work, self.now
             )
         if isinstance(order, StopRun):
             return upstream.stop(order.run, order.fence, self.now)
-        outcome = upstream.hold(order.fence, order.last_seen, order.until_ms, self.now)
+        outcome = upstream.hold(
+            order.fence, order.last_seen, order.lease_until_ms, self.now
+        )
         return upstream.report(self.now) if outcome is CallOutcome.OK else outcome
 
 
@@ -99,16 +101,16 @@
         self.dispatcher.set_upstreams(entries, self.world.now)
 
     def _lead(self) -> None:
-        self.dispatcher.lead(self.fence, self.world.now)
+        self.dispatcher.start_leading(self.fence, self.world.now)
         self._act()
 
     def _act(self) -> None:
         for effect in self.dispatcher.flush(self.world.now):
             if isinstance(effect, Order):
                 self.world.sent.append(effect)
-        tally = self.world.tally
-        assert not tally.two_at_once, "a task ran twice at one time"
-        assert not tally.over_capacity, "an upstream was driven over its capacity"
+        counters = self.world.counters
+        assert not counters.two_at_once, "a task ran twice at one time"
+        assert not counters.over_capacity, "an upstream was driven over its capacity"
 
     def _offer(self, offer: Offer) -> None:
         self.offers[offer.request.id] = offer
@@ -207,7 +209,7 @@
 
     @rule()
     def lead_begins_anew(self):
-        crashes = self.dispatcher.fleet.crashes
+        crashes = self.dispatcher.upstream_pool.crashes
         told = self.dispatcher.open_jobs.progress_by_host(crashes)
         progress = {job: one for jobs in told.values() for job, one in jobs.items()}
         jobs = [job.offer for job in self.dispatcher.open_jobs.values()]
@@ -223,19 +225,19 @@
                 offer.call,
                 offer.arrived,
                 offer.deadline,
-                offer.handed + 1,
+                offer.handovers + 1,
                 known,
             )
             self._offer(again)
 
-    def _reply(self, order: Order, result: LookReport | CallOutcome) -> None:
+    def _reply(self, order: Order, result: PollReport | CallOutcome) -> None:
         now = self.world.now
         if isinstance(order, StartRun):
             self.dispatcher.start_replied(order, result, now)
         elif isinstance(order, StopRun):
             self.dispatcher.stop_replied(order, result, now)
         else:
-            self.dispatcher.look_replied(order, result, now)
+            self.dispatcher.poll_replied(order, result, now)
         self._act()
 
 
--- a/jackdawspur/fuzz/tests/test_settings.py
+++ b/jackdawspur/fuzz/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
 from jackdawspur.settings import EntrySettings, SettingsError, load_settings
-from jackdawspur.settings.tests.test_settings import GOOD as PLAIN
+from jackdawspur.settings.tests.test_settings import VALID_SETTINGS as PLAIN
 
 GOOD = PLAIN | {
     "siblings": [
--- a/jackdawspur/fuzz/tests/test_two_hosts.py
+++ b/jackdawspur/fuzz/tests/test_two_hosts.py
@@ -6,12 +6,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from jackdawspur.dispatch import (
-    CancelAsked,
-    ClaimEnded,
-    DrainAsked,
-    IdsAsked,
+    CancelRequested,
+    ClaimAppendCompleted,
+    DrainRequested,
     ResultsReplied,
-    StatusLost,
+    StatusQueryFailed,
+    SubmissionIdsRequested,
     Submitted,
 )
 from jackdawspur.external import UpstreamReply
@@ -55,7 +55,9 @@
 
     @rule(name=NAMES)
     def issue(self, name):
-        self.world.call(name, lambda call: IdsAsked(call, "roster", 1), None)
+        self.world.call(
+            name, lambda call: SubmissionIdsRequested(call, "roster", 1), None
+        )
 
     @precondition(lambda self: self.world.ids)
     @rule(name=NAMES, place=PLACES)
@@ -67,7 +69,7 @@
     @rule(name=NAMES, place=PLACES)
     def cancel(self, name, place):
         one = self.world.ids[place % len(self.world.ids)]
-        make = lambda call: CancelAsked(call, "roster", one)  # noqa: E731
+        make = lambda call: CancelRequested(call, "roster", one)  # noqa: E731
         self.world.call(name, make, str(one))
 
     @precondition(lambda self: self.world.sent)
@@ -95,7 +97,7 @@
     @rule(place=PLACES)
     def status_is_lost(self, place):
         host, effect = self.world.asked.pop(place % len(self.world.asked))
-        self.world.give(host, StatusLost(effect.upstream, effect.tasks))
+        self.world.give(host, StatusQueryFailed(effect.upstream, effect.tasks))
 
     @rule(place=PLACES, failed=st.booleans(), twice=st.booleans())
     def task_ends(self, place, failed, twice):
@@ -118,7 +120,7 @@
         host, claim = self.world.claims.pop(place % len(self.world.claims))
         if up:
             self.world.log.append(claim)
-        self.world.give(host, ClaimEnded(claim, up if known else None))
+        self.world.give(host, ClaimAppendCompleted(claim, up if known else None))
 
     @rule(name=NAMES)
     def read_claims(self, name):
@@ -146,7 +148,7 @@
             case "pause":
                 self.world.paused.add(name)
             case "drain":
-                self.world.give(old, DrainAsked(1000.0))
+                self.world.give(old, DrainRequested(1000.0))
             case "kill":
                 self.world.boot(replace(old, incarnation=old.incarnation + 1))
             case "resume":
--- a/jackdawspur/fuzz/tests/two_hosts.py
+++ b/jackdawspur/fuzz/tests/two_hosts.py
@@ -7,23 +7,23 @@
 from jackdawspur.dispatch import (
     AnswerCall,
     AppendClaim,
-    AskStatus,
     Claim,
     ClaimsRead,
+    ClusterSpecUpdated,
     EntryCore,
     Event,
     IssueIds,
-    PeerReceived,
-    SendPeer,
-    StartsLost,
+    PeerMessageReceived,
+    QueryTaskStatus,
+    SendPeerMessage,
+    StartRequestFailed,
     StartsReplied,
     StartTasks,
     StatusReplied,
     StopTasks,
     Tick,
-    WorldSet,
 )
-from jackdawspur.dispatch.tests.conftest import OWN, SIBLING, UPSTREAMS, WORLD
+from jackdawspur.dispatch.tests.conftest import CLUSTER_SPEC, OWN, SIBLING, UPSTREAMS
 from jackdawspur.external import RefusalReason, StartVerdict, UpstreamReply
 from jackdawspur.messages import Heartbeat, Pulse
 from jackdawspur.model import Answer, HostId, TaskId, TaskOutcome, TaskState, UpstreamId
@@ -68,9 +68,9 @@
         self.log: list[Claim] = []
         self.cursors: dict[str, int] = {}
         self.sent: list[tuple[HostId, StartTasks]] = []
-        self.asked: list[tuple[HostId, AskStatus]] = []
+        self.asked: list[tuple[HostId, QueryTaskStatus]] = []
         self.claims: list[tuple[HostId, Claim]] = []
-        self.links: list[tuple[float, HostId, SendPeer]] = []
+        self.links: list[tuple[float, HostId, SendPeerMessage]] = []
         self.events: list[tuple[HostId, Event]] = []
         self.ids = []
         self.calls: dict[int, tuple[HostId, str | None]] = {}
@@ -88,7 +88,7 @@
         self.cores[host.name] = EntryCore(host, rng, self.now)
         self.paused.discard(host.name)
         self.cursors[host.name] = 0
-        self.give(host, WorldSet(WORLD))
+        self.give(host, ClusterSpecUpdated(CLUSTER_SPEC))
 
     def give(self, host: HostId, event: Event) -> None:
         """Let an event happen at a run of a host, if that still is there."""
@@ -120,7 +120,7 @@
         if not keep:
             del self.links[place]
         if self.now - at <= LINK_AGE_S:
-            self.give(effect.to, PeerReceived(sender, effect.message))
+            self.give(effect.to, PeerMessageReceived(sender, effect.message))
 
     def start(self, place: int, reply: bool) -> None:
         """Let an upstream take a batch; its reply may get lost."""
@@ -144,7 +144,7 @@
     def lose(self, host: HostId, effect: StartTasks, left: bool) -> None:
         """Let a host notice that no reply came for its batch."""
         tasks = tuple(one.task for one in effect.starts)
-        self.give(host, StartsLost(effect.upstream, tasks, left))
+        self.give(host, StartRequestFailed(effect.upstream, tasks, left))
 
     def tell_status(self, place: int) -> None:
         """Let an upstream answer a status query."""
@@ -176,13 +176,13 @@
         match effect:
             case StartTasks():
                 self.sent.append((host, effect))
-            case AskStatus():
+            case QueryTaskStatus():
                 self.asked.append((host, effect))
             case StopTasks(upstream=upstream, tasks=tasks):
                 self._stop(self.racks[upstream], tasks)
             case AppendClaim(claim=claim):
                 self.claims.append((host, claim))
-            case SendPeer():
+            case SendPeerMessage():
                 self.links.append((self.now, host, effect))
             case IssueIds(ids=ids):
                 self.ids += ids
@@ -212,8 +212,8 @@
         for _, sender, effect in beats:
             peer = self.cores.get(effect.to.name)
             if peer is not None and effect.to.zone == OWN.zone:
-                self.give(peer.host, PeerReceived(sender, effect.message))
+                self.give(peer.host, PeerMessageReceived(sender, effect.message))
 
 
-def _is_beat(effect: SendPeer) -> bool:
+def _is_beat(effect: SendPeerMessage) -> bool:
     return isinstance(effect.message, Heartbeat | Pulse)
--- a/jackdawspur/group/_candidates.py
+++ b/jackdawspur/group/_candidates.py
@@ -1,6 +1,6 @@
 """Which host is to lead next."""
 
-from jackdawspur.group._messages import HostAddress, HostBeat
+from jackdawspur.group._messages import HostAddress, HostHeartbeat
 
 __all__ = ["is_fit", "rank"]
 
@@ -8,7 +8,7 @@
 SETTLED_MS = 2000
 
 
-def is_fit(beat: HostBeat) -> bool:
+def is_fit(beat: HostHeartbeat) -> bool:
     """Tell whether a host may lead."""
     return beat.ready and not beat.draining and not beat.slow
 
--- a/jackdawspur/group/_carried.py
+++ b/jackdawspur/group/_carried.py
@@ -30,7 +30,7 @@
         return ASSUMED_CORES if self.processor is None else self.processor
 
     @property
-    def upstreams(self) -> int:
+    def max_upstreams(self) -> int:
         """Return how many upstreams the host carries, at least one.
 
         A link that nobody stated is assumed not to bind.
@@ -43,4 +43,4 @@
         """Return what the log tells of the limits, and which of them are assumed."""
         stated = {"processor": self.processor, "link_mbps": self.link_mbps}
         assumed = [name for name, value in stated.items() if value is None]
-        return {**stated, "assumed": assumed, "carries_upstreams": self.upstreams}
+        return {**stated, "assumed": assumed, "carries_upstreams": self.max_upstreams}
--- a/jackdawspur/group/_contest.py
+++ b/jackdawspur/group/_contest.py
@@ -18,7 +18,7 @@
         self._yield_until = now
 
     @property
-    def yielding(self) -> bool:
+    def backing_off(self) -> bool:
         """Tell whether the lead is left to a host that can't be heard."""
         return self._yields > 0
 
--- a/jackdawspur/group/_extent.py
+++ b/jackdawspur/group/_extent.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from jackdawspur.group._messages import HostBeat
+from jackdawspur.group._messages import HostHeartbeat
 
 __all__ = ["MOST_UPSTREAMS", "Extent"]
 
@@ -38,7 +38,7 @@
         """Tell whether the own list has too many upstreams for one group."""
         return self._too_large
 
-    def set_size(self, upstreams: int) -> None:
+    def set_upstream_count(self, upstreams: int) -> None:
         """Take in how many upstreams the own list has."""
         self._upstreams = upstreams
 
@@ -46,7 +46,7 @@
         """Have what the leading host says."""
         self._by_zone = by_zone
 
-    def decide(self, apart: Sequence[HostBeat]) -> None:
+    def decide(self, apart: Sequence[HostHeartbeat]) -> None:
         """Decide by the own list, where there is one, and by other zones' groups.
 
         These say how many upstreams are on theirs. As long as one of them has too many
--- a/jackdawspur/group/_lateness.py
+++ b/jackdawspur/group/_lateness.py
@@ -2,15 +2,15 @@
 
 import math
 
-from jackdawspur.group._group import SILENCE_S
+from jackdawspur.group._group import HEARTBEAT_TIMEOUT_S
 
-__all__ = ["is_late"]
+__all__ = ["is_stale_message"]
 
 
-def is_late(receiver_at: float, now: float) -> bool:
+def is_stale_message(receiver_at: float, now: float) -> bool:
     """Tell whether a message was held up for so long that its sender counted as lost.
 
     `receiver_at` is what the receiver's clock showed when the message was sent. A
     sender that did not know may have sent it at any time.
     """
-    return receiver_at == math.inf or now - receiver_at > SILENCE_S
+    return receiver_at == math.inf or now - receiver_at > HEARTBEAT_TIMEOUT_S
--- a/jackdawspur/group/_leadership_transfer.py
+++ b/jackdawspur/group/_leadership_transfer.py
@@ -3,15 +3,15 @@
 from collections.abc import Sequence
 
 from jackdawspur.group._candidates import is_fit, rank
-from jackdawspur.group._messages import HostAddress, HostBeat
+from jackdawspur.group._messages import HostAddress, HostHeartbeat
 from jackdawspur.leases import Fence
 
-__all__ = ["HandOver"]
+__all__ = ["LeadershipTransfer"]
 
 # Each change of the leading host stops starts for a moment, so one that nothing forces
 # waits for this long, and twice as long each time that it goes to the same host: one
 # that loses the lead again and again must not have it passed to and fro.
-KEPT_S = 5.0
+MIN_LEADERSHIP_S = 5.0
 MOST_DOUBLINGS = 4
 MS_PER_S = 1000.0
 # Below this ratio of processors the change costs more than it brings.
@@ -20,7 +20,7 @@
 FRESH_LIST_S = 2.0
 
 
-class HandOver:
+class LeadershipTransfer:
     """Choose the host to which the lead is to go, if any."""
 
     def __init__(self, own: HostAddress) -> None:
@@ -35,7 +35,7 @@
         self.given_to = ""
 
     def is_due(
-        self, beats: Sequence[HostBeat], fence: Fence, unix_ms: float, now: float
+        self, beats: Sequence[HostHeartbeat], fence: Fence, unix_ms: float, now: float
     ) -> bool:
         """Tell whether to give up the lead: who is chosen next carries more."""
         fit = [beat for beat in beats if is_fit(beat)]
@@ -44,14 +44,14 @@
             return False
         name = first.host.name
         handed = self._handed.get(name, 0)
-        if now - self._led_since < KEPT_S * 2 ** min(handed, MOST_DOUBLINGS):
+        if now - self._led_since < MIN_LEADERSHIP_S * 2 ** min(handed, MOST_DOUBLINGS):
             return False
         self._handed[name] = handed + 1
         self.given_to = name
         return True
 
-    def _deserves_it(self, beat: HostBeat, fence: Fence, unix_ms: float) -> bool:
+    def _deserves_it(self, beat: HostHeartbeat, fence: Fence, unix_ms: float) -> bool:
         stronger = beat.host.processor >= STRONGER * self._own.processor
-        settled = unix_ms - beat.host.started_ms >= KEPT_S * MS_PER_S
+        settled = unix_ms - beat.host.started_ms >= MIN_LEADERSHIP_S * MS_PER_S
         follows = beat.follows == fence
         return stronger and settled and follows and beat.upstreams_age_s < FRESH_LIST_S
--- a/jackdawspur/group/_messages.py
+++ b/jackdawspur/group/_messages.py
@@ -6,27 +6,27 @@
 
 from jackdawspur.exceptions import JackdawspurError
 from jackdawspur.leases import UpstreamEntry
-from jackdawspur.runs import JobOutcome, JobRequest, Learned, Progress
+from jackdawspur.runs import JobOutcome, JobRequest, LearnedStats, Progress
 
 __all__ = [
-    "ConfigurationPassed",
+    "CapacityOffer",
+    "ConfigurationUpdate",
     "GroupMessage",
+    "GroupMessageDecodeError",
     "HostAddress",
-    "HostBeat",
-    "JobAnswered",
-    "JobDropped",
-    "JobOffered",
-    "JobPassedOn",
+    "HostHeartbeat",
+    "JobCancellation",
+    "JobOffer",
     "JobProgress",
-    "RoomOffered",
-    "UnreadableGroupMessage",
-    "UpstreamsPassed",
+    "JobRedirect",
+    "JobResult",
+    "UpstreamListUpdate",
     "decode_message",
     "encode_message",
 ]
 
 
-class UnreadableGroupMessage(JackdawspurError):
+class GroupMessageDecodeError(JackdawspurError):
     """Raise when bytes are no message of a host."""
 
 
@@ -44,7 +44,7 @@
     processor: float = 1.0
 
 
-class HostBeat(msgspec.Struct, frozen=True, tag="beat", omit_defaults=True):
+class HostHeartbeat(msgspec.Struct, frozen=True, tag="beat", omit_defaults=True):
     """Tell the other hosts how this one is; `sent_at` is on its own clock.
 
     `fence` is its own when it leads, else 0; `follows` is that of the leading host to
@@ -70,14 +70,14 @@
     progress: tuple["JobProgress", ...] = ()
     silent_s: float = 0.0
     follows: int = 0
-    room: tuple["RoomOffered", ...] = ()
+    room: tuple["CapacityOffer", ...] = ()
     wants_room: bool = False
     by_zone: bool = False
     too_large: bool = False
     upstreams: int = 0
-    learned: Learned | None = None
+    learned: LearnedStats | None = None
 
-    def is_before(self, other: "HostBeat") -> bool:
+    def is_before(self, other: "HostHeartbeat") -> bool:
         """Tell whether the same run of a host sent this one before another.
 
         Of two runs nothing is told: the time of day may have been set back.
@@ -86,7 +86,7 @@
         return same_run and self.sent_at < other.sent_at
 
 
-class RoomOffered(msgspec.Struct, frozen=True):
+class CapacityOffer(msgspec.Struct, frozen=True):
     """Offer what some upstreams of a service have left, in thousandths of a core.
 
     On those of `slow` tasks take longer than on the others.
@@ -104,7 +104,7 @@
     progress: Progress
 
 
-class JobOffered(msgspec.Struct, frozen=True, tag="offer"):
+class JobOffer(msgspec.Struct, frozen=True, tag="offer"):
     """Hand a job to the leading host; times in milliseconds, left or passed.
 
     `handed` counts earlier hand-overs, `progress` is what is known of its tasks.
@@ -133,7 +133,7 @@
     outranked: bool = False
 
 
-class JobPassedOn(msgspec.Struct, frozen=True, tag="passed"):
+class JobRedirect(msgspec.Struct, frozen=True, tag="passed"):
     """Tell a job's host to offer it to the leading host of another group.
 
     `attempt` names the offer that this replies to.
@@ -146,7 +146,7 @@
     fence: int
 
 
-class JobDropped(msgspec.Struct, frozen=True, tag="drop"):
+class JobCancellation(msgspec.Struct, frozen=True, tag="drop"):
     """Tell the leading host that nobody waits for a job any more."""
 
     sender: str
@@ -154,7 +154,7 @@
     call: int
 
 
-class JobAnswered(msgspec.Struct, frozen=True, tag="answer"):
+class JobResult(msgspec.Struct, frozen=True, tag="answer"):
     """Tell a job's host how the job ended; `handed` tells which offer is answered."""
 
     job: str
@@ -163,14 +163,14 @@
     outcome: JobOutcome
 
 
-class ConfigurationPassed(msgspec.Struct, frozen=True, tag="configuration"):
+class ConfigurationUpdate(msgspec.Struct, frozen=True, tag="configuration"):
     """Pass a configuration on as it was published."""
 
     version: int
     document: bytes
 
 
-class UpstreamsPassed(msgspec.Struct, frozen=True, tag="upstreams"):
+class UpstreamListUpdate(msgspec.Struct, frozen=True, tag="upstreams"):
     """Pass the list of upstreams on; `age_s` is how old it is.
 
     `receiver_at` is what the receiver's clock showed when this was sent, or less.
@@ -184,13 +184,13 @@
 
 
 GroupMessage = (
-    HostBeat
-    | JobOffered
-    | JobPassedOn
-    | JobDropped
-    | JobAnswered
-    | ConfigurationPassed
-    | UpstreamsPassed
+    HostHeartbeat
+    | JobOffer
+    | JobRedirect
+    | JobCancellation
+    | JobResult
+    | ConfigurationUpdate
+    | UpstreamListUpdate
 )
 
 _encoder = msgspec.msgpack.Encoder()
@@ -203,8 +203,8 @@
 
 
 def decode_message(data: bytes) -> GroupMessage:
-    """Return the message of bytes; raise `UnreadableGroupMessage`."""
+    """Return the message of bytes; raise `GroupMessageDecodeError`."""
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
-        raise UnreadableGroupMessage(str(error)) from error
+        raise GroupMessageDecodeError(str(error)) from error
--- a/jackdawspur/group/_terms.py
+++ b/jackdawspur/group/_terms.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from jackdawspur.group._messages import HostBeat
+from jackdawspur.group._messages import HostHeartbeat
 from jackdawspur.leases import Fence
 
 __all__ = ["Term", "precedence"]
@@ -20,7 +20,7 @@
     by_zone: bool = field(default=False, compare=False)
 
 
-def precedence(term: Term | HostBeat) -> tuple[bool, Fence]:
+def precedence(term: Term | HostHeartbeat) -> tuple[bool, Fence]:
     """Return a key whose highest leads a host.
 
     Of one zone's leading host and one of all zones, the former gives up as soon as its
--- a/jackdawspur/group/tests/beats.py
+++ b/jackdawspur/group/tests/beats.py
@@ -1,18 +1,18 @@
 """Heartbeats of groups under test."""
 
-from jackdawspur.group import Group, HostAddress, HostBeat
+from jackdawspur.group import Group, HostAddress, HostHeartbeat
 
 __all__ = ["beat_of"]
 
 
-def beat_of(group: Group, host: HostAddress, now: float) -> HostBeat:
+def beat_of(group: Group, host: HostAddress, now: float) -> HostHeartbeat:
     """Return what a host with a fresh list tells of its group."""
     term = group.term(now)
-    return HostBeat(
+    return HostHeartbeat(
         host=host,
         sent_at=now,
-        leads=group.leads,
-        fence=group.fence if group.leads else 0,
+        leads=group.is_leader,
+        fence=group.fence if group.is_leader else 0,
         ready=True,
         draining=group.draining,
         slow=group.slow,
--- a/jackdawspur/group/tests/test_carried.py
+++ b/jackdawspur/group/tests/test_carried.py
@@ -16,11 +16,11 @@
     ],
 )
 def test_the_scarcer_limit_binds(limits: HostLimits, upstreams: int):
-    assert limits.upstreams == upstreams
+    assert limits.max_upstreams == upstreams
 
 
 def test_limits_nobody_stated_are_logged_as_assumed():
     fields = HostLimits().log_fields()
     assert fields["assumed"] == ["processor", "link_mbps"]
-    assert fields["carries_upstreams"] == HostLimits(1.0, 1000.0).upstreams
+    assert fields["carries_upstreams"] == HostLimits(1.0, 1000.0).max_upstreams
     assert HostLimits(0.5, 12.5).log_fields()["assumed"] == []
--- a/jackdawspur/group/tests/test_group.py
+++ b/jackdawspur/group/tests/test_group.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from jackdawspur.group import Group, HostAddress, HostBeat, Term
+from jackdawspur.group import Group, HostAddress, HostHeartbeat, Term
 from jackdawspur.group._group import (
     FIRST_VACANT_S,
+    HEARTBEAT_TIMEOUT_S,
     MEET_S,
     READ_MARGIN_S,
-    SILENCE_S,
     UNHEARD_S,
     VACANT_S,
 )
@@ -32,7 +32,7 @@
         self.unready: set[str] = set()
         self.cut: set[frozenset[str]] = set()
 
-    def beat(self, name: str) -> HostBeat:
+    def beat(self, name: str) -> HostHeartbeat:
         return beat_of(self.groups[name], address(name), self.now)
 
     def advance(self, seconds: float) -> None:
@@ -43,13 +43,13 @@
             for name in present:
                 for other in present:
                     if other != name and frozenset((name, other)) not in self.cut:
-                        self.groups[name].heard(beats[other], self.now)
+                        self.groups[name].record_heartbeat(beats[other], self.now)
             for name in present:
                 ready = name not in self.unready
-                self.groups[name].decide(ready, UNIX_MS, self.now)
+                self.groups[name].update_leadership(ready, UNIX_MS, self.now)
 
     def leaders(self) -> list[str]:
-        return [name for name, group in self.groups.items() if group.leads]
+        return [name for name, group in self.groups.items() if group.is_leader]
 
 
 @pytest.fixture
@@ -69,7 +69,7 @@
     (leader,) = hosts.leaders()
     before = hosts.groups[leader].fence
     hosts.away.add(leader)
-    hosts.advance(SILENCE_S + VACANT_S + 0.2)
+    hosts.advance(HEARTBEAT_TIMEOUT_S + VACANT_S + 0.2)
     (second,) = [name for name in hosts.leaders() if name != leader]
     assert hosts.groups[second].fence > before
 
@@ -117,7 +117,7 @@
     (leader,) = hosts.leaders()
     group = hosts.groups[leader]
     before = group.fence
-    group.contested(UNIX_MS, hosts.now)
+    group.resolve_contention(UNIX_MS, hosts.now)
     assert group.fence > before + (4000 << 22)
 
 
@@ -131,14 +131,14 @@
     (second,) = [name for name in hosts.leaders() if name != leader]
     for _ in range(2):
         for name in (leader, second):
-            hosts.groups[name].contested(UNIX_MS, hosts.now)
+            hosts.groups[name].resolve_contention(UNIX_MS, hosts.now)
     assert hosts.leaders() == [second]
     hosts.advance(1.0)
     assert hosts.leaders() == [second]
     hosts.cut.clear()
     hosts.advance(0.3)
     assert hosts.groups[leader].leader(hosts.now) == second
-    assert not hosts.groups[leader].yielding
+    assert not hosts.groups[leader].backing_off
 
 
 def test_the_lead_changes_once_after_a_cut_has_healed(hosts: Hosts):
@@ -171,9 +171,9 @@
 
 def far_beat(
     fence: int, leads: bool = True, sent_at: float = 0.0, started_ms: int = 1
-) -> HostBeat:
+) -> HostHeartbeat:
     host = HostAddress("far", "z9", "127.0.0.1:9", started_ms)
-    return HostBeat(
+    return HostHeartbeat(
         host, sent_at, leads, fence, True, False, False, 1, 0.0, (), by_zone=True
     )
 
@@ -186,49 +186,49 @@
     sizes = (64, 65, 64, 60, 66, 47, 60, 64)
     covers = []
     for size in sizes:
-        group.set_size(size, 10.0)
+        group.set_upstream_count(size, 10.0)
         covers.append(group.covers("z2"))
     assert covers == [True, False, False, False, False, True, True, True]
 
 
 def test_another_groups_lead_is_found_but_never_followed():
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
-    group.set_size(3, 0.0)
-    group.heard(far_beat(50), 1.0)
-    assert [beat.host.name for beat in group.other_leads(1.1)] == ["far"]
+    group.set_upstream_count(3, 0.0)
+    group.record_heartbeat(far_beat(50), 1.0)
+    assert [beat.host.name for beat in group.other_group_leaders(1.1)] == ["far"]
     assert group.leader(1.1) is None
-    assert not group.known
-    assert [host.name for host in group.outsiders] == ["far"]
-    assert not group.other_leads(4.0)
+    assert not group.known_peers
+    assert [host.name for host in group.other_group_hosts] == ["far"]
+    assert not group.other_group_leaders(4.0)
 
 
 def test_a_job_elsewhere_is_given_up_when_that_lead_is_silent_or_another():
     # A caller waits in vain: the other zone's leading host died, or another leads there
     # that knows nothing of the job.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
-    group.set_size(3, 0.0)
+    group.set_upstream_count(3, 0.0)
     term = Term("far", 50)
-    assert group.still_leads(term, 5.0, 5.3)
-    assert not group.still_leads(term, 5.0, 5.5)
-    group.heard(far_beat(50), 5.4)
-    assert group.still_leads(term, 5.0, 5.7)
-    group.heard(far_beat(0, leads=False), 5.8)
-    assert not group.still_leads(term, 5.0, 5.9)
+    assert group.is_term_active(term, 5.0, 5.3)
+    assert not group.is_term_active(term, 5.0, 5.5)
+    group.record_heartbeat(far_beat(50), 5.4)
+    assert group.is_term_active(term, 5.0, 5.7)
+    group.record_heartbeat(far_beat(0, leads=False), 5.8)
+    assert not group.is_term_active(term, 5.0, 5.9)
 
 
 def test_a_lead_that_was_never_heard_is_given_up_at_any_time_of_day():
     # Guards against a caller that waits for a rounded difference of times.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
     times = [1000.0 + 0.025 * tick for tick in range(200)]
-    kept = [now for now in times if group.still_leads(Term("far", 50), 5.0, now)]
+    kept = [now for now in times if group.is_term_active(Term("far", 50), 5.0, now)]
     assert not kept
 
 
 def test_what_another_lead_said_before_it_got_the_job_does_not_count():
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
-    group.set_size(3, 0.0)
-    group.heard(far_beat(40), 4.9)
-    assert group.still_leads(Term("far", 50), 5.0, 5.1)
+    group.set_upstream_count(3, 0.0)
+    group.record_heartbeat(far_beat(40), 4.9)
+    assert group.is_term_active(Term("far", 50), 5.0, 5.1)
 
 
 @pytest.fixture
@@ -294,9 +294,9 @@
     # heartbeat after the next connection's first one. By that old one a host took
     # itself for the one that leads, and a job went from a higher fence to a lower.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0)
-    group.heard(far_beat(60, sent_at=2.0), 2.0)
-    group.heard(far_beat(50, sent_at=1.0), 2.1)
-    (beat,) = group.last_beats
+    group.record_heartbeat(far_beat(60, sent_at=2.0), 2.0)
+    group.record_heartbeat(far_beat(50, sent_at=1.0), 2.1)
+    (beat,) = group.last_heartbeats
     assert beat.fence == 60
     assert group.silent_s("far", 2.2) == pytest.approx(0.2)
 
@@ -304,9 +304,9 @@
 def test_a_host_that_started_again_is_heard_though_its_clock_began_anew():
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0)
     # Its time of day was set back meanwhile.
-    group.heard(far_beat(60, sent_at=900.0, started_ms=2), 2.0)
-    group.heard(far_beat(70, sent_at=1.0, started_ms=1), 3.0)
-    (beat,) = group.last_beats
+    group.record_heartbeat(far_beat(60, sent_at=900.0, started_ms=2), 2.0)
+    group.record_heartbeat(far_beat(70, sent_at=1.0, started_ms=1), 3.0)
+    (beat,) = group.last_heartbeats
     assert beat.fence == 70
 
 
@@ -315,11 +315,13 @@
     # for a moment, so that none counted as known to all, and nothing started on most.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0)
     host = HostAddress("other", "z1", "127.0.0.1:2", 1)
-    beat = HostBeat(host, 5.0, False, 0, True, False, False, 1, 1.0, (), upstreams=8)
-    group.heard(beat, 5.0)
-    longest, all_read_at = group.others_lists(5.0)
+    beat = HostHeartbeat(
+        host, 5.0, False, 0, True, False, False, 1, 1.0, (), upstreams=8
+    )
+    group.record_heartbeat(beat, 5.0)
+    longest, all_read_at = group.peer_list_bounds(5.0)
     assert (longest, all_read_at) == (8, pytest.approx(4.0 - READ_MARGIN_S))
     started = HostAddress("started", "z1", "127.0.0.1:3", 1)
-    without = HostBeat(started, 5.0, False, 0, False, False, False, 1, 1e9, ())
-    group.heard(without, 5.0)
-    assert group.others_lists(5.0) == (longest, all_read_at)
+    without = HostHeartbeat(started, 5.0, False, 0, False, False, False, 1, 1e9, ())
+    group.record_heartbeat(without, 5.0)
+    assert group.peer_list_bounds(5.0) == (longest, all_read_at)
--- a/jackdawspur/group/tests/test_handing_over.py
+++ b/jackdawspur/group/tests/test_handing_over.py
@@ -4,7 +4,7 @@
 
 from jackdawspur.group import Group, HostAddress
 from jackdawspur.group._group import FIRST_VACANT_S
-from jackdawspur.group._leadership_transfer import KEPT_S
+from jackdawspur.group._leadership_transfer import MIN_LEADERSHIP_S
 from jackdawspur.group.tests.beats import beat_of
 
 UNIX_MS = 1_800_000_000_000.0
@@ -44,11 +44,11 @@
             }
             for name, group in self.groups.items():
                 for other in beats.keys() - {name}:
-                    group.heard(beats[other], self.now)
+                    group.record_heartbeat(beats[other], self.now)
             for name, group in self.groups.items():
                 group.slow = name in self.slow
-                group.store_reached = name not in self.storeless
-                group.decide(True, UNIX_MS + self.now * 1000, self.now)
+                group.store_reachable = name not in self.storeless
+                group.update_leadership(True, UNIX_MS + self.now * 1000, self.now)
             self._note_lead()
 
     def _note_lead(self) -> None:
@@ -58,7 +58,7 @@
 
     def leaders(self) -> list[str]:
         """Return the hosts that lead."""
-        return [name for name, group in self.groups.items() if group.leads]
+        return [name for name, group in self.groups.items() if group.is_leader]
 
 
 @pytest.fixture
@@ -67,13 +67,13 @@
     one = Zone()
     one.start("weak-1")
     one.start("weak-2")
-    one.run(FIRST_VACANT_S + 3 * KEPT_S)
+    one.run(FIRST_VACANT_S + 3 * MIN_LEADERSHIP_S)
     one.start("strong")
     return one
 
 
 def test_a_strong_host_that_comes_late_gets_the_lead(zone: Zone):
-    zone.run(KEPT_S - 0.5)
+    zone.run(MIN_LEADERSHIP_S - 0.5)
     (weak,) = zone.leaders()
     assert weak != "strong"
     fence = zone.groups[weak].fence
@@ -85,24 +85,24 @@
 def test_a_host_that_loses_the_lead_gets_it_less_and_less_often(zone: Zone):
     # Guards against the lead going to and fro with a strong host that fails again and
     # again.
-    zone.run(2 * KEPT_S)
+    zone.run(2 * MIN_LEADERSHIP_S)
     for _ in range(20):
         zone.slow = {"strong"}
         zone.run(1.0)
         zone.slow = set()
-        zone.run(KEPT_S)
+        zone.run(MIN_LEADERSHIP_S)
     assert 3 < zone.led.count("strong") < 12
 
 
 def test_a_slow_strong_host_does_not_get_the_lead(zone: Zone):
     zone.slow = {"strong"}
-    zone.run(3 * KEPT_S)
+    zone.run(3 * MIN_LEADERSHIP_S)
     assert zone.leaders() != ["strong"]
 
 
 def test_the_lead_stays_while_the_store_is_away(zone: Zone):
     zone.storeless = set(zone.groups)
-    zone.run(3 * KEPT_S)
+    zone.run(3 * MIN_LEADERSHIP_S)
     assert zone.leaders() != ["strong"]
     zone.storeless = set()
     zone.run(1.0)
@@ -113,7 +113,7 @@
     zone.start("far", "z2")
     zone.run(1.0)
     zone.stop("far")
-    zone.run(3 * KEPT_S)
+    zone.run(3 * MIN_LEADERSHIP_S)
     assert zone.leaders() != ["strong"]
 
 
@@ -121,5 +121,5 @@
     zone.stop("strong")
     zone.run(0.5)
     (leader,) = zone.leaders()
-    zone.run(4 * KEPT_S)
+    zone.run(4 * MIN_LEADERSHIP_S)
     assert zone.leaders() == [leader]
--- a/jackdawspur/group/tests/test_messages.py
+++ b/jackdawspur/group/tests/test_messages.py
@@ -1,12 +1,12 @@
 """Messages between hosts are short."""
 
-from jackdawspur.group import HostAddress, HostBeat, decode_message, encode_message
+from jackdawspur.group import HostAddress, HostHeartbeat, decode_message, encode_message
 
 
 def test_a_heartbeat_leaves_out_what_is_usual():
     # Guards against heartbeats whose bytes grow with each field that is seldom used.
     host = HostAddress("a", "z1", "127.0.0.1:9001", 1)
-    beat = HostBeat(host, 5.0, False, 0, True, False, False, 1, 1.0, ())
+    beat = HostHeartbeat(host, 5.0, False, 0, True, False, False, 1, 1.0, ())
     data = encode_message(beat)
     assert decode_message(data) == beat
     seldom = (b"progress", b"room", b"wants_room", b"too_large", b"learned")
--- a/jackdawspur/health/__init__.py
+++ b/jackdawspur/health/__init__.py
@@ -2,16 +2,16 @@
 
 from jackdawspur.health._health import UpstreamHealth
 from jackdawspur.health._limits import (
-    FIRST_BACK_OFF,
-    LONGEST_BACK_OFF,
+    BASE_BACKOFF_S,
+    MAX_BACKOFF_S,
     UNLIMITED,
 )
 from jackdawspur.health._record import Condition
 
 __all__ = [
+    "BASE_BACKOFF_S",
     "Condition",
-    "FIRST_BACK_OFF",
-    "LONGEST_BACK_OFF",
+    "MAX_BACKOFF_S",
     "UNLIMITED",
     "UpstreamHealth",
 ]
--- a/jackdawspur/health/_health.py
+++ b/jackdawspur/health/_health.py
@@ -7,8 +7,8 @@
 from jackdawspur.health._blame import Blame
 from jackdawspur.health._limits import (
     DEFAULT_EJECTION,
-    LONGEST_BACK_OFF,
     LOST_TO_EJECT,
+    MAX_BACKOFF_S,
     MAX_SLOWNESS,
     MIN_SAMPLES,
     RAMP_FACTOR,
@@ -18,7 +18,7 @@
     UNLIMITED,
 )
 from jackdawspur.health._record import Condition, FailedJob, Record
-from jackdawspur.model import Ejection, HostId, SubmissionId, UpstreamId
+from jackdawspur.model import EjectionPolicy, HostId, SubmissionId, UpstreamId
 
 __all__ = ["UpstreamHealth"]
 
@@ -32,7 +32,7 @@
         self._blame = Blame()
         self._ejection = DEFAULT_EJECTION
 
-    def set_ejection(self, ejection: Ejection) -> None:
+    def set_ejection_policy(self, ejection: EjectionPolicy) -> None:
         """Judge by these limits from now on."""
         self._ejection = ejection
 
@@ -80,9 +80,9 @@
     ) -> None:
         """Note a task that ended in failure there."""
         self._ended(upstream)
-        self.failed_elsewhere(upstream, submission, job_class, now)
+        self.peer_task_failed(upstream, submission, job_class, now)
 
-    def failed_elsewhere(
+    def peer_task_failed(
         self,
         upstream: UpstreamId,
         submission: SubmissionId,
@@ -105,11 +105,13 @@
         self._failed_probe(record, now)
         self._judge(upstream, now)
 
-    def cancelled(self, upstream: UpstreamId) -> None:
+    def record_inconclusive(self, upstream: UpstreamId) -> None:
         """Note a task that was refused or stopped, which says nothing."""
         self._ended(upstream)
 
-    def told(self, sender: HostId, bad: Iterable[UpstreamId], now: float) -> None:
+    def apply_peer_report(
+        self, sender: HostId, bad: Iterable[UpstreamId], now: float
+    ) -> None:
         """Take a sibling's list of the upstreams that it mistrusts."""
         reported = set(bad)
         for upstream, record in self._records.items():
@@ -120,7 +122,7 @@
                 # All hosts returning to it at full width would hide a relapse.
                 record.ramp = 1
 
-    def bad(self, now: float) -> tuple[UpstreamId, ...]:
+    def unhealthy_upstreams(self, now: float) -> tuple[UpstreamId, ...]:
         """Return the upstreams this host itself mistrusts, for its heartbeats."""
         return tuple(
             upstream
@@ -140,7 +142,7 @@
             return Condition.RETURNING
         return Condition.HEALTHY
 
-    def limit(self, upstream: UpstreamId, now: float) -> int:
+    def concurrency_limit(self, upstream: UpstreamId, now: float) -> int:
         """Return how many tasks this host may have running there."""
         condition = self.condition(upstream, now)
         if condition is Condition.EJECTED:
@@ -153,7 +155,7 @@
 
     def allows(self, upstream: UpstreamId, now: float) -> bool:
         """Tell whether one more ordinary task may be sent there."""
-        return self._record(upstream).running < self.limit(upstream, now)
+        return self._record(upstream).running < self.concurrency_limit(upstream, now)
 
     def probe_allowed(self, upstream: UpstreamId, now: float) -> bool:
         """Tell whether one idempotent task of a small job may try it out."""
@@ -250,7 +252,7 @@
         record.ejected = True
         record.ramp = 1
         wait = self._ejection.readmit_after_s * 2**record.times_ejected
-        record.probe_at = now + min(LONGEST_BACK_OFF, wait)
+        record.probe_at = now + min(MAX_BACKOFF_S, wait)
         record.times_ejected += 1
 
 
--- a/jackdawspur/health/_limits.py
+++ b/jackdawspur/health/_limits.py
@@ -1,14 +1,14 @@
 """Named limits of ejection and return; times in seconds."""
 
-from jackdawspur.model import Ejection
+from jackdawspur.model import EjectionPolicy
 
 __all__ = [
+    "BASE_BACKOFF_S",
     "BLAME_UPSTREAMS",
     "BLAME_WINDOW",
     "DEFAULT_EJECTION",
-    "FIRST_BACK_OFF",
-    "LONGEST_BACK_OFF",
     "LOST_TO_EJECT",
+    "MAX_BACKOFF_S",
     "MAX_SLOWNESS",
     "MIN_SAMPLES",
     "RAMP_FACTOR",
@@ -21,9 +21,9 @@
 
 LOST_TO_EJECT = 3
 # In force until a configuration says otherwise.
-DEFAULT_EJECTION = Ejection()
-FIRST_BACK_OFF = DEFAULT_EJECTION.readmit_after_s
-LONGEST_BACK_OFF = 300.0
+DEFAULT_EJECTION = EjectionPolicy()
+BASE_BACKOFF_S = DEFAULT_EJECTION.readmit_after_s
+MAX_BACKOFF_S = 300.0
 # A class that fails on this many upstreams, and more often than not, is to blame.
 BLAME_UPSTREAMS = 3
 BLAME_WINDOW = 10.0
--- a/jackdawspur/health/tests/test_health.py
+++ b/jackdawspur/health/tests/test_health.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from jackdawspur.health import FIRST_BACK_OFF, Condition, UpstreamHealth
-from jackdawspur.model import Ejection, HostId, SubmissionId, UpstreamId
+from jackdawspur.health import BASE_BACKOFF_S, Condition, UpstreamHealth
+from jackdawspur.model import EjectionPolicy, HostId, SubmissionId, UpstreamId
 
 ZONE = "zone-1"
 UPSTREAMS = tuple(UpstreamId(ZONE, f"up-{n}") for n in range(6))
@@ -33,7 +33,7 @@
     for sender, state in fleet.items():
         for host, other in fleet.items():
             if host != sender:
-                other.told(sender, state.bad(now), now)
+                other.apply_peer_report(sender, state.unhealthy_upstreams(now), now)
 
 
 def _try_one(fleet, host, number, now):
@@ -83,9 +83,9 @@
     """
     far = HostId("zone-2", "entry-0", 1)
     state = fleet[hosts[0]]
-    state.failed_elsewhere(BAD, _job(far, 1), "maps", 1.0)
+    state.peer_task_failed(BAD, _job(far, 1), "maps", 1.0)
     assert state.condition(BAD, 1.0) is Condition.SUSPECT
-    state.failed_elsewhere(BAD, _job(far, 2), "maps", 1.1)
+    state.peer_task_failed(BAD, _job(far, 2), "maps", 1.1)
     assert state.condition(BAD, 1.1) is Condition.EJECTED
 
 
@@ -120,7 +120,7 @@
                 times.append(now)
     gaps = [later - sooner for sooner, later in zip(times, times[1:], strict=False)]
     assert len(times) <= 4
-    assert times[0] >= FIRST_BACK_OFF
+    assert times[0] >= BASE_BACKOFF_S
     assert all(b > a for a, b in zip(gaps, gaps[1:], strict=False))
 
 
@@ -130,16 +130,16 @@
         state.started(BAD)
         state.failed(BAD, _job(hosts[0], number), "maps", 0.0)
     assert state.condition(BAD, 0.0) is Condition.EJECTED
-    assert not state.probe_allowed(BAD, FIRST_BACK_OFF - 0.1)
-    assert state.probe_allowed(BAD, FIRST_BACK_OFF)
+    assert not state.probe_allowed(BAD, BASE_BACKOFF_S - 0.1)
+    assert state.probe_allowed(BAD, BASE_BACKOFF_S)
     limits = []
     for _ in range(6):
         state.started(BAD)
-        assert not state.probe_allowed(BAD, FIRST_BACK_OFF)
-        state.succeeded(BAD, "maps", 1.0, FIRST_BACK_OFF + 1)
-        limits.append(state.limit(BAD, FIRST_BACK_OFF + 1))
+        assert not state.probe_allowed(BAD, BASE_BACKOFF_S)
+        state.succeeded(BAD, "maps", 1.0, BASE_BACKOFF_S + 1)
+        limits.append(state.concurrency_limit(BAD, BASE_BACKOFF_S + 1))
     assert limits[:4] == [1, 2, 4, 8]
-    assert state.condition(BAD, FIRST_BACK_OFF + 1) is Condition.HEALTHY
+    assert state.condition(BAD, BASE_BACKOFF_S + 1) is Condition.HEALTHY
 
 
 def test_a_class_that_fails_everywhere_ejects_nobody(fleet, hosts):
@@ -207,7 +207,9 @@
     """An operator raises the limits, and the upstream is ejected as before."""
     state = UpstreamHealth(HostId("north", "e1", 1))
     state.set_upstreams((BAD,))
-    state.set_ejection(Ejection(after_failures=3, max_share=1.0, readmit_after_s=60.0))
+    state.set_ejection_policy(
+        EjectionPolicy(after_failures=3, max_share=1.0, readmit_after_s=60.0)
+    )
     for number in range(3):
         assert state.condition(BAD, 0.0) is not Condition.EJECTED
         state.started(BAD)
--- a/jackdawspur/leases/__init__.py
+++ b/jackdawspur/leases/__init__.py
@@ -1,32 +1,32 @@
 """Upstreams held under fenced leases, and the runs on them."""
 
-from jackdawspur.leases._fence import FENCE_STEP, Fence, fence_at
-from jackdawspur.leases._held import HeldUpstream, Phase, Run
+from jackdawspur.leases._fence import FENCE_STEP, Fence, next_fence
+from jackdawspur.leases._held import LeasedUpstream, Run, RunPhase
 from jackdawspur.leases._resources import NO_RESOURCES, Resources
 from jackdawspur.leases._types import (
     CallOutcome,
     EndedRun,
-    Ending,
-    LookReport,
+    PollReport,
     RunId,
     RunningRun,
+    RunResult,
     UpstreamEntry,
 )
 
 __all__ = [
     "CallOutcome",
     "EndedRun",
-    "Ending",
     "FENCE_STEP",
     "Fence",
-    "HeldUpstream",
-    "LookReport",
+    "LeasedUpstream",
     "NO_RESOURCES",
-    "Phase",
+    "PollReport",
     "Resources",
     "Run",
     "RunId",
+    "RunPhase",
+    "RunResult",
     "RunningRun",
     "UpstreamEntry",
-    "fence_at",
+    "next_fence",
 ]
--- a/jackdawspur/leases/_fence.py
+++ b/jackdawspur/leases/_fence.py
@@ -2,7 +2,7 @@
 
 import zlib
 
-__all__ = ["FENCE_STEP", "Fence", "fence_at"]
+__all__ = ["FENCE_STEP", "Fence", "next_fence"]
 
 # A token is milliseconds since 2020 (40 bits), a hash of the host (10 bits) and room
 # for the holder's own steps (12 bits): 62 bits in all, which upstreams keep exactly.
@@ -14,7 +14,7 @@
 Fence = int
 
 
-def fence_at(unix_ms: float, host: str, above: Fence) -> Fence:
+def next_fence(unix_ms: float, host: str, above: Fence) -> Fence:
     """Return a token of this host alone that is higher than `above`.
 
     Clocks of hosts differ, so the time alone could fall behind a token in use.
--- a/jackdawspur/leases/_held.py
+++ b/jackdawspur/leases/_held.py
@@ -6,9 +6,9 @@
 
 from jackdawspur.leases._fence import Fence
 from jackdawspur.leases._resources import NO_RESOURCES, Resources
-from jackdawspur.leases._types import LookReport, RunId, UpstreamEntry
+from jackdawspur.leases._types import PollReport, RunId, UpstreamEntry
 
-__all__ = ["HeldUpstream", "LEASE_S", "Phase", "Run"]
+__all__ = ["LEASE_S", "LeasedUpstream", "Run", "RunPhase"]
 
 # How far ahead a lease reaches. A task of a lost host must be gone before its caller
 # asks again, 1.3 s after the break: 0.4 s until the silence is noticed, then this.
@@ -20,7 +20,7 @@
 MS_PER_S = 1000.0
 
 
-class Phase(Enum):
+class RunPhase(Enum):
     """Say how far a run is, as far as this host knows."""
 
     STARTING = "starting"
@@ -33,27 +33,27 @@
 class Run:
     """Keep one run that takes room; `resources` is None when not known.
 
-    `sure_after` is the number of the first look that must list the run.
+    `first_listing_poll` is the number of the first look that must list the run.
     """
 
     id: RunId
     resources: Resources | None
-    phase: Phase
+    phase: RunPhase
     since: float
     percent: float = 0.0
-    first_percent: float = 0.0
+    initial_percent: float = 0.0
     reported_at: float = 0.0
-    sure_after: int = 0
+    first_listing_poll: int = 0
     claimed: bool = True
     stop_acked: bool = False
 
 
-class HeldUpstream:
+class LeasedUpstream:
     """Keep what occupies one upstream, its fence and what it was granted.
 
     Nothing starts before a look under this host's own token was answered: the list of
     what runs is then complete, since older tokens can start nothing any more.
-    `number` tells this holding from earlier ones of the same upstream.
+    `lease_id` tells this holding from earlier ones of the same upstream.
     """
 
     def __init__(
@@ -61,32 +61,32 @@
     ) -> None:
         self._entry = entry
         self.fence = fence
-        self.number = number
+        self.lease_id = number
         # None until a report names it, with the last look sent by then.
-        self.boot: int | None = None
+        self.incarnation: int | None = None
         self._boot_look = 0
         self.runs: dict[RunId, Run] = {}
         self.last_seen = 0
-        self.heard_at = now
-        self.asked_since = now
-        self.looks = 0
+        self.last_reply_at = now
+        self.polled_since = now
+        self.polls_sent = 0
         # By number, when each is overdue; then those whose calls go on nevertheless.
-        self.open_looks: dict[int, float] = {}
-        self.overdue_looks: set[int] = set()
+        self.pending_polls: dict[int, float] = {}
+        self.overdue_polls: set[int] = set()
         # No look is overdue before this.
         self.overdue_at = math.inf
-        self.missed = 0
-        self.missed_look = 0
+        self.consecutive_misses = 0
+        self.last_missed_poll = 0
         # The last look sent when it turned silent; until when it may do so again.
-        self.silent_look = 0
-        self.shaky_until = now
-        self.answered_look = 0
-        self.sure_look = 0
-        self.held = False
-        self.answered = True
-        self.refused_until = 0.0
-        self.look_at = now
-        self.rest_until = now
+        self.last_poll_before_silence = 0
+        self.flapping_until = now
+        self.last_answered_poll = 0
+        self.confirming_poll = 0
+        self.acquired = False
+        self.responsive = True
+        self.backoff_until = 0.0
+        self.next_poll_at = now
+        self.idle_until = now
         self.fenced_since: float | None = None
         self._taken = NO_RESOURCES
         self._opaque = 0
@@ -121,19 +121,22 @@
         return {run.task for run in self.runs}
 
     @property
-    def doubtful(self) -> bool:
+    def unconfirmed(self) -> bool:
         """Tell whether a look is overdue, or one that is to settle something is open.
 
         An order that goes there now may be lost as well.
         """
-        return self.missed > 0 or self.answered_look < self.sure_look
+        return (
+            self.consecutive_misses > 0
+            or self.last_answered_poll < self.confirming_poll
+        )
 
-    def rests(self, now: float) -> bool:
+    def can_skip_poll(self, now: float) -> bool:
         """Tell whether a look would show nothing that matters by now."""
-        early = now < self.rest_until
-        return early and self.held and not self.runs and not self.missed
+        early = now < self.idle_until
+        return early and self.acquired and not self.runs and not self.consecutive_misses
 
-    def add(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Take room for a run."""
         self.runs[run.id] = run
         if run.resources is None:
@@ -142,7 +145,7 @@
             self._taken = self._taken + run.resources
         self._count_free()
 
-    def drop(self, run: Run) -> None:
+    def remove_run(self, run: Run) -> None:
         """Give the room of a run back."""
         del self.runs[run.id]
         if run.resources is None:
@@ -151,7 +154,7 @@
             self._taken = self._taken - run.resources
         self._count_free()
 
-    def size(self, run: Run, resources: Resources) -> None:
+    def set_run_resources(self, run: Run, resources: Resources) -> None:
         """Note the size of a run that another host started."""
         if run.resources is None:
             self._opaque -= 1
@@ -159,26 +162,26 @@
             self._taken = self._taken + resources
             self._count_free()
 
-    def next_look(self, overdue_at: float) -> int:
+    def register_poll(self, overdue_at: float) -> int:
         """Number a look that is sent now."""
-        self.looks += 1
-        self.open_looks[self.looks] = overdue_at
+        self.polls_sent += 1
+        self.pending_polls[self.polls_sent] = overdue_at
         self.overdue_at = min(self.overdue_at, overdue_at)
-        return self.looks
+        return self.polls_sent
 
-    def take_overdue(self, now: float) -> list[int]:
+    def pop_overdue_polls(self, now: float) -> list[int]:
         """Return the looks that became overdue."""
-        late = [number for number, at in self.open_looks.items() if now >= at]
+        late = [number for number, at in self.pending_polls.items() if now >= at]
         for number in late:
-            del self.open_looks[number]
-            self.overdue_looks.add(number)
-        self.overdue_at = min(self.open_looks.values(), default=math.inf)
+            del self.pending_polls[number]
+            self.overdue_polls.add(number)
+        self.overdue_at = min(self.pending_polls.values(), default=math.inf)
         return late
 
-    def close_look(self, number: int) -> None:
+    def complete_poll(self, number: int) -> None:
         """Note that the call of a look has ended."""
-        self.open_looks.pop(number, None)
-        self.overdue_looks.discard(number)
+        self.pending_polls.pop(number, None)
+        self.overdue_polls.discard(number)
 
     def raise_fence(self) -> None:
         """Bar every call sent so far from taking effect later.
@@ -187,45 +190,45 @@
         it can't, so the next look shows for good whether it runs.
         """
         self.fence += 1
-        self.sure_look = self.looks + 1
+        self.confirming_poll = self.polls_sent + 1
 
-    def is_of_earlier_boot(self, look: int, boot: int) -> bool:
+    def is_from_earlier_incarnation(self, look: int, boot: int) -> bool:
         """Tell whether a report says nothing of the present boot.
 
         A look sent since a boot is known can't reach an earlier one, whatever the time
         of day was at its start.
         """
-        return look <= self._boot_look and boot < (self.boot or 0)
+        return look <= self._boot_look and boot < (self.incarnation or 0)
 
-    def note_boot(self, boot: int) -> None:
+    def set_incarnation(self, boot: int) -> None:
         """Take in which boot reports."""
-        self.boot = boot
-        self._boot_look = self.looks
+        self.incarnation = boot
+        self._boot_look = self.polls_sent
 
-    def restart(self, boot: int) -> None:
+    def record_restart(self, boot: int) -> None:
         """Forget what an earlier boot said; the next look shows which runs exist.
 
         The present boot has seen no fence, numbers its ends anew and has a clock of its
         own. Of the runs that take room it may have those whose starts arrived since:
         under the raised fence the next look settles each.
         """
-        self.note_boot(boot)
+        self.set_incarnation(boot)
         self.last_seen = 0
         self._clock_ms = None
         self._unknown_lease = True
         self.raise_fence()
-        self.held = False
+        self.acquired = False
         for run in self.runs.values():
-            run.sure_after = self.sure_look
-            if run.phase is Phase.STARTING:
-                run.phase = Phase.UNSURE
+            run.first_listing_poll = self.confirming_poll
+            if run.phase is RunPhase.STARTING:
+                run.phase = RunPhase.UNSURE
 
-    def doubt(self) -> None:
+    def require_confirmation(self) -> None:
         """Let nothing start before the next look is answered."""
-        self.held = False
-        self.sure_look = self.looks + 1
+        self.acquired = False
+        self.confirming_poll = self.polls_sent + 1
 
-    def grant_until(self, now: float) -> int | None:
+    def extend_lease(self, now: float) -> int | None:
         """Return the end of a new lease on the upstream's clock, None before a look."""
         if self._clock_ms is None:
             return None
@@ -236,13 +239,13 @@
             self._granted_at = now
         return until
 
-    def note_report(self, look: int, report: LookReport, now: float) -> None:
+    def record_report(self, look: int, report: PollReport, now: float) -> None:
         """Take in an answered look: the clock, and that the upstream is there."""
-        self.answered = True
-        self.missed = 0
-        self.answered_look = max(look, self.answered_look)
+        self.responsive = True
+        self.consecutive_misses = 0
+        self.last_answered_poll = max(look, self.last_answered_poll)
         self.fenced_since = None
-        self.heard_at = now
+        self.last_reply_at = now
         if self._unknown_lease:
             # A start meant for the earlier boot named a time on that one's clock.
             self._unknown_lease = False
@@ -250,14 +253,14 @@
         if self._clock_ms is None or report.clock_ms >= self._clock_ms:
             self._clock_ms = report.clock_ms
             self._clock_read_at = now
-        if look >= self.sure_look:
-            self.held = True
+        if look >= self.confirming_poll:
+            self.acquired = True
 
-    def lapsed(self, now: float) -> bool:
+    def leases_expired(self, now: float) -> bool:
         """Tell whether all leases granted must have ended, answers or not."""
         if self._clock_ms is None:
             bound = LEASE_S * (1.0 + CLOCK_DRIFT) + LEASE_S
-            return now - self.asked_since > bound
+            return now - self.polled_since > bound
         passed_ms = (now - self._clock_read_at) * MS_PER_S * (1.0 - CLOCK_DRIFT)
         return self._clock_ms + passed_ms > self._granted_ms
 
--- a/jackdawspur/leases/_types.py
+++ b/jackdawspur/leases/_types.py
@@ -9,15 +9,15 @@
 __all__ = [
     "CallOutcome",
     "EndedRun",
-    "Ending",
-    "LookReport",
+    "PollReport",
     "RunId",
+    "RunResult",
     "RunningRun",
     "UpstreamEntry",
 ]
 
 
-class Ending(Enum):
+class RunResult(Enum):
     """Say how a run ended."""
 
     DONE = "done"
@@ -67,21 +67,21 @@
 
     number: int
     run: RunId
-    ending: Ending
+    result: RunResult
     checkpoint: str
 
 
 @dataclass(frozen=True, slots=True)
-class LookReport:
+class PollReport:
     """Report all runs of an upstream; `clock_ms` is its own steady clock.
 
-    `boot` names the start of the upstream that reports, 0 where none is told.
+    `incarnation` names the start of the upstream that reports, 0 where none is told.
     """
 
     clock_ms: int
     running: tuple[RunningRun, ...]
     ended: tuple[EndedRun, ...]
-    boot: int = 0
+    incarnation: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/jackdawspur/limits/_quotas.py
+++ b/jackdawspur/limits/_quotas.py
@@ -6,7 +6,7 @@
 from jackdawspur.limits._reach import Place, Reach
 from jackdawspur.limits._shares import base_shares, divide
 from jackdawspur.messages import CustomerUsage
-from jackdawspur.model import HostId, World
+from jackdawspur.model import ClusterSpec, HostId
 
 __all__ = ["Quotas"]
 
@@ -83,7 +83,7 @@
         self._advertised_at = float("-inf")
         self._reported: dict[Place, set[str]] = {}
 
-    def set_world(self, world: World) -> None:
+    def set_cluster_spec(self, world: ClusterSpec) -> None:
         """Take the quotas and the configured entry hosts."""
         places = [(entry.zone, entry.name) for entry in world.entry_hosts]
         self._reach.configure(places, self._advertised_at)
@@ -98,12 +98,12 @@
             use.stale = True
             use.divided_at = float("-inf")
 
-    def set_view(self, live: Collection[HostId]) -> None:
+    def set_live_hosts(self, live: Collection[HostId]) -> None:
         """Take the hosts that the membership view holds for live."""
         for place in self._reach.set_live([(h.zone, h.name) for h in live]):
             self._forget(place)
 
-    def reported(
+    def update_peer_usage(
         self, host: HostId, usage: Iterable[CustomerUsage], now: float
     ) -> None:
         """Take in the usage of a heartbeat; customers left out use nothing."""
@@ -142,9 +142,9 @@
 
     def may_start(self, customer: str, now: float) -> bool:
         """Tell whether one more task of a customer may start here."""
-        return self.room(customer, now) > 0
+        return self.headroom(customer, now) > 0
 
-    def room(self, customer: str, now: float) -> int:
+    def headroom(self, customer: str, now: float) -> int:
         """Return how many more tasks of a customer may start here."""
         use = self._current(customer, now)
         if use is None:
--- a/jackdawspur/limits/tests/conftest.py
+++ b/jackdawspur/limits/tests/conftest.py
@@ -8,7 +8,7 @@
 
 from jackdawspur.limits import Quotas
 from jackdawspur.messages import CustomerUsage
-from jackdawspur.model import Customer, EntryHost, HostId, World
+from jackdawspur.model import ClusterSpec, Customer, EntryHost, HostId
 
 STEP = 0.05
 HEARTBEAT = 0.5
@@ -19,10 +19,10 @@
 class Host:
     """Start as much as the quota allows of what is wanted."""
 
-    def __init__(self, host_id: HostId, world: World) -> None:
+    def __init__(self, host_id: HostId, world: ClusterSpec) -> None:
         self.id = host_id
         self.quotas = Quotas(host_id)
-        self.quotas.set_world(world)
+        self.quotas.set_cluster_spec(world)
         self.wanted = 0
         self.ends: list[float] = []
         self.alive = True
@@ -46,7 +46,7 @@
     def __init__(self, quota: int, zones: int = 3, in_zone: int = 2) -> None:
         places = [(f"z{z}", f"e{h}") for z in range(zones) for h in range(in_zone)]
         entries = tuple(EntryHost(zone, name, "", "") for zone, name in places)
-        world = World(1, (Customer("a", quota),), entries)
+        world = ClusterSpec(1, (Customer("a", quota),), entries)
         self.hosts = [Host(HostId(zone, name, 1), world) for zone, name in places]
         self.cut: set[str] = set()
         self.now = 0.0
@@ -55,7 +55,7 @@
         self._order = itertools.count()
         self._heartbeats = [HEARTBEAT * n / len(places) for n in range(len(places))]
         for host in self.hosts:
-            host.quotas.set_view([other.id for other in self.hosts])
+            host.quotas.set_live_hosts([other.id for other in self.hosts])
         self.run(2.0)
 
     @property
@@ -94,7 +94,7 @@
 
     def _post(self, host: Host, other: Host, usage) -> None:
         def deliver() -> None:
-            other.quotas.reported(host.id, usage, self.now)
+            other.quotas.update_peer_usage(host.id, usage, self.now)
 
         heapq.heappush(self._mail, (self.now + DELAY, next(self._order), deliver))
 
--- a/jackdawspur/limits/tests/test_quotas.py
+++ b/jackdawspur/limits/tests/test_quotas.py
@@ -7,12 +7,12 @@
 from jackdawspur.limits._shares import base_shares, divide
 from jackdawspur.messages import CustomerUsage
 from jackdawspur.model import (
+    ClusterSpec,
     Customer,
     EntryHost,
     HostId,
     Upstream,
     UpstreamId,
-    World,
 )
 
 QUOTA = 120
@@ -115,13 +115,13 @@
 def test_unknown_customer_and_lowered_quota_start_nothing():
     quotas = Quotas(HostId("z0", "e0", 1))
     entries = (EntryHost("z0", "e0", "", ""),)
-    quotas.set_world(World(1, (Customer("a", 2),), entries))
+    quotas.set_cluster_spec(ClusterSpec(1, (Customer("a", 2),), entries))
     assert quotas.may_start("a", 0.0)
     assert not quotas.may_start("b", 0.0)
     quotas.started("a")
-    quotas.set_world(World(2, (Customer("a", 1),), entries))
+    quotas.set_cluster_spec(ClusterSpec(2, (Customer("a", 1),), entries))
     assert not quotas.may_start("a", 0.2)
-    quotas.set_world(World(3, (), entries))
+    quotas.set_cluster_spec(ClusterSpec(3, (), entries))
     quotas.ended("a")
     assert not quotas.may_start("a", 0.4)
 
@@ -131,14 +131,14 @@
     quotas = Quotas(HostId("z0", "e0", 1))
     entries = (EntryHost("z0", "e0", "", ""), EntryHost("z1", "e1", "", ""))
     customers = tuple(Customer(f"c{n}", 10) for n in range(140))
-    quotas.set_world(World(1, customers, entries))
+    quotas.set_cluster_spec(ClusterSpec(1, customers, entries))
     for customer in customers:
         quotas.may_start(customer.name, 0.0)
     sender = HostId("z1", "e1", 1)
-    quotas.reported(sender, (), 0.5)
+    quotas.update_peer_usage(sender, (), 0.5)
     for customer in customers:
         quotas.may_start(customer.name, 1.0)
-    quotas.reported(sender, (CustomerUsage("c7", 3, 0),), 1.0)
+    quotas.update_peer_usage(sender, (CustomerUsage("c7", 3, 0),), 1.0)
     stale = [name for name, use in quotas._customers.items() if use.stale]
     assert stale == ["c7"]
 
@@ -211,14 +211,14 @@
     of one slot less than there are is divided as ever.
     """
     host = HostId("z1", "e1", 1)
-    world = World(
+    world = ClusterSpec(
         1,
         customers=(Customer("maps", QUOTA),),
         entry_hosts=(EntryHost("z1", "e1", "", ""), EntryHost("z2", "e1", "", "")),
         upstreams=(Upstream(UpstreamId("z1", "u1"), "", slots=slots),),
     )
     quotas = Quotas(host)
-    quotas.set_world(world)
-    assert quotas.share("maps", 0.0) == quotas.room("maps", 0.0) == most
+    quotas.set_cluster_spec(world)
+    assert quotas.share("maps", 0.0) == quotas.headroom("maps", 0.0) == most
     quotas.started("maps", most)
     assert not quotas.may_start("maps", 0.0)
--- a/jackdawspur/links/_sound.py
+++ b/jackdawspur/links/_sound.py
@@ -10,7 +10,7 @@
     Pulse,
     SlotGrant,
 )
-from jackdawspur.model import MAX_TASKS, JobRequest, TaskSpec
+from jackdawspur.model import MAX_TASKS_PER_JOB, JobRequest, TaskSpec
 
 __all__ = ["is_sound"]
 
@@ -32,7 +32,7 @@
 
 
 def _is_sound_request(request: JobRequest) -> bool:
-    counted = 1 <= len(request.tasks) <= MAX_TASKS
+    counted = 1 <= len(request.tasks) <= MAX_TASKS_PER_JOB
     return (
         counted and isfinite(request.deadline_ms) and all(map(_is_sound, request.tasks))
     )
--- a/jackdawspur/links/tests/test_links.py
+++ b/jackdawspur/links/tests/test_links.py
@@ -22,7 +22,7 @@
     Heartbeat,
     Pulse,
     SlotGrant,
-    SlotsOfUpstream,
+    UpstreamSlots,
 )
 from jackdawspur.model import (
     HostId,
@@ -43,7 +43,7 @@
     [
         Heartbeat(ONE, 3, True, False, 17, 30, 0, 0.0, bad_upstreams=()),
         Delegate(SubmissionId(ONE, 4), REQUEST, 512.5),
-        SlotGrant(1, 200.0, (SlotsOfUpstream(UpstreamId("north", "w1"), 2),)),
+        SlotGrant(1, 200.0, (UpstreamSlots(UpstreamId("north", "w1"), 2),)),
     ],
 )
 def test_message_round_trip(message):
--- a/jackdawspur/load/__init__.py
+++ b/jackdawspur/load/__init__.py
@@ -2,16 +2,16 @@
 
 from jackdawspur.load._driver import LoadDriver, LoadPlan
 from jackdawspur.load._mix import DEPLOYMENT_MIXES, JobKind, Mix, PlannedJob, plan_job
-from jackdawspur.load._report import LoadReport, Tally
+from jackdawspur.load._report import LoadCounters, LoadReport
 
 __all__ = [
     "DEPLOYMENT_MIXES",
     "JobKind",
+    "LoadCounters",
     "LoadDriver",
     "LoadPlan",
     "LoadReport",
     "Mix",
     "PlannedJob",
-    "Tally",
     "plan_job",
 ]
--- a/jackdawspur/load/_closed_loop.py
+++ b/jackdawspur/load/_closed_loop.py
@@ -11,10 +11,10 @@
 from result import Ok, Result
 
 from jackdawspur.adapters import (
-    Deadlines,
+    ClientResponse,
     HttpClient,
-    HttpLimits,
-    HttpReply,
+    HttpClientLimits,
+    TimerQueue,
     split_address,
 )
 from jackdawspur.external import PlatformError
@@ -70,17 +70,19 @@
     def init(
         self,
         plan: CallersPlan,
-        deadlines: Deadlines,
+        timer_queue: TimerQueue,
         finished: Callable[[CallersReport], None],
     ) -> None:
         """Open a client; circuits passes the constructor's arguments."""
         self._plan = plan
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._finished = finished
         self._rng = random.Random(plan.seed)
         self._body = _body(plan)
-        limits = HttpLimits(connections=plan.callers, waiting=4096)
-        client = HttpClient(split_address(plan.host), deadlines, limits)
+        limits = HttpClientLimits(
+            max_connections=plan.callers, max_pending_requests=4096
+        )
+        client = HttpClient(split_address(plan.host), timer_queue, limits)
         self._client = client.register(self)
         self._headers = (("Authorization", f"Bearer {plan.token}"),)
         self._open = 0
@@ -88,15 +90,17 @@
         self._in_window = 0
         self._added: list[float] = []
         self._failures: Counter[str] = Counter()
-        deadlines.call_after(0.0, self._begin)
+        timer_queue.call_later(0.0, self._begin)
 
     def _begin(self) -> None:
-        now = self._deadlines.now
+        now = self._timer_queue.now
         self._window = (
             now + self._plan.warm_up_s,
             now + self._plan.warm_up_s + self._plan.seconds,
         )
-        self._deadlines.call_after(self._plan.warm_up_s + self._plan.seconds, self._end)
+        self._timer_queue.call_later(
+            self._plan.warm_up_s + self._plan.seconds, self._end
+        )
         if self._plan.rate:
             self._arrive()
         else:
@@ -104,13 +108,13 @@
                 self._submit()
 
     def _arrive(self) -> None:
-        if self._deadlines.now < self._window[1]:
+        if self._timer_queue.now < self._window[1]:
             self._submit()
             gap = self._rng.expovariate(self._plan.rate)
-            self._deadlines.call_after(gap, self._arrive)
+            self._timer_queue.call_later(gap, self._arrive)
 
     def _submit(self) -> None:
-        since = self._deadlines.now
+        since = self._timer_queue.now
         self._open += 1
         self._client.request(
             "POST",
@@ -121,8 +125,10 @@
             self._headers,
         )
 
-    def _answered(self, since: float, done: Result[HttpReply, PlatformError]) -> None:
-        now = self._deadlines.now
+    def _answered(
+        self, since: float, done: Result[ClientResponse, PlatformError]
+    ) -> None:
+        now = self._timer_queue.now
         self._open -= 1
         self._jobs += 1
         self._check(done, now, since)
@@ -130,7 +136,7 @@
             self._submit()
 
     def _check(
-        self, done: Result[HttpReply, PlatformError], now: float, since: float
+        self, done: Result[ClientResponse, PlatformError], now: float, since: float
     ) -> None:
         if not isinstance(done, Ok):
             self._failures[type(done.err_value).__name__] += 1
@@ -144,7 +150,7 @@
 
     def _end(self) -> None:
         if self._open:
-            self._deadlines.call_after(0.05, self._end)
+            self._timer_queue.call_later(0.05, self._end)
             return
         report = CallersReport(
             self._in_window, self._jobs, tuple(self._added), dict(self._failures)
--- a/jackdawspur/load/_driver.py
+++ b/jackdawspur/load/_driver.py
@@ -9,15 +9,15 @@
 from result import Ok, Result
 
 from jackdawspur.adapters import (
-    Deadlines,
+    ClientResponse,
     HttpClient,
-    HttpLimits,
-    HttpReply,
+    HttpClientLimits,
+    TimerQueue,
     split_address,
 )
 from jackdawspur.external import PlatformError
 from jackdawspur.load._mix import Mix, PlannedJob, plan_job
-from jackdawspur.load._report import Tally, UpstreamCounts
+from jackdawspur.load._report import LoadCounters, UpstreamCounts
 from jackdawspur.standins import WorkerCounters
 
 __all__ = ["LoadDriver", "LoadPlan"]
@@ -70,28 +70,32 @@
     def init(
         self,
         plan: LoadPlan,
-        deadlines: Deadlines,
-        say: Callable[[str], None],
-        finished: Callable[[Tally, UpstreamCounts, int], None],
+        timer_queue: TimerQueue,
+        report_progress: Callable[[str], None],
+        on_finished: Callable[[LoadCounters, UpstreamCounts, int], None],
     ) -> None:
         """Open clients; circuits passes the constructor's arguments."""
         self._plan = plan
-        self._deadlines = deadlines
-        self._say = say
-        self._finished = finished
+        self._timer_queue = timer_queue
+        self._say = report_progress
+        self._finished = on_finished
         self._rng = random.Random(plan.seed)
-        self._tally = Tally()
-        limits = HttpLimits(connections=CONNECTIONS_A_HOST, waiting=4096)
+        self._tally = LoadCounters()
+        limits = HttpClientLimits(
+            max_connections=CONNECTIONS_A_HOST, max_pending_requests=4096
+        )
         self._hosts = [self._client(a, limits) for a in plan.entry_hosts]
-        self._ends_at = deadlines.now + plan.seconds
+        self._ends_at = timer_queue.now + plan.seconds
         self._gives_up_at = self._ends_at + CALL_TIMEOUT_S
         self._before: dict[str, WorkerCounters] = {}
         self._after: dict[str, WorkerCounters] = {}
         # Connections need the poller, which is found once the loop runs.
-        deadlines.call_after(0.0, lambda: self._ask_counters(self._before, self._begin))
+        timer_queue.call_later(
+            0.0, lambda: self._ask_counters(self._before, self._begin)
+        )
 
-    def _client(self, address: str, limits: HttpLimits) -> HttpClient:
-        client = HttpClient(split_address(address), self._deadlines, limits)
+    def _client(self, address: str, limits: HttpClientLimits) -> HttpClient:
+        client = HttpClient(split_address(address), self._timer_queue, limits)
         return client.register(self)
 
     def _begin(self) -> None:
@@ -99,18 +103,18 @@
         self._progress()
 
     def _next_arrival(self) -> None:
-        if self._deadlines.now >= self._ends_at:
+        if self._timer_queue.now >= self._ends_at:
             self._wait_for_rest()
             return
         gap = self._rng.expovariate(self._plan.rate)
-        self._deadlines.call_after(gap, self._arrive)
+        self._timer_queue.call_later(gap, self._arrive)
 
     def _arrive(self) -> None:
         self._tally.jobs += 1
         job = plan_job(self._plan.mix, self._tally.jobs, self._rng)
         self._tally.tasks_submitted += len(job.outputs)
         key = "" if job.kind.idempotent else f"{self._plan.seed}-{self._tally.jobs}"
-        self._submit(job, key, self._deadlines.now, 0)
+        self._submit(job, key, self._timer_queue.now, 0)
         self._next_arrival()
 
     def _submit(self, job: PlannedJob, key: str, since: float, repeats: int) -> None:
@@ -133,21 +137,21 @@
         key: str,
         since: float,
         repeats: int,
-        done: Result[HttpReply, PlatformError],
+        done: Result[ClientResponse, PlatformError],
     ) -> None:
         if isinstance(done, Ok):
-            elapsed_ms = (self._deadlines.now - since) * 1000.0
+            elapsed_ms = (self._timer_queue.now - since) * 1000.0
             self._check(job, done.ok_value, elapsed_ms)
         elif key and repeats < MAX_REPEATS:
             # The key makes a repeat safe, also at another host.
-            self._deadlines.call_after(
+            self._timer_queue.call_later(
                 REPEAT_AFTER_S, lambda: self._submit(job, key, since, repeats + 1)
             )
         else:
             self._tally.failed += 1
             self._tally.codes[type(done.err_value).__name__] += 1
 
-    def _check(self, job: PlannedJob, reply: HttpReply, elapsed_ms: float) -> None:
+    def _check(self, job: PlannedJob, reply: ClientResponse, elapsed_ms: float) -> None:
         answer = msgspec.json.decode(reply.body, type=_AnswerBody)
         tally = self._tally
         if answer.state == COMPLETE:
@@ -170,16 +174,16 @@
             f"jobs {tally.jobs}, complete {tally.complete}, failed {tally.failed}, "
             f"refused {tally.refused}, open {tally.jobs - tally.ended}"
         )
-        if self._deadlines.now < self._ends_at:
-            self._deadlines.call_after(PROGRESS_S, self._progress)
+        if self._timer_queue.now < self._ends_at:
+            self._timer_queue.call_later(PROGRESS_S, self._progress)
 
     def _wait_for_rest(self) -> None:
         open_jobs = self._tally.jobs - self._tally.ended
-        if open_jobs and self._deadlines.now < self._gives_up_at:
-            self._deadlines.call_after(0.1, self._wait_for_rest)
+        if open_jobs and self._timer_queue.now < self._gives_up_at:
+            self._timer_queue.call_later(0.1, self._wait_for_rest)
             return
         # Stopped and late tasks still reach the upstreams' counters.
-        self._deadlines.call_after(
+        self._timer_queue.call_later(
             SETTLE_S, lambda: self._ask_counters(self._after, self._finish)
         )
 
@@ -188,7 +192,7 @@
     ) -> None:
         left = set(self._plan.upstreams)
 
-        def counted(address: str, done: Result[HttpReply, PlatformError]) -> None:
+        def counted(address: str, done: Result[ClientResponse, PlatformError]) -> None:
             if isinstance(done, Ok):
                 body = done.ok_value.body
                 into[address] = msgspec.json.decode(body, type=WorkerCounters)
@@ -197,7 +201,7 @@
                 then()
 
         for address in self._plan.upstreams:
-            client = self._client(address, HttpLimits(connections=1))
+            client = self._client(address, HttpClientLimits(max_connections=1))
             client.request(
                 "GET",
                 "/v1/counters",
--- a/jackdawspur/load/_mix.py
+++ b/jackdawspur/load/_mix.py
@@ -32,7 +32,7 @@
     customer: str
     kinds: tuple[JobKind, ...]
 
-    def slot_seconds(self) -> float:
+    def mean_slot_seconds(self) -> float:
         """Return the mean slot time of a job, long tasks included."""
         total = sum(kind.weight for kind in self.kinds)
         return sum(k.weight * _slot_seconds(k) for k in self.kinds) / total
--- a/jackdawspur/load/_report.py
+++ b/jackdawspur/load/_report.py
@@ -4,13 +4,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from jackdawspur.metrics import ClassName, Histograms
+from jackdawspur.metrics import HistogramKey, Histograms
 
-__all__ = ["Latencies", "LoadReport", "Tally", "UpstreamCounts"]
+__all__ = ["Latencies", "LoadCounters", "LoadReport", "UpstreamCounts"]
 
 # The histogram holds whole numbers; ratios are kept in thousandths.
 RATIO_SCALE = 1000
-ALL_JOBS = ClassName("all", "all")
+ALL_JOBS = HistogramKey("all", "all")
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     codes: dict[str, int]
 
     @property
-    def sound(self) -> bool:
+    def invariants_held(self) -> bool:
         """Tell whether every invariant held."""
         broken = (
             self.partial,
@@ -65,7 +65,7 @@
         return not any(broken)
 
 
-class Tally:
+class LoadCounters:
     """Count answers as they come."""
 
     def __init__(self) -> None:
--- a/jackdawspur/load/speed.py
+++ b/jackdawspur/load/speed.py
@@ -19,7 +19,7 @@
 from circuits import Component
 from circuits.core.pollers import EPoll
 
-from jackdawspur.adapters import Deadlines, split_address
+from jackdawspur.adapters import TimerQueue, split_address
 from jackdawspur.load._closed_loop import (
     CallersPlan,
     CallersReport,
@@ -66,7 +66,7 @@
     """Run callers in this process and print their report."""
     root = Component()
     EPoll().register(root)
-    deadlines = Deadlines().register(root)
+    timer_queue = TimerQueue().register(root)
     plan = msgspec.json.decode(encoded, type=CallersPlan)
     reports: list[CallersReport] = []
 
@@ -74,7 +74,7 @@
         reports.append(report)
         root.stop()
 
-    EqualCallers(plan, deadlines, finished).register(root)
+    EqualCallers(plan, timer_queue, finished).register(root)
     root.run()
     sys.stdout.write(msgspec.json.encode(reports[0]).decode())
 
--- a/jackdawspur/membership/_heartbeat_sender.py
+++ b/jackdawspur/membership/_heartbeat_sender.py
@@ -11,13 +11,13 @@
 from jackdawspur.membership._members import Members
 from jackdawspur.membership._schedule import Schedule
 from jackdawspur.membership._zones import Addressed, Reports, summarize
-from jackdawspur.messages import CustomerUsage, Heartbeat, PeerSeen, Pulse, ZoneVersion
-from jackdawspur.model import HostId, rendezvous
+from jackdawspur.messages import CustomerUsage, Heartbeat, LivePeer, Pulse, ZoneStatus
+from jackdawspur.model import HostId, rendezvous_hash
 
-__all__ = ["Beats"]
+__all__ = ["HeartbeatSender"]
 
 
-class Beats:
+class HeartbeatSender:
     """Compose the heartbeats of one host."""
 
     def __init__(self, members: Members, reports: Reports) -> None:
@@ -31,7 +31,7 @@
     def due(self, state: Heartbeat, now: float) -> tuple[Addressed, ...]:
         """Return what to send now, made from the host's own state."""
         self._state = state
-        due = self._schedule.due(state, self._members.pace, now)
+        due = self._schedule.due(state, self._members.intervals, now)
         out: list[Addressed] = []
         if due.relay:
             out.extend(self._to_siblings(self._relay(due.full_relay)))
@@ -52,7 +52,7 @@
         """Send everything at once."""
         self._schedule.reset()
 
-    def own_summary(self) -> ZoneVersion:
+    def own_summary(self) -> ZoneStatus:
         """Return the summary of the own zone."""
         beats = [one.beat for one in self._members.fresh(self._own_zone) if one.beat]
         return summarize(self._own_zone, [self._state, *beats])
@@ -77,7 +77,7 @@
         if not full:
             return replace(beat, zones=(replace(summary, usage=()),))
         live = self._members.fresh(self._own_zone)
-        seen = tuple(PeerSeen(one.host, one.draining) for one in live)
+        seen = tuple(LivePeer(one.host, one.draining) for one in live)
         return replace(beat, reports_usage=True, seen=seen, zones=(summary,))
 
     def _to_siblings(self, message: Heartbeat | Pulse) -> list[Addressed]:
@@ -106,20 +106,20 @@
 
     def _order(self, zone: str) -> Callable[[HostId], int]:
         pair = sorted((self._own_zone, zone))
-        return lambda host: rendezvous(*pair, host.zone, host.name)
+        return lambda host: rendezvous_hash(*pair, host.zone, host.name)
 
     def _passes_on(self, zone: str) -> bool:
-        pace, now = self._members.pace, self._members.now
-        if not self._reports.linked_since(zone, now - pace.link_silence):
+        pace, now = self._members.intervals, self._members.now
+        if not self._reports.linked_since(zone, now - pace.link_timeout):
             return False
         # The second of the two linked hosts speaks only when the first does not.
         told = self._reports.told_since(zone, now - MISSED_BEATS * pace.relay)
         return self._rank(zone) == 0 or not told
 
-    def _linked(self, zone: str) -> list[PeerSeen]:
-        since = self._members.now - self._members.pace.mention_silence
+    def _linked(self, zone: str) -> list[LivePeer]:
+        since = self._members.now - self._members.intervals.mention_timeout
         return [
-            PeerSeen(one.host, one.draining)
+            LivePeer(one.host, one.draining)
             for one in self._members.sightings.of_zone(zone)
             if one.linked_at >= since
         ]
--- a/jackdawspur/membership/_liveness.py
+++ b/jackdawspur/membership/_liveness.py
@@ -4,10 +4,10 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 
-from jackdawspur.messages import Heartbeat, PeerSeen, Pulse
+from jackdawspur.messages import Heartbeat, LivePeer, Pulse
 from jackdawspur.model import HostId
 
-__all__ = ["OwnerState", "Sighting", "Sightings"]
+__all__ = ["LivenessTable", "OwnerState", "Sighting"]
 
 NEVER = float("-inf")
 
@@ -50,7 +50,7 @@
         return True
 
 
-class Sightings:
+class LivenessTable:
     """Keep the latest sighting of each host."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
                 backlog_ms=pulse.backlog_ms,
             )
 
-    def hear_of(self, seen: PeerSeen, linked: bool, now: float) -> None:
+    def hear_of(self, seen: LivePeer, linked: bool, now: float) -> None:
         """Note that another host reports the host live."""
         sighting = self._newest(seen.host)
         if sighting is not None:
--- a/jackdawspur/membership/_members.py
+++ b/jackdawspur/membership/_members.py
@@ -1,9 +1,9 @@
 """Which entry hosts live."""
 
 from jackdawspur.membership._limits import GONE_AFTER, RESUME_GAP
-from jackdawspur.membership._liveness import OwnerState, Sighting, Sightings
-from jackdawspur.membership._pace import Pace, pace_of
-from jackdawspur.model import HostId, World
+from jackdawspur.membership._liveness import LivenessTable, OwnerState, Sighting
+from jackdawspur.membership._pace import HeartbeatIntervals, heartbeat_intervals
+from jackdawspur.model import ClusterSpec, HostId
 
 __all__ = ["Members"]
 
@@ -16,35 +16,35 @@
     def __init__(self, own: HostId, now: float) -> None:
         self.own = own
         self.now = now
-        self.pace = Pace()
-        self.sightings = Sightings()
+        self.intervals = HeartbeatIntervals()
+        self.sightings = LivenessTable()
         self._names: dict[str, list[str]] = {}
         # Signals before this do not count; the view settles at the second time.
         self._awake_at = now
-        self._settled_at = now + self.pace.sibling_silence
+        self._settled_at = now + self.intervals.sibling_timeout
 
     @property
     def settled(self) -> bool:
         """Tell whether enough time passed since the start or a pause."""
         return self.now >= self._settled_at
 
-    def set_world(self, world: World, now: float) -> None:
+    def set_cluster_spec(self, world: ClusterSpec, now: float) -> None:
         """Take the configured hosts into account."""
         first = not self._names
         self._names = {}
         for host in sorted(world.entry_hosts, key=lambda one: (one.zone, one.name)):
             self._names.setdefault(host.zone, []).append(host.name)
-        self.pace = pace_of(world)
+        self.intervals = heartbeat_intervals(world)
         self.sightings.forget(self._names)
         if first:
-            self._settled_at = now + self.pace.sibling_silence
+            self._settled_at = now + self.intervals.sibling_timeout
 
     def resumed(self, now: float, gap: float) -> bool:
         """Drop beliefs after a pause; false when the gap was too short to matter."""
         if gap < RESUME_GAP:
             return False
         self._awake_at = now
-        self._settled_at = now + self.pace.sibling_silence
+        self._settled_at = now + self.intervals.sibling_timeout
         return True
 
     def zones(self) -> list[str]:
@@ -108,7 +108,7 @@
         silence = self.now - max(last, self._awake_at)
         # A whole zone that is cut off comes back with its hosts and their jobs.
         reachable = owner.zone == self.own.zone or bool(self.fresh(owner.zone))
-        bound = max(GONE_AFTER, 2 * self.pace.relayed_silence)
+        bound = max(GONE_AFTER, 2 * self.intervals.relayed_timeout)
         if owner.zone == self.own.zone:
             bound = GONE_AFTER
         return OwnerState.GONE if silence >= bound and reachable else OwnerState.UNHEARD
@@ -117,9 +117,9 @@
         if one.last_at < self._awake_at:
             return False
         if one.host.zone == self.own.zone:
-            return self.now - one.direct_at < self.pace.sibling_silence
+            return self.now - one.direct_at < self.intervals.sibling_timeout
         return (
-            self.now - one.direct_at < self.pace.link_silence
-            or self.now - one.linked_at < self.pace.mention_silence
-            or self.now - one.passed_at < self.pace.relayed_silence
+            self.now - one.direct_at < self.intervals.link_timeout
+            or self.now - one.linked_at < self.intervals.mention_timeout
+            or self.now - one.passed_at < self.intervals.relayed_timeout
         )
--- a/jackdawspur/membership/_pace.py
+++ b/jackdawspur/membership/_pace.py
@@ -19,21 +19,26 @@
     SIBLING_BUDGET,
     USAGE_REPORTED,
 )
-from jackdawspur.messages import CustomerUsage, Heartbeat, PeerSeen, Pulse, ZoneVersion
-from jackdawspur.model import HostId, World
+from jackdawspur.messages import CustomerUsage, Heartbeat, LivePeer, Pulse, ZoneStatus
+from jackdawspur.model import ClusterSpec, HostId
 
-__all__ = ["Pace", "Traffic", "pace_of", "traffic"]
+__all__ = [
+    "HeartbeatBandwidth",
+    "HeartbeatIntervals",
+    "heartbeat_bandwidth",
+    "heartbeat_intervals",
+]
 
 SAMPLE_HOST = HostId("region-1-zone-1", "entry-10", 1_700_000_000_000)
 SAMPLE_BEAT = Heartbeat(SAMPLE_HOST, 100_000, True, False, 100_000, 100, 1000, 99.5)
 SAMPLE_PULSE = Pulse(100_000, 100, 1000, 99.5)
 SAMPLE_SENT_AT = 1_000_000.5
 SAMPLE_USAGE = CustomerUsage("customer-100", 1000, 1000)
-SAMPLE_ZONE = ZoneVersion(SAMPLE_HOST.zone, 100_000, 100, 1000, 10)
+SAMPLE_ZONE = ZoneStatus(SAMPLE_HOST.zone, 100_000, 100, 1000, 10)
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class HeartbeatIntervals:
     """Hold the intervals of heartbeats, in seconds.
 
     `relay` is that of the heartbeats which tell siblings of other zones.
@@ -44,33 +49,33 @@
     relay: float = FASTEST_RELAY
 
     @property
-    def sibling_silence(self) -> float:
+    def sibling_timeout(self) -> float:
         """Return how long a sibling may be silent."""
         return MISSED_BEATS * self.sibling
 
     @property
-    def link_silence(self) -> float:
+    def link_timeout(self) -> float:
         """Return how long a host of another zone that talks to us may be silent."""
         return MISSED_BEATS * self.link
 
     @property
-    def mention_silence(self) -> float:
+    def mention_timeout(self) -> float:
         """Return how long a host may go unmentioned by its own zone's hosts."""
         return MISSED_BEATS * FULL_EVERY * self.link
 
     @property
-    def relay_silence(self) -> float:
+    def relay_timeout(self) -> float:
         """Return how long another zone may go unmentioned by siblings."""
-        return self.link_silence + MISSED_BEATS * self.relay
+        return self.link_timeout + MISSED_BEATS * self.relay
 
     @property
-    def relayed_silence(self) -> float:
+    def relayed_timeout(self) -> float:
         """Return how long another zone's host may go unmentioned by siblings."""
-        return self.mention_silence + MISSED_BEATS * FULL_EVERY * self.relay
+        return self.mention_timeout + MISSED_BEATS * FULL_EVERY * self.relay
 
 
 @dataclass(frozen=True, slots=True)
-class Traffic:
+class HeartbeatBandwidth:
     """Hold the mean bytes a second that heartbeats cost a host."""
 
     sent: float
@@ -84,14 +89,14 @@
     relay: float
 
 
-def pace_of(world: World) -> Pace:
+def heartbeat_intervals(world: ClusterSpec) -> HeartbeatIntervals:
     """Return the pace for the configured hosts; all hosts compute the same."""
     zones = Counter(host.zone for host in world.entry_hosts)
     hosts = max(zones.values(), default=1)
     return _pace(max(1, len(zones)), hosts, len(world.customers))
 
 
-def traffic(zones: int, hosts: int, customers: int) -> Traffic:
+def heartbeat_bandwidth(zones: int, hosts: int, customers: int) -> HeartbeatBandwidth:
     """Return the bytes a second a host, for zones of equal size."""
     pace = _pace(zones, hosts, customers)
     sizes = _round_bytes(zones, hosts, customers)
@@ -99,15 +104,15 @@
         sizes.sibling / pace.sibling + sizes.link / pace.link + sizes.relay / pace.relay
     )
     # Every message sent is received by a host of the same kind.
-    return Traffic(sent, sent)
+    return HeartbeatBandwidth(sent, sent)
 
 
 @lru_cache
-def _pace(zones: int, hosts: int, customers: int) -> Pace:
+def _pace(zones: int, hosts: int, customers: int) -> HeartbeatIntervals:
     sizes = _round_bytes(zones, hosts, customers)
     sibling = max(FASTEST_SIBLING, sizes.sibling / SIBLING_BUDGET)
     left = SENT_BUDGET - sizes.sibling / sibling
-    return Pace(
+    return HeartbeatIntervals(
         sibling=sibling,
         link=max(FASTEST_LINK, sizes.link / (left * LINK_SHARE)),
         relay=max(FASTEST_RELAY, sizes.relay / (left * (1 - LINK_SHARE))),
@@ -117,7 +122,7 @@
 def _round_bytes(zones: int, hosts: int, customers: int) -> _Sizes:
     usage = (SAMPLE_USAGE,) * min(customers, USAGE_REPORTED)
     own_usage = (SAMPLE_USAGE,) * min(customers, OWN_USAGE_REPORTED)
-    seen = (PeerSeen(SAMPLE_HOST),) * hosts
+    seen = (LivePeer(SAMPLE_HOST),) * hosts
     summary = replace(SAMPLE_ZONE, usage=usage)
     # The links of a zone are spread over its hosts by hash, two a pair of zones; of
     # the two hosts that hear a zone one passes it on.
--- a/jackdawspur/membership/_schedule.py
+++ b/jackdawspur/membership/_schedule.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from jackdawspur.membership._limits import FULL_EVERY
-from jackdawspur.membership._pace import Pace
+from jackdawspur.membership._pace import HeartbeatIntervals
 from jackdawspur.messages import Heartbeat
 from jackdawspur.model import UpstreamId
 
@@ -46,7 +46,7 @@
         self._relays = 0
         self._news: _News | None = None
 
-    def due(self, own: Heartbeat, pace: Pace, now: float) -> Due:
+    def due(self, own: Heartbeat, pace: HeartbeatIntervals, now: float) -> Due:
         """Return the rounds to send now, and count them as sent."""
         news = _News(
             own.ready,
--- a/jackdawspur/membership/_view.py
+++ b/jackdawspur/membership/_view.py
@@ -4,14 +4,14 @@
 from dataclasses import replace
 
 from jackdawspur.external import ListedHost
-from jackdawspur.membership._heartbeat_sender import Beats
+from jackdawspur.membership._heartbeat_sender import HeartbeatSender
 from jackdawspur.membership._leaving import Leaving
 from jackdawspur.membership._liveness import OwnerState
 from jackdawspur.membership._members import Members
-from jackdawspur.membership._pace import Pace
+from jackdawspur.membership._pace import HeartbeatIntervals
 from jackdawspur.membership._zones import Addressed, Reports, ZoneSummary
 from jackdawspur.messages import Heartbeat, Pulse
-from jackdawspur.model import HostId, UpstreamId, World
+from jackdawspur.model import ClusterSpec, HostId, UpstreamId
 
 __all__ = ["View"]
 
@@ -27,28 +27,28 @@
         self._members = Members(own, now)
         self._reports = Reports()
         self._leaving = Leaving()
-        self._beats = Beats(self._members, self._reports)
+        self._beats = HeartbeatSender(self._members, self._reports)
 
     @property
-    def pace(self) -> Pace:
+    def intervals(self) -> HeartbeatIntervals:
         """Return the intervals of heartbeats in force."""
-        return self._members.pace
+        return self._members.intervals
 
     @property
     def settled(self) -> bool:
         """Tell whether enough time passed since the start or a pause to trust it."""
         return self._members.settled
 
-    def set_world(self, world: World, now: float) -> None:
+    def set_cluster_spec(self, world: ClusterSpec, now: float) -> None:
         """Take the configured hosts into account."""
         self._advance(now)
-        self._members.set_world(world, now)
+        self._members.set_cluster_spec(world, now)
 
-    def heard(self, beat: Heartbeat, now: float) -> None:
+    def record_heartbeat(self, beat: Heartbeat, now: float) -> None:
         """Take a heartbeat in."""
         self._advance(now)
         was_live = self._members.is_live(beat.host)
-        if beat.host.same_machine(self._own):
+        if beat.host.same_host(self._own):
             return
         if not self._members.sightings.hear(beat, now):
             return
@@ -60,13 +60,13 @@
                 self._beats.repeat_news()
         self._hear_of_others(beat, linked, now)
 
-    def pulsed(self, sender: HostId, pulse: Pulse, now: float) -> None:
+    def record_pulse(self, sender: HostId, pulse: Pulse, now: float) -> None:
         """Take a sibling's sign of life in."""
         self._advance(now)
-        if not sender.same_machine(self._own):
+        if not sender.same_host(self._own):
             self._members.sightings.hear_pulse(sender, pulse, now)
 
-    def listed(self, hosts: Iterable[ListedHost], now: float) -> None:
+    def record_host_list(self, hosts: Iterable[ListedHost], now: float) -> None:
         """Take the platform's list in; it can add a leave, but not end a life."""
         self._advance(now)
         self._leaving.listed(hosts)
@@ -76,7 +76,7 @@
         self._advance(now)
         self._leaving.tick(now)
 
-    def resumed(self, now: float, gap: float) -> bool:
+    def reset_after_pause(self, now: float, gap: float) -> bool:
         """Drop beliefs after a pause; false when the gap was too short to matter.
 
         All peers count as unheard until their next heartbeat, and the host shares
@@ -101,11 +101,11 @@
         zones = self._members.zones()
         return tuple(one.host for zone in zones for one in self._members.fresh(zone))
 
-    def sharers(self) -> tuple[HostId, ...]:
+    def slot_holders(self) -> tuple[HostId, ...]:
         """Return the hosts among which the own zone's slots are divided."""
         return self._members.sharers()
 
-    def accepting(self, zone: str) -> tuple[HostId, ...]:
+    def ready_hosts(self, zone: str) -> tuple[HostId, ...]:
         """Return the live hosts of a zone, but not this one, that take new jobs."""
         return tuple(
             one.host
@@ -117,7 +117,7 @@
         """Tell whether this very incarnation is live."""
         return self._members.is_live(host)
 
-    def current(self, zone: str, name: str) -> HostId | None:
+    def latest_incarnation(self, zone: str, name: str) -> HostId | None:
         """Return the latest incarnation known of a host, live or not."""
         return self._members.current(zone, name)
 
@@ -125,7 +125,7 @@
         """Tell whether the owner of a submission can still answer for it."""
         return self._members.owner_state(owner)
 
-    def load_of(self, host: HostId) -> Heartbeat | None:
+    def last_heartbeat(self, host: HostId) -> Heartbeat | None:
         """Return the last state that this incarnation sent here itself."""
         sighting = self._members.sightings.get(host.zone, host.name)
         return sighting.beat if sighting and sighting.host == host else None
@@ -153,15 +153,15 @@
             if zone != self._own.zone and not self._is_reached(zone)
         )
 
-    def upstream_leaving(self, upstream: UpstreamId) -> bool:
+    def is_upstream_leaving(self, upstream: UpstreamId) -> bool:
         """Tell whether an upstream must get no new work because it leaves."""
         return self._leaving.contains(upstream)
 
-    def note_leaving(self, upstream: UpstreamId, now: float) -> None:
+    def mark_leaving(self, upstream: UpstreamId, now: float) -> None:
         """Take an upstream's own word that it leaves: a refusal or its usage."""
         self._leaving.note(upstream, now)
 
-    def note_staying(self, upstream: UpstreamId, now: float) -> None:
+    def clear_leaving(self, upstream: UpstreamId, now: float) -> None:
         """Take an upstream's usage that says it stays; usage may be stale."""
         self._leaving.deny(upstream, now)
 
@@ -191,10 +191,10 @@
                 self._reports.take(summary, linked, beat.reports_usage, now)
 
     def _is_reached(self, zone: str) -> bool:
-        pace, now = self.pace, self._members.now
-        if self._reports.linked_since(zone, now - pace.link_silence):
+        pace, now = self.intervals, self._members.now
+        if self._reports.linked_since(zone, now - pace.link_timeout):
             return True
-        return self._reports.told_since(zone, now - pace.relay_silence)
+        return self._reports.told_since(zone, now - pace.relay_timeout)
 
 
 def _speaks_for(beat: Heartbeat, linked: bool, own_zone: str) -> Callable[[str], bool]:
--- a/jackdawspur/membership/_zones.py
+++ b/jackdawspur/membership/_zones.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from jackdawspur.membership._limits import USAGE_REPORTED
-from jackdawspur.messages import CustomerUsage, Heartbeat, Pulse, ZoneVersion
+from jackdawspur.messages import CustomerUsage, Heartbeat, Pulse, ZoneStatus
 from jackdawspur.model import HostId
 
 __all__ = ["Addressed", "Reports", "ZoneSummary", "summarize"]
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Report:
-    summary: ZoneVersion
+    summary: ZoneStatus
     at: float
 
 
@@ -49,7 +49,7 @@
         self._told_at: dict[str, float] = {}
 
     def take(
-        self, summary: ZoneVersion, linked: bool, has_usage: bool, now: float
+        self, summary: ZoneStatus, linked: bool, has_usage: bool, now: float
     ) -> None:
         """Note a summary; `linked` when a host of the zone itself sent it."""
         if not has_usage:
@@ -58,10 +58,10 @@
         times = self._linked_at if linked else self._told_at
         times[summary.zone] = now
 
-    def latest(self, zone: str) -> ZoneVersion:
+    def latest(self, zone: str) -> ZoneStatus:
         """Return the latest summary of the zone, or an empty one."""
         report = self._latest.get(zone)
-        return report.summary if report else ZoneVersion(zone, -1)
+        return report.summary if report else ZoneStatus(zone, -1)
 
     def at(self, zone: str) -> float:
         """Return when the latest summary came."""
@@ -77,7 +77,7 @@
         return self._told_at.get(zone, NEVER) >= since
 
 
-def summarize(zone: str, beats: Iterable[Heartbeat]) -> ZoneVersion:
+def summarize(zone: str, beats: Iterable[Heartbeat]) -> ZoneStatus:
     """Return the summary of a zone from the heartbeats of its live hosts."""
     beats = list(beats)
     running: Counter[str] = Counter()
@@ -87,7 +87,7 @@
             running[usage.customer] += usage.running
             waiting[usage.customer] += usage.waiting
     heaviest = (running + waiting).most_common(USAGE_REPORTED)
-    return ZoneVersion(
+    return ZoneStatus(
         zone=zone,
         # In force in the zone means on every host of it that starts tasks; one that
         # is still reading the configuration refuses all work.
