--- a/jackdawspur/membership/tests/conftest.py
+++ b/jackdawspur/membership/tests/conftest.py
@@ -8,7 +8,7 @@
 from jackdawspur.links import Envelope, encode
 from jackdawspur.membership import Addressed, View
 from jackdawspur.messages import CustomerUsage, Heartbeat, Pulse
-from jackdawspur.model import EntryHost, HostId, World
+from jackdawspur.model import ClusterSpec, EntryHost, HostId
 
 STEP = 0.05
 PACKET = 90
@@ -18,7 +18,7 @@
 class Net:
     """Deliver heartbeats one step later, but not over cuts or to the dead."""
 
-    world: World
+    world: ClusterSpec
     views: dict[HostId, View] = field(default_factory=dict)
     now: float = 0.0
     cut: set[str] = field(default_factory=set)
@@ -31,7 +31,7 @@
 
     def start(self, host):
         view = self.views[host] = View(host, self.now)
-        view.set_world(self.world, self.now)
+        view.set_cluster_spec(self.world, self.now)
         return view
 
     def run(self, seconds):
@@ -57,13 +57,13 @@
     def _deliver(self, sender, to, message):
         apart = sender.zone != to.zone and self.cut & {sender.zone, to.zone}
         for host in self.views.keys() - self.paused:
-            if apart or not host.same_machine(to):
+            if apart or not host.same_host(to):
                 continue
             self.received[host] += _size(sender, Addressed(to, message))
             if isinstance(message, Pulse):
-                self.views[host].pulsed(sender, message, self.now)
+                self.views[host].record_pulse(sender, message, self.now)
             else:
-                self.views[host].heard(message, self.now)
+                self.views[host].record_heartbeat(message, self.now)
 
 
 def _size(sender, out):
@@ -75,7 +75,9 @@
     names = [
         (f"zone-{z:02}", f"entry-{h:02}") for z in range(zones) for h in range(hosts)
     ]
-    net = Net(World(0, entry_hosts=tuple(EntryHost(*name, "", "") for name in names)))
+    net = Net(
+        ClusterSpec(0, entry_hosts=tuple(EntryHost(*name, "", "") for name in names))
+    )
     for name in names:
         net.start(HostId(*name, 1))
     return net
--- a/jackdawspur/membership/tests/test_view.py
+++ b/jackdawspur/membership/tests/test_view.py
@@ -5,7 +5,13 @@
 import pytest
 
 from jackdawspur.external import HostRole, ListedHost
-from jackdawspur.membership import GONE_AFTER, RESUME_GAP, OwnerState, View, traffic
+from jackdawspur.membership import (
+    GONE_AFTER,
+    RESUME_GAP,
+    OwnerState,
+    View,
+    heartbeat_bandwidth,
+)
 from jackdawspur.membership.tests.conftest import STEP, build
 from jackdawspur.messages import CustomerUsage, Heartbeat
 from jackdawspur.model import UpstreamId
@@ -28,9 +34,9 @@
     dead, sibling = hosts[:2]
     net.paused.add(dead)
     listed = ListedHost(dead.zone, dead.name, HostRole.ENTRY)
-    net.views[sibling].listed((listed,), net.now)
+    net.views[sibling].record_host_list((listed,), net.now)
     died = net.now
-    while dead in net.views[sibling].sharers():
+    while dead in net.views[sibling].slot_holders():
         net.run(STEP)
     assert net.now - died <= 1.0
     assert net.views[sibling].owner_state(dead) is OwnerState.UNHEARD
@@ -47,19 +53,19 @@
     net.run(2 * STEP)
     view = net.views[sibling]
     assert view.owner_state(old) is OwnerState.GONE
-    assert view.current(old.zone, old.name) == new
+    assert view.latest_incarnation(old.zone, old.name) == new
     stale = Heartbeat(old, 10**9, True, False, 7, 0, 0, 0.0)
-    view.heard(stale, net.now)
+    view.record_heartbeat(stale, net.now)
     assert not view.is_live(old) and view.is_live(new)
 
 
 def test_a_starting_host_claims_no_more_than_its_configured_share(net, hosts):
     """A host starts and, having heard nobody, would take all slots of the zone."""
     view = View(hosts[0], 0.0)
-    view.set_world(net.world, 0.0)
-    assert len(view.sharers()) == 2 and not view.settled
+    view.set_cluster_spec(net.world, 0.0)
+    assert len(view.slot_holders()) == 2 and not view.settled
     view.tick(1.0)
-    assert view.sharers() == (hosts[0],) and view.settled
+    assert view.slot_holders() == (hosts[0],) and view.settled
 
 
 def test_a_paused_host_wakes_without_old_beliefs(net, hosts):
@@ -71,14 +77,14 @@
     paused, sibling = hosts[:2]
     net.paused.add(paused)
     net.run(20)
-    assert net.views[sibling].sharers() == (sibling,)
+    assert net.views[sibling].slot_holders() == (sibling,)
     net.paused.clear()
     view = net.views[paused]
-    assert view.resumed(net.now, 20.0)
+    assert view.reset_after_pause(net.now, 20.0)
     assert view.peers() == () and not view.settled
-    assert view.sharers() == (paused, sibling)
+    assert view.slot_holders() == (paused, sibling)
     net.run(3 * STEP)
-    assert net.views[sibling].sharers() == view.sharers() == (paused, sibling)
+    assert net.views[sibling].slot_holders() == view.slot_holders() == (paused, sibling)
     assert view.owner_state(sibling) is OwnerState.LIVE
 
 
@@ -124,17 +130,17 @@
     list or stale usage does not undo that.
     """
     first, sibling = (net.views[host] for host in hosts[:2])
-    first.note_leaving(LEAVING, net.now)
+    first.mark_leaving(LEAVING, net.now)
     stale = ListedHost(LEAVING.zone, LEAVING.name, HostRole.UPSTREAM)
     told_at = net.now
     for view in (first, sibling):
-        view.listed((stale,), net.now)
-    first.note_staying(LEAVING, net.now + 1)
-    while not sibling.upstream_leaving(LEAVING) and net.now - told_at <= 0.3:
+        view.record_host_list((stale,), net.now)
+    first.clear_leaving(LEAVING, net.now + 1)
+    while not sibling.is_upstream_leaving(LEAVING) and net.now - told_at <= 0.3:
         net.run(STEP)
-    assert sibling.upstream_leaving(LEAVING) and net.now - told_at <= 0.3
+    assert sibling.is_upstream_leaving(LEAVING) and net.now - told_at <= 0.3
     net.run(30)
-    assert first.upstream_leaving(LEAVING) and sibling.upstream_leaving(LEAVING)
+    assert first.is_upstream_leaving(LEAVING) and sibling.is_upstream_leaving(LEAVING)
 
 
 def test_a_pause_shorter_than_the_silence_limit_changes_nothing(net, hosts):
@@ -146,12 +152,12 @@
     paused, sibling = hosts[:2]
     net.paused.add(paused)
     net.run(RESUME_GAP - 2 * STEP)
-    assert net.views[sibling].sharers() == (paused, sibling)
+    assert net.views[sibling].slot_holders() == (paused, sibling)
     net.paused.clear()
-    assert not net.views[paused].resumed(net.now, RESUME_GAP - STEP)
+    assert not net.views[paused].reset_after_pause(net.now, RESUME_GAP - STEP)
     net.run(STEP)
     for host in (paused, sibling):
-        assert net.views[host].sharers() == (paused, sibling)
+        assert net.views[host].slot_holders() == (paused, sibling)
         assert net.views[host].is_live(sibling) and net.views[host].settled
 
 
@@ -165,26 +171,26 @@
     view = net.views[hosts[0]]
     net.run(2 * STEP)
     new = replace(hosts[1], incarnation=2)
-    view.heard(Heartbeat(new, 1, ready, draining, -1, 0, 0, 0.0), net.now)
+    view.record_heartbeat(Heartbeat(new, 1, ready, draining, -1, 0, 0, 0.0), net.now)
     assert view.zone_summary(hosts[0].zone).version == 7
 
 
 def test_an_upstream_that_came_back_is_used_again(net, hosts):
     first, sibling = (net.views[host] for host in hosts[:2])
-    first.note_leaving(LEAVING, net.now)
+    first.mark_leaving(LEAVING, net.now)
     net.run(11)
-    first.note_staying(LEAVING, net.now)
-    assert not first.upstream_leaving(LEAVING)
+    first.clear_leaving(LEAVING, net.now)
+    assert not first.is_upstream_leaving(LEAVING)
     net.run(16)
-    assert not sibling.upstream_leaving(LEAVING)
+    assert not sibling.is_upstream_leaving(LEAVING)
 
 
 def test_an_old_heartbeat_changes_nothing(net, hosts):
     view = net.views[hosts[0]]
     beat = Heartbeat(hosts[1], 10**6, True, True, 7, 0, 0, 0.0)
-    view.heard(beat, net.now)
-    view.heard(replace(beat, sequence=10**6 - 1, draining=False), net.now)
-    assert view.accepting(hosts[1].zone) == ()
+    view.record_heartbeat(beat, net.now)
+    view.record_heartbeat(replace(beat, sequence=10**6 - 1, draining=False), net.now)
+    assert view.ready_hosts(hosts[1].zone) == ()
 
 
 @pytest.mark.parametrize(("zones", "size"), [(4, 2), (9, 6)])
@@ -194,7 +200,7 @@
     net.usage = tuple(CustomerUsage(f"team-{n}", n, n) for n in range(140))
     net.world = replace(net.world, customers=tuple(range(140)))
     for view in net.views.values():
-        view.set_world(net.world, 0.0)
+        view.set_cluster_spec(net.world, 0.0)
     net.run(10)
     net.sent.clear()
     net.received.clear()
@@ -205,5 +211,5 @@
 
 @pytest.mark.parametrize("size", [1, 2, 6, 12, 20])
 def test_the_pace_keeps_the_design_size_in_budget(size):
-    cost = traffic(zones=18, hosts=size, customers=140)
+    cost = heartbeat_bandwidth(zones=18, hosts=size, customers=140)
     assert cost.sent + cost.received < 9000
--- a/jackdawspur/messages/_messages.py
+++ b/jackdawspur/messages/_messages.py
@@ -14,21 +14,21 @@
     "Forward",
     "ForwardAnswer",
     "Heartbeat",
+    "LivePeer",
     "Message",
-    "PeerSeen",
     "Pulse",
     "RecordsPassed",
     "RecordsWanted",
     "SlotGrant",
     "SlotRequest",
     "SlotReturn",
-    "SlotsOfUpstream",
-    "ZoneVersion",
+    "UpstreamSlots",
+    "ZoneStatus",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSeen:
+class LivePeer:
     """Report a peer that the sender heard from within its own time limit."""
 
     host: HostId
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneVersion:
+class ZoneStatus:
     """Report the configuration version in force on every live host of a zone.
 
     `hosts` live there; `usage` lists the zone's heaviest customers.
@@ -76,8 +76,8 @@
     waiting_tasks: int
     backlog_ms: float
     usage: tuple[CustomerUsage, ...] = ()
-    seen: tuple[PeerSeen, ...] = ()
-    zones: tuple[ZoneVersion, ...] = ()
+    seen: tuple[LivePeer, ...] = ()
+    zones: tuple[ZoneStatus, ...] = ()
     bad_upstreams: tuple[UpstreamId, ...] = ()
     leaving_upstreams: tuple[UpstreamId, ...] = ()
     reports_usage: bool = False
@@ -153,7 +153,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotsOfUpstream:
+class UpstreamSlots:
     """Count slots of one upstream."""
 
     upstream: UpstreamId
@@ -169,7 +169,7 @@
 
     grant: int
     term_ms: float
-    slots: tuple[SlotsOfUpstream, ...]
+    slots: tuple[UpstreamSlots, ...]
     request: int = 0
 
 
@@ -190,7 +190,7 @@
     """
 
     grant: int
-    slots: tuple[SlotsOfUpstream, ...]
+    slots: tuple[UpstreamSlots, ...]
     failed: tuple[FailedTask, ...] = ()
 
 
--- a/jackdawspur/metrics/__init__.py
+++ b/jackdawspur/metrics/__init__.py
@@ -1,5 +1,5 @@
 """Histograms of response times."""
 
-from jackdawspur.metrics._histograms import ClassName, Histograms, Percentiles
+from jackdawspur.metrics._histograms import HistogramKey, Histograms, HistogramSummary
 
-__all__ = ["ClassName", "Histograms", "Percentiles"]
+__all__ = ["HistogramKey", "HistogramSummary", "Histograms"]
--- a/jackdawspur/metrics/_histograms.py
+++ b/jackdawspur/metrics/_histograms.py
@@ -5,7 +5,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-__all__ = ["ClassName", "Histograms", "Percentiles"]
+__all__ = ["HistogramKey", "HistogramSummary", "Histograms"]
 
 LOWEST_MS = 1
 HIGHEST_MS = 3_600_000
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class ClassName:
+class HistogramKey:
     """Name a class of a customer's jobs."""
 
     customer: str
@@ -22,10 +22,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Percentiles:
+class HistogramSummary:
     """Summarize one histogram; times in milliseconds."""
 
-    name: ClassName
+    name: HistogramKey
     count: int
     p50: float
     p99: float
@@ -37,9 +37,9 @@
     """Record durations; the class least recently used makes room for a new one."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[ClassName, HdrHistogram] = OrderedDict()
+        self._kept: OrderedDict[HistogramKey, HdrHistogram] = OrderedDict()
 
-    def record(self, name: ClassName, duration_ms: float) -> None:
+    def record(self, name: HistogramKey, duration_ms: float) -> None:
         """Record one duration; those beyond the range count at its ends."""
         histogram = self._kept.get(name)
         if histogram is None:
@@ -52,10 +52,10 @@
         value = min(HIGHEST_MS, max(LOWEST_MS, round(duration_ms)))
         histogram.record_value(value)
 
-    def summarize(self) -> tuple[Percentiles, ...]:
+    def summarize(self) -> tuple[HistogramSummary, ...]:
         """Return the percentiles of all histograms, by name."""
         return tuple(
-            Percentiles(
+            HistogramSummary(
                 name,
                 histogram.get_total_count(),
                 histogram.get_value_at_percentile(50),
--- a/jackdawspur/model/__init__.py
+++ b/jackdawspur/model/__init__.py
@@ -8,13 +8,13 @@
     TaskState,
 )
 from jackdawspur.model._cluster_spec import (
+    ClusterSpec,
     Contract,
     Customer,
-    Ejection,
+    EjectionPolicy,
     EntryHost,
     Objective,
     Upstream,
-    World,
 )
 from jackdawspur.model._ids import (
     HostId,
@@ -24,15 +24,16 @@
     TaskId,
     UpstreamId,
 )
-from jackdawspur.model._job import MAX_TASKS, JobRequest, TaskSpec
-from jackdawspur.model._rendezvous import rendezvous
+from jackdawspur.model._job import MAX_TASKS_PER_JOB, JobRequest, TaskSpec
+from jackdawspur.model._rendezvous import rendezvous_hash
 
 __all__ = [
-    "MAX_TASKS",
+    "MAX_TASKS_PER_JOB",
     "Answer",
+    "ClusterSpec",
     "Contract",
     "Customer",
-    "Ejection",
+    "EjectionPolicy",
     "EntryHost",
     "FailureCode",
     "HostId",
@@ -48,6 +49,5 @@
     "TaskState",
     "Upstream",
     "UpstreamId",
-    "World",
-    "rendezvous",
+    "rendezvous_hash",
 ]
--- a/jackdawspur/model/_cluster_spec.py
+++ b/jackdawspur/model/_cluster_spec.py
@@ -6,13 +6,13 @@
 from jackdawspur.model._ids import UpstreamId
 
 __all__ = [
+    "ClusterSpec",
     "Contract",
     "Customer",
-    "Ejection",
+    "EjectionPolicy",
     "EntryHost",
     "Objective",
     "Upstream",
-    "World",
 ]
 
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ejection:
+class EjectionPolicy:
     """Say when an upstream that fails what it starts gets no more work.
 
     `max_share` is the largest part of a zone's upstreams ejected at once.
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class ClusterSpec:
     """Hold what one version of the configuration says of the world.
 
     `version` is the log offset of the confirm that put it in force.
@@ -97,4 +97,4 @@
     customers: tuple[Customer, ...] = ()
     entry_hosts: tuple[EntryHost, ...] = ()
     upstreams: tuple[Upstream, ...] = ()
-    ejection: Ejection = Ejection()
+    ejection: EjectionPolicy = EjectionPolicy()
--- a/jackdawspur/model/_ids.py
+++ b/jackdawspur/model/_ids.py
@@ -71,7 +71,7 @@
         except ValueError as error:
             raise InvalidId(f"not a host id: {text!r}") from error
 
-    def same_machine(self, other: "HostId") -> bool:
+    def same_host(self, other: "HostId") -> bool:
         """Tell whether both are runs of the same entry host."""
         return self.zone == other.zone and self.name == other.name
 
--- a/jackdawspur/model/_job.py
+++ b/jackdawspur/model/_job.py
@@ -4,9 +4,9 @@
 
 from jackdawspur.model._ids import SubmissionId
 
-__all__ = ["MAX_TASKS", "JobRequest", "TaskSpec"]
+__all__ = ["MAX_TASKS_PER_JOB", "JobRequest", "TaskSpec"]
 
-MAX_TASKS = 360
+MAX_TASKS_PER_JOB = 360
 
 
 @dataclass(frozen=True, slots=True)
--- a/jackdawspur/model/tests/test_ids.py
+++ b/jackdawspur/model/tests/test_ids.py
@@ -18,7 +18,7 @@
 def test_restart_makes_another_owner():
     restarted = HostId("north", "e1", 0xBEF0)
     assert restarted != OWNER
-    assert restarted.same_machine(OWNER)
+    assert restarted.same_host(OWNER)
 
 
 @pytest.mark.parametrize("kind", [HostId, SubmissionId, TaskId, UpstreamId])
--- a/jackdawspur/ownership/__init__.py
+++ b/jackdawspur/ownership/__init__.py
@@ -1,6 +1,6 @@
 """At most once: issued ids, idempotency keys and remembered answers."""
 
-from jackdawspur.ownership._claims import KEY_WINDOW_S, ClaimTable
+from jackdawspur.ownership._claims import IDEMPOTENCY_KEY_TTL_S, IdempotencyKeyTable
 from jackdawspur.ownership._ids import IdIssuer, IdState
 
-__all__ = ["KEY_WINDOW_S", "ClaimTable", "IdIssuer", "IdState"]
+__all__ = ["IDEMPOTENCY_KEY_TTL_S", "IdIssuer", "IdState", "IdempotencyKeyTable"]
--- a/jackdawspur/ownership/_claims.py
+++ b/jackdawspur/ownership/_claims.py
@@ -5,9 +5,9 @@
 
 from jackdawspur.model import SubmissionId
 
-__all__ = ["KEY_WINDOW_S", "MAX_CLAIMS", "ClaimTable"]
+__all__ = ["IDEMPOTENCY_KEY_TTL_S", "MAX_CLAIMS", "IdempotencyKeyTable"]
 
-KEY_WINDOW_S = 600.0
+IDEMPOTENCY_KEY_TTL_S = 600.0
 MAX_CLAIMS = 50_000
 
 
@@ -23,7 +23,7 @@
     expires: float
 
 
-class ClaimTable:
+class IdempotencyKeyTable:
     """Fold claims in log order: the first claim of a key names its submission.
 
     Every host folds the same records in the same order, so all agree on the owner,
@@ -32,14 +32,14 @@
 
     # A full table refuses new keys: forgetting one early would let its job run again.
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Tell whether this host should claim no further keys."""
         return len(self._bound) >= MAX_CLAIMS
 
     def __init__(self) -> None:
         self._bound: OrderedDict[_KeyName, _Binding] = OrderedDict()
 
-    def fold(
+    def apply_claim(
         self, customer: str, key: str, submission: SubmissionId, now: float
     ) -> SubmissionId:
         """Return the submission that owns the key after this claim."""
@@ -47,7 +47,7 @@
         name = _KeyName(customer, key)
         binding = self._bound.get(name)
         if binding is None:
-            self._bound[name] = _Binding(submission, now + KEY_WINDOW_S)
+            self._bound[name] = _Binding(submission, now + IDEMPOTENCY_KEY_TTL_S)
             return submission
         return binding.submission
 
--- a/jackdawspur/ownership/_ids.py
+++ b/jackdawspur/ownership/_ids.py
@@ -31,7 +31,7 @@
         self._next = 1
         self._unused: OrderedDict[SubmissionId, _Issue] = OrderedDict()
 
-    def fresh(self) -> SubmissionId:
+    def new_id(self) -> SubmissionId:
         """Return an id for a submission that starts now."""
         submission = SubmissionId(self._own, self._next)
         self._next += 1
@@ -40,14 +40,14 @@
     def issue(self, customer: str, count: int, now: float) -> tuple[SubmissionId, ...]:
         """Return ids that the customer may use later, from any entry host."""
         self._drop_expired(now)
-        ids = tuple(self.fresh() for _ in range(count))
+        ids = tuple(self.new_id() for _ in range(count))
         for submission in ids:
             self._unused[submission] = _Issue(customer, now + ISSUED_ID_LIFETIME_S)
         while len(self._unused) > MAX_ISSUED_IDS:
             self._unused.popitem(last=False)
         return ids
 
-    def state(self, submission: SubmissionId, customer: str, now: float) -> IdState:
+    def id_state(self, submission: SubmissionId, customer: str, now: float) -> IdState:
         """Tell whether the customer may start a job under the id."""
         if submission.owner != self._own:
             return IdState.FOREIGN
@@ -57,7 +57,7 @@
             return IdState.SPENT
         return IdState.UNUSED
 
-    def spend(self, submission: SubmissionId) -> None:
+    def mark_used(self, submission: SubmissionId) -> None:
         """Mark an issued id as used."""
         self._unused.pop(submission, None)
 
--- a/jackdawspur/pictures/_draw.py
+++ b/jackdawspur/pictures/_draw.py
@@ -18,7 +18,7 @@
 
 __all__ = ["draw_configuration", "draw_tail"]
 
-OWN_POLICY = "own"
+PRODUCT_POLICY = "own"
 OWN_WIDTH, OTHER_WIDTH = 3.0, 1.2
 GOAL_RATIO = 1.2
 BOUND_MS = 6000.0
@@ -46,7 +46,7 @@
         points = sorted(
             (line.load * PERCENT, line.p99) for line in lines if line.policy == policy
         )
-        width = OWN_WIDTH if policy == OWN_POLICY else OTHER_WIDTH
+        width = OWN_WIDTH if policy == PRODUCT_POLICY else OTHER_WIDTH
         axis.plot(*zip(*points, strict=True), marker="o", linewidth=width, label=policy)
     axis.axhline(GOAL_RATIO, color="grey", linestyle=":", label="goal at 70 %")
     axis.set_yscale("log")
--- a/jackdawspur/platform/__init__.py
+++ b/jackdawspur/platform/__init__.py
@@ -1,14 +1,14 @@
 """Translation between the customers' platform and the product."""
 
-from jackdawspur.platform._callers import PlatformCallers
-from jackdawspur.platform._settings import SETTINGS_VARIABLE, read_platform_settings
+from jackdawspur.platform._callers import PlatformCallerCodec
+from jackdawspur.platform._settings import SETTINGS_VARIABLE, load_platform_settings
 from jackdawspur.platform._store import PlatformStore
-from jackdawspur.platform._upstreams import PlatformUpstreams
+from jackdawspur.platform._upstreams import PlatformUpstreamClient
 
 __all__ = [
-    "PlatformCallers",
+    "PlatformCallerCodec",
     "PlatformStore",
-    "PlatformUpstreams",
+    "PlatformUpstreamClient",
     "SETTINGS_VARIABLE",
-    "read_platform_settings",
+    "load_platform_settings",
 ]
--- a/jackdawspur/platform/_callers.py
+++ b/jackdawspur/platform/_callers.py
@@ -5,19 +5,19 @@
 import msgspec
 
 from jackdawspur.adapters import Call
-from jackdawspur.callers import HttpReply
+from jackdawspur.callers import HttpResponse
 from jackdawspur.front import (
     CallerPort,
-    CallerQuestion,
-    QuestionKind,
+    CallerRequest,
+    ConfigurationDecodeError,
+    RequestKind,
     RouteTable,
-    UnreadableConfiguration,
 )
 from jackdawspur.leases import Resources
 from jackdawspur.platform._bodies import ConfigurationBody, JobBody, RouteBody, StepBody
 from jackdawspur.runs import JobEnd, JobOutcome, JobRequest, JobStep, Route
 
-__all__ = ["PlatformCallers"]
+__all__ = ["PlatformCallerCodec"]
 
 MAX_SPEC_BYTES = 4000
 MAX_TASKS = 10_000
@@ -50,10 +50,12 @@
     not_run: bool = True
 
 
-class PlatformCallers(CallerPort):
+class PlatformCallerCodec(CallerPort):
     """Read clients' calls and write their replies."""
 
-    def read_call(self, call: Call, routes: RouteTable) -> CallerQuestion | HttpReply:
+    def decode_call(
+        self, call: Call, routes: RouteTable
+    ) -> CallerRequest | HttpResponse:
         """Return what a caller asks, or the refusal of what can't be understood."""
         host = call.headers.get("Host", "").partition(":")[0]
         route = routes.find(host, call.path)
@@ -63,64 +65,64 @@
         if not job:
             if call.method != "GET":
                 return _error(405, "expected GET of a route, or a job's id")
-            return CallerQuestion(QuestionKind.COUNT, route, "", None, None)
+            return CallerRequest(RequestKind.COUNT, route, "", None, None)
         if not _is_id(job):
             return _error(400, f"id: {JOB_ID_DIGITS} hexadecimal digits expected")
         return self._read_job_call(call, route, job)
 
     def _read_job_call(
         self, call: Call, route: Route, job: str
-    ) -> CallerQuestion | HttpReply:
+    ) -> CallerRequest | HttpResponse:
         if call.method == "GET":
-            return CallerQuestion(QuestionKind.STATE, route, job, None, None)
+            return CallerRequest(RequestKind.STATE, route, job, None, None)
         if call.method == "DELETE":
-            return CallerQuestion(QuestionKind.CANCEL, route, job, None, None)
+            return CallerRequest(RequestKind.CANCEL, route, job, None, None)
         if call.method != "POST":
             return _error(405, "expected POST, GET or DELETE")
         try:
             request = _request(job, route, _decode_job(call.body))
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
             return _error(400, str(error))
-        if isinstance(request, HttpReply):
+        if isinstance(request, HttpResponse):
             return request
         patience = _patience_s(call.headers.get("X-Deadline-Ms"))
-        return CallerQuestion(QuestionKind.SUBMIT, route, job, request, patience)
+        return CallerRequest(RequestKind.SUBMIT, route, job, request, patience)
 
-    def reply_outcome(self, outcome: JobOutcome) -> HttpReply:
+    def encode_outcome(self, outcome: JobOutcome) -> HttpResponse:
         """Return the reply to a submission."""
         status = STATUS_OF_END[outcome.end]
         if outcome.not_run and outcome.end is JobEnd.OUT_OF_TIME:
             status = 503
         state = STATE_OF_END.get(outcome.end)
         if state is not None:
-            return HttpReply(status, msgspec.json.encode(_StateReply(state)))
+            return HttpResponse(status, msgspec.json.encode(_StateReply(state)))
         body = _ErrorReply(outcome.reason, outcome.not_run)
         retry = math.ceil(outcome.retry_after_s)
-        return HttpReply(status, msgspec.json.encode(body), retry)
+        return HttpResponse(status, msgspec.json.encode(body), retry)
 
-    def reply_count(self, waiting: int) -> HttpReply:
+    def encode_waiting_count(self, waiting: int) -> HttpResponse:
         """Return the reply to a question how many jobs wait."""
-        return HttpReply(200, msgspec.json.encode(_WaitingReply(waiting)))
+        return HttpResponse(200, msgspec.json.encode(_WaitingReply(waiting)))
 
-    def reply_unknown_job(self) -> HttpReply:
+    def encode_unknown_job(self) -> HttpResponse:
         """Return the reply to a question about a job that is not here."""
         return _error(410, "no such job")
 
-    def reply_cancelled(self) -> HttpReply:
+    def encode_cancelled(self) -> HttpResponse:
         """Return the reply to a cancel that was carried out."""
-        return HttpReply(200, msgspec.json.encode(_StateReply("cancelled")))
+        return HttpResponse(200, msgspec.json.encode(_StateReply("cancelled")))
 
-    def reply_not_ready(self, reason: str) -> HttpReply:
+    def encode_not_ready(self, reason: str) -> HttpResponse:
         """Return the refusal of a host that can't serve yet."""
         body = msgspec.json.encode(_ErrorReply(reason))
-        return HttpReply(503, body, retry_after_s=1)
+        return HttpResponse(503, body, retry_after_s=1)
 
-    def read_configuration(self, document: bytes) -> RouteTable:
-        """Return the routes of a configuration; raise `UnreadableConfiguration`."""
+    def decode_configuration(self, document: bytes) -> RouteTable:
+        """Return the routes of a configuration; raise `ConfigurationDecodeError`."""
         try:
             body = _decode_configuration(document)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise UnreadableConfiguration(str(error)) from error
+            raise ConfigurationDecodeError(str(error)) from error
         routes = tuple(_route(one) for one in body.routes)
         return RouteTable(body.version, routes, body.limits.max_body_bytes)
 
@@ -139,7 +141,7 @@
     )
 
 
-def _request(job: str, route: Route, body: JobBody) -> JobRequest | HttpReply:
+def _request(job: str, route: Route, body: JobBody) -> JobRequest | HttpResponse:
     if len(body.spec.encode()) > MAX_SPEC_BYTES:
         raise ValueError(f"spec: at most {MAX_SPEC_BYTES} bytes expected")
     if not body.steps:
@@ -184,5 +186,5 @@
     return int(digits) / MS_PER_S
 
 
-def _error(status: int, text: str) -> HttpReply:
-    return HttpReply(status, msgspec.json.encode(_ErrorReply(text)))
+def _error(status: int, text: str) -> HttpResponse:
+    return HttpResponse(status, msgspec.json.encode(_ErrorReply(text)))
--- a/jackdawspur/platform/_entries.py
+++ b/jackdawspur/platform/_entries.py
@@ -80,6 +80,6 @@
 
 def _check_address(field: str, text: str) -> None:
     try:
-        check_address(text, least_port=1)
+        check_address(text, min_port=1)
     except ValueError as error:
         raise UnreadableEntry(f"{field}: {text!r} is no IP:port") from error
--- a/jackdawspur/platform/_settings.py
+++ b/jackdawspur/platform/_settings.py
@@ -5,7 +5,7 @@
 
 from jackdawspur.settings import HostSettings, SettingsError, check_host_settings
 
-__all__ = ["SETTINGS_VARIABLE", "read_platform_settings"]
+__all__ = ["SETTINGS_VARIABLE", "load_platform_settings"]
 
 SETTINGS_VARIABLE = "JACKDAWSPUR_CONFIG"
 # Where the deploy file says that counters are served; links use the first port of the
@@ -13,7 +13,7 @@
 METRICS_PORT = 9464
 
 
-def read_platform_settings(path: str | None = None) -> HostSettings:
+def load_platform_settings(path: str | None = None) -> HostSettings:
     """Return the checked settings of a file; raise `SettingsError`.
 
     Without a path the environment names the file.
@@ -44,7 +44,9 @@
         "link_mbps": fields.get("limits.link_mbps"),
     }
     given = {name: value for name, value in data.items() if value}
-    return check_host_settings(given, path, shown=_FIELD_OF, text=True)
+    return check_host_settings(
+        given, path, display_names=_FIELD_OF, numbers_as_text=True
+    )
 
 
 # What the product calls differently, for messages about wrong values.
--- a/jackdawspur/platform/_store.py
+++ b/jackdawspur/platform/_store.py
@@ -8,10 +8,10 @@
 from result import Result
 
 from jackdawspur.adapters import (
-    Deadlines,
+    ClientResponse,
     HttpClient,
-    HttpLimits,
-    HttpReply,
+    HttpClientLimits,
+    TimerQueue,
     split_address,
 )
 from jackdawspur.external import PlatformError
@@ -52,11 +52,13 @@
 class PlatformStore(StorePort):
     """Read the configuration, the upstreams and the hosts; announce this host."""
 
-    def __init__(self, address: str, owner: Component, deadlines: Deadlines) -> None:
-        limits = HttpLimits(connections=CONNECTIONS, connect_s=CONNECT_S)
-        self._client = HttpClient(split_address(address), deadlines, limits)
+    def __init__(self, address: str, owner: Component, timer_queue: TimerQueue) -> None:
+        limits = HttpClientLimits(
+            max_connections=CONNECTIONS, connect_timeout_s=CONNECT_S
+        )
+        self._client = HttpClient(split_address(address), timer_queue, limits)
         self._client.register(owner)
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._listener: StoreListener | None = None
         self._entries: dict[str, UpstreamEntry] = {}
         self._lapsed: dict[str, float] = {}
@@ -65,19 +67,23 @@
         self._unreadable: dict[str, str] = {}
         self._reachable = True
         self._unannounced: HostAddress | None = None
-        self._followed_since = deadlines.now
+        self._followed_since = timer_queue.now
 
-    def follow(self, listener: StoreListener) -> None:
+    def start_watch(self, listener: StoreListener) -> None:
         """Begin to read, and never stop."""
         self._listener = listener
-        self._followed_since = self._deadlines.now
+        self._followed_since = self._timer_queue.now
         for topic, changed, pause_s in (
             (OPERATOR_TOPIC, self._operator_wrote, lambda: READ_AT_ONCE_S),
-            (SERVERS_TOPIC, self._servers_wrote, lambda: listener.list_every_s),
+            (
+                SERVERS_TOPIC,
+                self._servers_wrote,
+                lambda: listener.upstream_list_interval_s,
+            ),
             (HOSTS_TOPIC, self._hosts_wrote, self._hosts_pause_s),
         ):
             KeyedTopic(
-                topic, self._client, self._deadlines, changed, self._reached, pause_s
+                topic, self._client, self._timer_queue, changed, self._reached, pause_s
             ).begin()
 
     def announce(self, host: HostAddress) -> None:
@@ -89,10 +95,10 @@
         record = bytes([len(key)]) + key + msgspec.json.encode(body)
         data = struct.pack(">I", len(record)) + record
 
-        def done(result: Result[HttpReply, PlatformError]) -> None:
+        def done(result: Result[ClientResponse, PlatformError]) -> None:
             if result.is_err() or result.ok_value.status != 200:
                 self._unannounced = host
-                self._deadlines.call_after(ANNOUNCE_AGAIN_S, self._announce_again)
+                self._timer_queue.call_later(ANNOUNCE_AGAIN_S, self._announce_again)
 
         path = f"/log-append?topic={HOSTS_TOPIC}&part=0"
         self._client.request("POST", path, data, ANNOUNCE_S, done)
@@ -103,7 +109,7 @@
             self.announce(host)
 
     def _hosts_pause_s(self) -> float:
-        starting = self._deadlines.now - self._followed_since < STARTING_S
+        starting = self._timer_queue.now - self._followed_since < STARTING_S
         return READ_AT_ONCE_S if starting else HOSTS_EVERY_S
 
     def _reached(self, reachable: bool, reason: str) -> None:
@@ -113,7 +119,7 @@
             self._announce_again()
         if reachable != self._reachable:
             self._reachable = reachable
-            self._listener.store_changed(reachable, reason)
+            self._listener.on_store_reachability(reachable, reason)
 
     def _operator_wrote(self, changed: dict[str, bytes], whole: bool) -> None:
         self._read_evacuated(changed, whole)
@@ -125,7 +131,7 @@
         except (msgspec.DecodeError, RecursionError) as error:
             log.error("configuration without version", extra={"reason": str(error)})
             return
-        self._listener.configuration_read(version, document)
+        self._listener.on_configuration(version, document)
 
     def _read_evacuated(self, changed: dict[str, bytes], whole: bool) -> None:
         """Keep the zones to which nothing may be sent; a dropped key ends one."""
@@ -140,11 +146,11 @@
                 evacuated.discard(zone)
         if evacuated != self._evacuated:
             self._evacuated = evacuated
-            self._listener.evacuated_read(frozenset(evacuated))
+            self._listener.on_evacuated_zones(frozenset(evacuated))
 
     def _servers_wrote(self, changed: dict[str, bytes], whole: bool) -> None:
         """Keep the list; an entry that vanished counts as gone only after a while."""
-        now = self._deadlines.now
+        now = self._timer_queue.now
         if whole:
             for name in self._entries:
                 if name not in changed:
@@ -165,7 +171,7 @@
             if now - since > RETURN_S:
                 self._entries.pop(name, None)
                 del self._lapsed[name]
-        self._listener.upstreams_read(tuple(self._entries.values()))
+        self._listener.on_upstreams(tuple(self._entries.values()))
 
     def _hosts_wrote(self, changed: dict[str, bytes], whole: bool) -> None:
         hosts = []
@@ -176,7 +182,7 @@
                 hosts.append(read_host(value))
             except UnreadableEntry as error:
                 self._note_unreadable(name, "host entry unreadable", str(error))
-        self._listener.hosts_read(tuple(hosts))
+        self._listener.on_hosts(tuple(hosts))
 
     def _note_unreadable(self, name: str, text: str, reason: str) -> None:
         """Say it once: an upstream writes its entry anew every second or so."""
--- a/jackdawspur/platform/_topics.py
+++ b/jackdawspur/platform/_topics.py
@@ -7,7 +7,7 @@
 import msgspec
 from result import Result
 
-from jackdawspur.adapters import Deadlines, HttpClient, HttpReply
+from jackdawspur.adapters import ClientResponse, HttpClient, TimerQueue
 from jackdawspur.exceptions import JackdawspurError
 from jackdawspur.external import PlatformError
 from jackdawspur.platform._bodies import NewestPage
@@ -43,14 +43,14 @@
         self,
         topic: str,
         client: HttpClient,
-        deadlines: Deadlines,
+        timer_queue: TimerQueue,
         changed: Changed,
         reached: Callable[[bool, str], None],
         pause_s: Callable[[], float],
     ) -> None:
         self._topic = topic
         self._client = client
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._changed = changed
         self._reached = reached
         self._pause_s = pause_s
@@ -71,15 +71,15 @@
             path += f"&after={quote(after)}"
         self._client.request("GET", path, b"", ANSWER_S, self._page_read)
 
-    def _page_read(self, result: Result[HttpReply, PlatformError]) -> None:
+    def _page_read(self, result: Result[ClientResponse, PlatformError]) -> None:
         if not self._answered(result):
-            self._deadlines.call_after(AGAIN_S, self.begin)
+            self._timer_queue.call_later(AGAIN_S, self.begin)
             return
         try:
             page = _decode_page(result.ok_value.body)
         except msgspec.DecodeError as error:
             self._reached(False, f"{self._topic}: {error}")
-            self._deadlines.call_after(AGAIN_S, self.begin)
+            self._timer_queue.call_later(AGAIN_S, self.begin)
             return
         # Pages are no snapshot: what changes meanwhile is read after the first's end.
         self._page_end = self._page_end or page.end
@@ -99,24 +99,24 @@
         limit_s = WAIT_MS / MS_PER_S + ANSWER_S
         self._client.request("GET", path, b"", limit_s, self._records_read)
 
-    def _records_read(self, result: Result[HttpReply, PlatformError]) -> None:
+    def _records_read(self, result: Result[ClientResponse, PlatformError]) -> None:
         if result.is_ok() and result.ok_value.status == GONE:
             self.begin()
             return
         if not self._answered(result):
-            self._deadlines.call_after(AGAIN_S, self._read_on)
+            self._timer_queue.call_later(AGAIN_S, self._read_on)
             return
         try:
             changed, read = _records(result.ok_value.body)
         except UnreadableRecords as error:
             self._reached(False, f"{self._topic}: {error}")
-            self._deadlines.call_after(AGAIN_S, self.begin)
+            self._timer_queue.call_later(AGAIN_S, self.begin)
             return
         self._offset += read
         self._changed(changed, False)
-        self._deadlines.call_after(self._pause_s(), self._read_on)
+        self._timer_queue.call_later(self._pause_s(), self._read_on)
 
-    def _answered(self, result: Result[HttpReply, PlatformError]) -> bool:
+    def _answered(self, result: Result[ClientResponse, PlatformError]) -> bool:
         if result.is_err():
             self._reached(False, f"{self._topic}: {result.err_value}")
             return False
--- a/jackdawspur/platform/_upstreams.py
+++ b/jackdawspur/platform/_upstreams.py
@@ -8,10 +8,10 @@
 from result import Result
 
 from jackdawspur.adapters import (
-    Deadlines,
+    ClientResponse,
     HttpClient,
-    HttpLimits,
-    HttpReply,
+    HttpClientLimits,
+    TimerQueue,
     split_address,
 )
 from jackdawspur.external import OutcomeUnknown, PlatformError
@@ -19,10 +19,10 @@
 from jackdawspur.leases import (
     CallOutcome,
     EndedRun,
-    Ending,
-    LookReport,
+    PollReport,
     RunId,
     RunningRun,
+    RunResult,
 )
 from jackdawspur.platform._bodies import (
     HoldBody,
@@ -31,9 +31,9 @@
     RunStartBody,
     RunStopBody,
 )
-from jackdawspur.runs import LookAt, StartRun, StopRun
+from jackdawspur.runs import PollUpstream, StartRun, StopRun
 
-__all__ = ["PlatformUpstreams"]
+__all__ = ["PlatformUpstreamClient"]
 
 CONNECT_S = 0.25
 # One connection waits for ends, the others carry starts, stops and what repeats lost
@@ -62,18 +62,22 @@
 _decode_report = msgspec.json.Decoder(HoldReply).decode
 
 
-class PlatformUpstreams(UpstreamPort):
+class PlatformUpstreamClient(UpstreamPort):
     """Call upstreams over kept-alive connections, each call at most once."""
 
-    def __init__(self, owner: Component, deadlines: Deadlines) -> None:
+    def __init__(self, owner: Component, timer_queue: TimerQueue) -> None:
         self._owner = owner
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._clients: dict[str, HttpClient] = {}
 
     def start(self, order: StartRun, done: Callable[[CallOutcome], None]) -> None:
         """Start a run."""
         body = RunStartBody(
-            order.run.task, order.run.number, order.spec, order.until_ms, order.fence
+            order.run.task,
+            order.run.number,
+            order.spec,
+            order.lease_until_ms,
+            order.fence,
         )
         self._call(order, "/run-start", _encode(body), _outcome_to(done))
 
@@ -82,19 +86,21 @@
         body = RunStopBody(order.run.task, order.run.number, order.fence)
         self._call(order, "/run-stop", _encode(body), _outcome_to(done))
 
-    def look(
-        self, order: LookAt, done: Callable[[LookReport | CallOutcome], None]
+    def poll_runs(
+        self, order: PollUpstream, done: Callable[[PollReport | CallOutcome], None]
     ) -> None:
         """Ask for all runs and prolong the lease."""
-        body = HoldBody(order.fence, order.last_seen, order.until_ms, order.wait_ms)
+        body = HoldBody(
+            order.fence, order.last_seen, order.lease_until_ms, order.wait_ms
+        )
 
-        def replied(result: Result[HttpReply, PlatformError]) -> None:
+        def replied(result: Result[ClientResponse, PlatformError]) -> None:
             outcome = _outcome(result)
             done(_report(result.ok_value) if outcome is CallOutcome.OK else outcome)
 
         self._call(order, "/hold", _encode(body), replied)
 
-    def keep_only(self, addresses: set[str]) -> None:
+    def close_connections_except(self, addresses: set[str]) -> None:
         """Close the connections to all other addresses."""
         for address in [a for a in self._clients if a not in addresses]:
             client = self._clients.pop(address)
@@ -106,19 +112,21 @@
         if client is None:
             client = self._clients[order.address] = HttpClient(
                 split_address(order.address),
-                self._deadlines,
-                HttpLimits(connections=CONNECTIONS, connect_s=CONNECT_S),
+                self._timer_queue,
+                HttpClientLimits(
+                    max_connections=CONNECTIONS, connect_timeout_s=CONNECT_S
+                ),
             ).register(self._owner)
         # The name of an upstream is that of one boot of it; any other refuses.
         headers = (("X-Expect-Instance", order.upstream.name),)
-        client.request("POST", path, body, order.limit_s, done, headers)
+        client.request("POST", path, body, order.timeout_s, done, headers)
 
 
 def _outcome_to(done: Callable[[CallOutcome], None]):
     return lambda result: done(_outcome(result))
 
 
-def _outcome(result: Result[HttpReply, PlatformError]) -> CallOutcome:
+def _outcome(result: Result[ClientResponse, PlatformError]) -> CallOutcome:
     if result.is_err():
         lost = isinstance(result.err_value, OutcomeUnknown)
         return CallOutcome.UNKNOWN if lost else CallOutcome.NOT_SENT
@@ -132,10 +140,10 @@
     return REFUSALS.get(reason, CallOutcome.UNKNOWN)
 
 
-def _report(reply: HttpReply) -> LookReport | CallOutcome:
+def _report(reply: ClientResponse) -> PollReport | CallOutcome:
     try:
         body = _decode_report(reply.body)
-        return LookReport(
+        return PollReport(
             body.clock_ms,
             tuple(_running(row) for row in body.running),
             tuple(_ended(row) for row in body.ended),
@@ -154,4 +162,4 @@
 def _ended(row: list) -> EndedRun:
     """Decode ``[number, task, run, how, saved]``."""
     run = RunId(str(row[1]), int(row[2]))
-    return EndedRun(int(row[0]), run, Ending(row[3]), str(row[4]))
+    return EndedRun(int(row[0]), run, RunResult(row[3]), str(row[4]))
--- a/jackdawspur/platform/tests/test_callers.py
+++ b/jackdawspur/platform/tests/test_callers.py
@@ -6,9 +6,9 @@
 from circuits.web.headers import Headers
 
 from jackdawspur.adapters import Call
-from jackdawspur.callers import HttpReply
-from jackdawspur.front import QuestionKind, RouteTable, UnreadableConfiguration
-from jackdawspur.platform import PlatformCallers
+from jackdawspur.callers import HttpResponse
+from jackdawspur.front import ConfigurationDecodeError, RequestKind, RouteTable
+from jackdawspur.platform import PlatformCallerCodec
 from jackdawspur.runs import JobEnd, JobOutcome
 
 CONFIGURATION = {
@@ -43,13 +43,13 @@
 
 
 @pytest.fixture
-def callers() -> PlatformCallers:
-    return PlatformCallers()
+def callers() -> PlatformCallerCodec:
+    return PlatformCallerCodec()
 
 
 @pytest.fixture
-def routes(callers: PlatformCallers) -> RouteTable:
-    return callers.read_configuration(json.dumps(CONFIGURATION).encode())
+def routes(callers: PlatformCallerCodec) -> RouteTable:
+    return callers.decode_configuration(json.dumps(CONFIGURATION).encode())
 
 
 def call(method: str, path: str, body: object = None, host="a.example", **headers):
@@ -59,11 +59,11 @@
 
 
 def test_a_job_is_read_with_its_route_and_patience(callers, routes):
-    asked = callers.read_call(
+    asked = callers.decode_call(
         call("POST", f"/p/{ID}", JOB, **{"X-Deadline-Ms": "700"}), routes
     )
-    assert asked.kind is QuestionKind.SUBMIT
-    assert asked.patience_s == 0.7
+    assert asked.kind is RequestKind.SUBMIT
+    assert asked.caller_timeout_s == 0.7
     assert asked.request.steps[0].resources.cpu_millis == 500
     assert asked.request.route.margin_ms == 60
 
@@ -72,12 +72,12 @@
 @pytest.mark.parametrize("stated", ["", "soon", "-5", "1.5", "\u00b2", "9" * 5000])
 def test_an_unreadable_wait_counts_as_none_stated(callers, routes, stated):
     headers = {"X-Deadline-Ms": stated}
-    asked = callers.read_call(call("POST", f"/p/{ID}", JOB, **headers), routes)
-    assert asked.patience_s is None
+    asked = callers.decode_call(call("POST", f"/p/{ID}", JOB, **headers), routes)
+    assert asked.caller_timeout_s is None
 
 
 def test_the_longest_prefix_wins(callers, routes):
-    asked = callers.read_call(call("GET", "/p/deep/"), routes)
+    asked = callers.decode_call(call("GET", "/p/deep/"), routes)
     assert asked.route.name == "r-2"
 
 
@@ -97,8 +97,8 @@
     ],
 )
 def test_a_body_that_is_no_job_is_refused_by_name(callers, routes, body, named):
-    reply = callers.read_call(call("POST", f"/p/{ID}", body), routes)
-    assert isinstance(reply, HttpReply)
+    reply = callers.decode_call(call("POST", f"/p/{ID}", body), routes)
+    assert isinstance(reply, HttpResponse)
     assert reply.status == 400
     assert named in json.loads(reply.body)["error"]
 
@@ -114,13 +114,13 @@
     ],
 )
 def test_what_does_not_exist_is_refused(callers, routes, method, path, host, status):
-    reply = callers.read_call(call(method, path, JOB, host), routes)
+    reply = callers.decode_call(call(method, path, JOB, host), routes)
     assert reply.status == status
 
 
 def test_a_kind_of_job_not_served_is_refused_as_not_run(callers, routes):
     for change in ({"best_effort": False}, {"repeat_count": 2}):
-        reply = callers.read_call(call("POST", f"/p/{ID}", {**JOB, **change}), routes)
+        reply = callers.decode_call(call("POST", f"/p/{ID}", {**JOB, **change}), routes)
         assert reply.status == 503
         assert json.loads(reply.body)["not_run"] is True
 
@@ -137,12 +137,12 @@
     ],
 )
 def test_each_end_has_its_status(callers, outcome, status):
-    reply = callers.reply_outcome(outcome)
+    reply = callers.encode_outcome(outcome)
     assert reply.status == status
     assert reply.retry_after_s == (2 if outcome.retry_after_s else 0)
 
 
 @pytest.mark.parametrize("text", [b"", b"[]", b'{"version":"x"}', b'{"routes":[]}'])
 def test_an_unreadable_configuration_is_an_error(callers, text):
-    with pytest.raises(UnreadableConfiguration):
-        callers.read_configuration(text)
+    with pytest.raises(ConfigurationDecodeError):
+        callers.decode_configuration(text)
--- a/jackdawspur/platform/tests/test_entries.py
+++ b/jackdawspur/platform/tests/test_entries.py
@@ -10,7 +10,7 @@
 from jackdawspur.platform import PlatformStore
 from jackdawspur.platform._entries import UnreadableEntry, read_host, read_upstream
 
-SOUND = {
+VALID_UPSTREAM_ENTRY = {
     "service": "roster",
     "address": "10.1.0.4:80",
     "zone": "z1",
@@ -22,7 +22,7 @@
     "capacity": {"cpu": 32000, "mem_mb": 65536, "gpus": 0},
     "labels": ["a", "r1"],
 }
-HOST = {
+VALID_HOST_ENTRY = {
     "name": "h1",
     "zone": "z1",
     "link": "10.1.0.4:81",
@@ -33,7 +33,7 @@
 BYTES = (b"", b"\xff\xfe", b"null", b"3", b'"text"', b"[]", b"{", NESTED)
 
 
-def changed(document: dict, **values) -> bytes:
+def with_changes(document: dict, **values) -> bytes:
     return json.dumps({**document, **values}).encode()
 
 
@@ -46,15 +46,17 @@
 def store(seen: list) -> PlatformStore:
     one = PlatformStore("127.0.0.1:1", Component(), SimpleNamespace(now=1.0))
     one._listener = SimpleNamespace(
-        upstreams_read=seen.append, hosts_read=lambda hosts: None
+        on_upstreams=seen.append, on_hosts=lambda hosts: None
     )
     return one
 
 
 def test_a_sound_entry_names_its_upstream():
-    entry = read_upstream("i-1", changed(SOUND))
+    entry = read_upstream("i-1", with_changes(VALID_UPSTREAM_ENTRY))
     assert (entry.id.name, entry.service, entry.draining) == ("i-1", "roster", False)
-    assert read_upstream("i-1", changed(SOUND, state="draining")).draining
+    assert read_upstream(
+        "i-1", with_changes(VALID_UPSTREAM_ENTRY, state="draining")
+    ).draining
 
 
 @pytest.mark.parametrize("data", BYTES)
@@ -93,14 +95,16 @@
 )
 def test_a_wrong_field_names_no_upstream_and_is_named(field: str, value):
     with pytest.raises(UnreadableEntry, match=field.replace("zone", "zone|empty")):
-        read_upstream("i-1", changed(SOUND, **{field: value}))
+        read_upstream("i-1", with_changes(VALID_UPSTREAM_ENTRY, **{field: value}))
 
 
 @pytest.mark.parametrize("field", ["service", "address", "zone"])
 def test_a_missing_field_names_no_upstream(field: str):
-    rest = {name: value for name, value in SOUND.items() if name != field}
+    rest = {
+        name: value for name, value in VALID_UPSTREAM_ENTRY.items() if name != field
+    }
     with pytest.raises(UnreadableEntry, match=field):
-        read_upstream("i-1", changed(rest))
+        read_upstream("i-1", with_changes(rest))
 
 
 @pytest.mark.parametrize(
@@ -117,19 +121,23 @@
 )
 def test_a_wrong_host_entry_names_no_host(field: str, value):
     with pytest.raises(UnreadableEntry):
-        read_host(changed(HOST, **{field: value}))
+        read_host(with_changes(VALID_HOST_ENTRY, **{field: value}))
 
 
 def test_an_entry_that_became_unreadable_is_used_no_more(store, seen, caplog):
     # Jobs go to an address that is not an upstream's any more: another writer had
     # overwritten its entry, and what it said before was kept.
     names = ("i-1", "i-2")
-    store._servers_wrote({name: changed(SOUND) for name in names}, True)
+    store._servers_wrote(
+        {name: with_changes(VALID_UPSTREAM_ENTRY) for name in names}, True
+    )
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
-            store._servers_wrote({"i-1": changed(SOUND, state="?")}, False)
+            store._servers_wrote(
+                {"i-1": with_changes(VALID_UPSTREAM_ENTRY, state="?")}, False
+            )
     assert [entry.id.name for entry in seen[-1]] == ["i-2"]
     (line,) = caplog.records
     assert "state" in line.reason
-    store._servers_wrote({"i-1": changed(SOUND)}, False)
+    store._servers_wrote({"i-1": with_changes(VALID_UPSTREAM_ENTRY)}, False)
     assert {entry.id.name for entry in seen[-1]} == set(names)
--- a/jackdawspur/platform/tests/test_evacuated.py
+++ b/jackdawspur/platform/tests/test_evacuated.py
@@ -18,9 +18,9 @@
 
 @pytest.fixture
 def store(heard) -> PlatformStore:
-    timers = SimpleNamespace(now=0.0, call_after=lambda seconds, action: None)
+    timers = SimpleNamespace(now=0.0, call_later=lambda seconds, action: None)
     one = PlatformStore("127.0.0.1:1", Component(), timers)
-    one._listener = SimpleNamespace(evacuated_read=heard.append)
+    one._listener = SimpleNamespace(on_evacuated_zones=heard.append)
     return one
 
 
--- a/jackdawspur/platform/tests/test_reading.py
+++ b/jackdawspur/platform/tests/test_reading.py
@@ -7,7 +7,7 @@
 import pytest
 from result import Ok
 
-from jackdawspur.adapters import HttpReply
+from jackdawspur.adapters import ClientResponse
 from jackdawspur.platform._topics import KeyedTopic
 
 FIRST_PAGE = msgspec.json.encode({"items": [], "more": False, "end": 0})
@@ -23,7 +23,7 @@
     def request(self, method: str, path: str, body: bytes, limit_s: float, done):
         self.paths.append(path)
         page = FIRST_PAGE if path.startswith("/log-newest") else NOTHING_NEW
-        done(Ok(HttpReply(200, page)))
+        done(Ok(ClientResponse(200, page)))
 
 
 class Timers:
@@ -33,7 +33,7 @@
         self.now = 0.0
         self._later: list[tuple[float, Callable[[], None]]] = []
 
-    def call_after(self, seconds: float, action: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, action: Callable[[], None]) -> None:
         self._later.append((self.now + seconds, action))
 
     def pass_s(self, seconds: float) -> None:
--- a/jackdawspur/platform/tests/test_settings.py
+++ b/jackdawspur/platform/tests/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jackdawspur.platform import read_platform_settings
+from jackdawspur.platform import load_platform_settings
 from jackdawspur.settings import SettingsError
 
 GOOD = """node_name=front-a-1
@@ -24,7 +24,7 @@
 
 
 def test_all_fields_are_read_and_unknown_ones_ignored(tmp_path):
-    settings = read_platform_settings(written(tmp_path, GOOD))
+    settings = load_platform_settings(written(tmp_path, GOOD))
     assert settings.name == "front-a-1"
     assert settings.link == "127.0.0.1:7720"
     assert settings.grace_s == 6.0
@@ -33,7 +33,7 @@
 
 def test_limits_of_the_host_are_read(tmp_path):
     limits = "limits.cpu_share=0.5\nlimits.cores=3\nlimits.link_mbps=12.5\n"
-    settings = read_platform_settings(written(tmp_path, GOOD + limits))
+    settings = load_platform_settings(written(tmp_path, GOOD + limits))
     assert (settings.processor, settings.link_mbps) == (1.5, 12.5)
 
 
@@ -51,19 +51,19 @@
 def test_a_wrong_value_is_named_by_the_platforms_field(tmp_path, old, new, field):
     path = written(tmp_path, GOOD.replace(old, new))
     with pytest.raises(SettingsError, match=field):
-        read_platform_settings(path)
+        load_platform_settings(path)
 
 
 def test_all_wrong_values_are_named_at_once(tmp_path):
     wrong = GOOD.replace("zone=z-a\n", "").replace("grace_s=6", "grace_s=soon")
     with pytest.raises(SettingsError, match="zone.*bounds.grace_s"):
-        read_platform_settings(written(tmp_path, wrong))
+        load_platform_settings(written(tmp_path, wrong))
 
 
 def test_a_file_that_is_missing_or_no_text_is_an_error(tmp_path):
     with pytest.raises(SettingsError):
-        read_platform_settings(str(tmp_path / "none"))
+        load_platform_settings(str(tmp_path / "none"))
     path = tmp_path / "bytes"
     path.write_bytes(b"\xff\xfe\x00")
     with pytest.raises(SettingsError):
-        read_platform_settings(str(path))
+        load_platform_settings(str(path))
--- a/jackdawspur/platform/tests/test_store.py
+++ b/jackdawspur/platform/tests/test_store.py
@@ -6,7 +6,7 @@
 from circuits import Component
 from result import Err, Ok
 
-from jackdawspur.adapters import HttpReply
+from jackdawspur.adapters import ClientResponse
 from jackdawspur.external import Unavailable
 from jackdawspur.group import HostAddress
 from jackdawspur.platform import PlatformStore
@@ -21,7 +21,7 @@
         self.now = 0.0
         self.later: list[float] = []
 
-    def call_after(self, seconds: float, action) -> None:
+    def call_later(self, seconds: float, action) -> None:
         self.later.append(seconds)
 
 
@@ -34,7 +34,7 @@
 
     def request(self, method: str, path: str, body: bytes, limit_s: float, done):
         self.appends += path.startswith("/log-append")
-        done(Err(Unavailable("away")) if self.away else Ok(HttpReply(200, b"{}")))
+        done(Err(Unavailable("away")) if self.away else Ok(ClientResponse(200, b"{}")))
 
 
 @pytest.fixture
@@ -46,7 +46,9 @@
 def port(store: Store) -> PlatformStore:
     one = PlatformStore("127.0.0.1:1", Component(), Timers())
     one._client = store
-    one._listener = SimpleNamespace(store_changed=lambda reachable, reason: None)
+    one._listener = SimpleNamespace(
+        on_store_reachability=lambda reachable, reason: None
+    )
     return one
 
 
--- a/jackdawspur/platform/tests/test_upstreams.py
+++ b/jackdawspur/platform/tests/test_upstreams.py
@@ -3,14 +3,14 @@
 import pytest
 from result import Ok
 
-from jackdawspur.adapters import HttpReply
-from jackdawspur.leases import CallOutcome, LookReport
+from jackdawspur.adapters import ClientResponse
+from jackdawspur.leases import CallOutcome, PollReport
 from jackdawspur.model import UpstreamId
 from jackdawspur.platform import _upstreams
-from jackdawspur.platform._upstreams import PlatformUpstreams
-from jackdawspur.runs import LookAt
+from jackdawspur.platform._upstreams import PlatformUpstreamClient
+from jackdawspur.runs import PollUpstream
 
-LOOK = LookAt(UpstreamId("z1", "u1"), "127.0.0.1:1", 1, 7, 0, None, 0, 0, 0.1)
+LOOK = PollUpstream(UpstreamId("z1", "u1"), "127.0.0.1:1", 1, 7, 0, None, 0, 0, 0.1)
 
 
 class AnsweringClient:
@@ -25,7 +25,7 @@
         return self
 
     def request(self, _method, _path, _body, _limit_s, done, _headers) -> None:
-        done(Ok(HttpReply(200, self.body)))
+        done(Ok(ClientResponse(200, self.body)))
 
 
 @pytest.fixture
@@ -33,21 +33,21 @@
     """Return what a look at an upstream that answers a body tells."""
     monkeypatch.setattr(_upstreams, "HttpClient", AnsweringClient)
 
-    def ask(body: bytes) -> LookReport | CallOutcome:
+    def ask(body: bytes) -> PollReport | CallOutcome:
         monkeypatch.setattr(AnsweringClient, "body", body)
         told = []
-        PlatformUpstreams(None, None).look(LOOK, told.append)
+        PlatformUpstreamClient(None, None).poll_runs(LOOK, told.append)
         return told[0]
 
     return ask
 
 
 def test_a_report_names_the_boot_that_sent_it(look):
-    assert look(b'{"clock_ms":5,"born":1764748800000}').boot == 1764748800000
+    assert look(b'{"clock_ms":5,"born":1764748800000}').incarnation == 1764748800000
 
 
 def test_a_report_may_name_no_boot(look):
-    assert look(b'{"clock_ms":5}') == LookReport(5, (), ())
+    assert look(b'{"clock_ms":5}') == PollReport(5, (), ())
 
 
 @pytest.mark.parametrize("born", [b'"now"', b"1.5", b"null"])
--- a/jackdawspur/runs/__init__.py
+++ b/jackdawspur/runs/__init__.py
@@ -4,20 +4,24 @@
 from jackdawspur.runs._effects import (
     AnswerJob,
     Decision,
+    DecisionRecord,
     DropCause,
     Effect,
-    JobBegun,
+    InitialTasksStarted,
     JobLost,
-    LookAt,
     LossCause,
-    Note,
-    PassJobOn,
+    PollUpstream,
+    RedirectJob,
     StartRun,
     StopRun,
 )
 from jackdawspur.runs._job import Job, Task, TaskState
-from jackdawspur.runs._learned import Learned, LearnedRoute
-from jackdawspur.runs._offered_capacity import Place, SpareRoom, deal
+from jackdawspur.runs._learned import LearnedRoute, LearnedStats
+from jackdawspur.runs._offered_capacity import (
+    RemoteLeader,
+    SpareCapacity,
+    split_round_robin,
+)
 from jackdawspur.runs._placer import Placer
 from jackdawspur.runs._types import (
     JobEnd,
@@ -27,38 +31,38 @@
     Offer,
     Progress,
     Route,
-    TaskTrouble,
+    TaskFailureCounts,
 )
 
 __all__ = [
     "AnswerJob",
     "Decision",
+    "DecisionRecord",
     "Dispatcher",
     "DropCause",
     "Effect",
+    "InitialTasksStarted",
     "Job",
-    "JobBegun",
     "JobEnd",
     "JobLost",
     "JobOutcome",
     "JobRequest",
     "JobStep",
-    "Learned",
     "LearnedRoute",
-    "LookAt",
+    "LearnedStats",
     "LossCause",
-    "Note",
     "Offer",
-    "PassJobOn",
-    "Place",
     "Placer",
+    "PollUpstream",
     "Progress",
+    "RedirectJob",
+    "RemoteLeader",
     "Route",
-    "SpareRoom",
+    "SpareCapacity",
     "StartRun",
     "StopRun",
     "Task",
+    "TaskFailureCounts",
     "TaskState",
-    "TaskTrouble",
-    "deal",
+    "split_round_robin",
 ]
--- a/jackdawspur/runs/_admission.py
+++ b/jackdawspur/runs/_admission.py
@@ -10,7 +10,7 @@
 from jackdawspur.runs._job import Job, Task, TaskState
 from jackdawspur.runs._order import latest_start, objective
 
-__all__ = ["Admission", "Beyond", "retry_after_s"]
+__all__ = ["Admission", "UnservableJob", "retry_after_s"]
 
 MS_PER_S = 1000.0
 # Callers are told whole seconds.
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beyond:
+class UnservableJob:
     """Name a job that would come too late, and how long the work ahead of it takes."""
 
     job: Job
@@ -52,7 +52,7 @@
 
     def review(
         self, jobs: Iterable[Job], capacities: Mapping[UpstreamId, int], now: float
-    ) -> list[Beyond]:
+    ) -> list[UnservableJob]:
         """Mark the jobs that are deferred, and return those that come too late.
 
         `capacities` are those of the upstreams, in thousandths of a core.
@@ -105,14 +105,14 @@
                 rest.append(out)
         return rest
 
-    def _beyond_use(self, rest: list[Job], now: float) -> list[Beyond]:
+    def _beyond_use(self, rest: list[Job], now: float) -> list[UnservableJob]:
         """Return the jobs that would end too late after all the others."""
-        beyond: list[Beyond] = []
+        beyond: list[UnservableJob] = []
         for job in sorted(rest, key=latest_start):
             size = _size(job)
             starts_s = self._starts_s(job, size)
             if now + starts_s > latest_start(job):
-                beyond.append(Beyond(job, starts_s))
+                beyond.append(UnservableJob(job, starts_s))
             else:
                 self._ahead += size
         return beyond
--- a/jackdawspur/runs/_answers.py
+++ b/jackdawspur/runs/_answers.py
@@ -19,7 +19,7 @@
 
 def offer_key(offer: Offer | AnswerJob) -> tuple[str, int, int]:
     """Return what tells one offer of a job from another."""
-    return (offer.host, offer.call, offer.handed)
+    return (offer.host, offer.call, offer.handovers)
 
 
 class Answers:
--- a/jackdawspur/runs/_begun.py
+++ b/jackdawspur/runs/_begun.py
@@ -3,13 +3,13 @@
 from jackdawspur.runs._remembered import Remembered
 from jackdawspur.runs._types import Offer
 
-__all__ = ["BegunJobs"]
+__all__ = ["StartedJobs"]
 
 # A caller that had no answer sends its job again within this time.
 ASKS_AGAIN_S = 10.0
 
 
-class BegunJobs:
+class StartedJobs:
     """Know jobs that began while a caller may still wait for them or send them again.
 
     What began is never refused as not run, also after a change of the leading host.
--- a/jackdawspur/runs/_crashes.py
+++ b/jackdawspur/runs/_crashes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs._types import TaskTrouble
+from jackdawspur.runs._types import TaskFailureCounts
 
 __all__ = ["MOST_CRASHES", "Crashes"]
 
@@ -81,7 +81,7 @@
         self.lost(upstream, tasks, now)
         self._open.pop(upstream).crashed = True
 
-    def told(self, troubles: Iterable[TaskTrouble]) -> None:
+    def told(self, troubles: Iterable[TaskFailureCounts]) -> None:
         """Take in how many crashes are blamed on tasks, those counted here included."""
         for one in troubles:
             others = one.crashes - self._counted(one.task)
--- a/jackdawspur/runs/_dispatcher.py
+++ b/jackdawspur/runs/_dispatcher.py
@@ -5,34 +5,34 @@
 from jackdawspur.leases import (
     CallOutcome,
     EndedRun,
-    Ending,
     Fence,
-    LookReport,
+    PollReport,
     RunId,
+    RunResult,
     UpstreamEntry,
 )
 from jackdawspur.model import HostId, UpstreamId
 from jackdawspur.runs._admission import Admission, retry_after_s
 from jackdawspur.runs._answers import Answers
-from jackdawspur.runs._begun import BegunJobs
+from jackdawspur.runs._begun import StartedJobs
 from jackdawspur.runs._effects import (
     AnswerJob,
     Decision,
     DropCause,
     Effect,
-    LookAt,
+    PollUpstream,
     StartRun,
     StopRun,
 )
 from jackdawspur.runs._estimates import Estimates
-from jackdawspur.runs._fleet import Fleet
+from jackdawspur.runs._fleet import UpstreamPool
 from jackdawspur.runs._job import Job, Task, TaskState
 from jackdawspur.runs._looks import Looks
-from jackdawspur.runs._notes import Notes
-from jackdawspur.runs._offered_capacity import Place, SpareRoom, may_go
+from jackdawspur.runs._notes import DecisionLog
+from jackdawspur.runs._offered_capacity import RemoteLeader, SpareCapacity, may_go
 from jackdawspur.runs._open_jobs import OpenJobs
 from jackdawspur.runs._order import Standing, latest_start, standing
-from jackdawspur.runs._passing_on import PassingOn
+from jackdawspur.runs._passing_on import JobRedirector
 from jackdawspur.runs._placer import Placer
 from jackdawspur.runs._progress import Verdict
 from jackdawspur.runs._remembered import Remembered
@@ -57,27 +57,27 @@
     def __init__(self, own: HostId, now: float) -> None:
         self._zone = own.zone
         self._effects: list[Effect] = []
-        self._notes = Notes(self._effects)
+        self._notes = DecisionLog(self._effects)
         self._estimates = Estimates(own)
         self._replies = Replies()
-        self._fleet = Fleet(self, self._effects, self._notes, self._replies)
+        self._fleet = UpstreamPool(self, self._effects, self._notes, self._replies)
         self._starts = Starts(self._fleet, self._replies)
         self._looks = Looks(self._fleet, self._replies)
         self._review_of = Review(self._fleet, self._estimates, self._notes)
         self._jobs = OpenJobs()
         self._found_done = Remembered()
-        self._begun = BegunJobs()
-        self._passing_on = PassingOn(self._jobs, self._fleet, self._effects)
+        self._begun = StartedJobs()
+        self._redirector = JobRedirector(self._jobs, self._fleet, self._effects)
         self._placer = Placer(
-            self._fleet, self._starts, self._estimates, self._begun, self._passing_on
+            self._fleet, self._starts, self._estimates, self._begun, self._redirector
         )
-        self._admission = Admission(self._estimates.pace)
+        self._admission = Admission(self._estimates.slowdown)
         self._answers = Answers()
         self._now = now
-        self.leads = False
+        self.is_leader = False
 
     @property
-    def fleet(self) -> Fleet:
+    def upstream_pool(self) -> UpstreamPool:
         """Return the upstreams held."""
         return self._fleet
 
@@ -91,39 +91,39 @@
         """Return the jobs not yet ended."""
         return self._jobs
 
-    def spare_room(self, now: float) -> dict[str, SpareRoom]:
+    def spare_capacity(self, now: float) -> dict[str, SpareCapacity]:
         """Return what is left of the upstreams, by service, unless a job wants it."""
         waiting = (job for job in self._jobs.values() if job.has_waiting)
         if not all(map(self._placer.waits_by_choice, waiting)):
             return {}
-        return self._placer.spare_room(now)
+        return self._placer.spare_capacity(now)
 
-    def wants_room(self, now: float) -> bool:
+    def needs_capacity(self, now: float) -> bool:
         """Tell whether a job found no room here just now."""
-        return self._placer.wants_room(now)
+        return self._placer.needs_capacity(now)
 
-    def room_offered(
-        self, place: Place, room: dict[str, SpareRoom], now: float
+    def update_offered_capacity(
+        self, place: RemoteLeader, room: dict[str, SpareCapacity], now: float
     ) -> None:
         """Take in the room that another group offers."""
-        self._passing_on.elsewhere.offered(place, room, now)
+        self._redirector.elsewhere.offered(place, room, now)
 
-    def lead(self, fence: Fence, now: float) -> None:
+    def start_leading(self, fence: Fence, now: float) -> None:
         """Begin to lead: nothing starts on an upstream before a look at it."""
         self._jobs.clear()
         self._answers.clear()
-        self.leads = True
-        self._estimates.lead(now)
+        self.is_leader = True
+        self._estimates.start_leading(now)
         self._fleet.hold_all(fence, now)
-        self._estimates.forget_running(held.entry.id for held in self._fleet.held)
+        self._estimates.forget_running(held.entry.id for held in self._fleet.upstreams)
 
-    def resign(self, now: float) -> None:
+    def stop_leading(self, now: float) -> None:
         """Give up all jobs and upstreams; the host that leads next takes them over."""
         self._jobs.clear()
         self._answers.clear()
-        self.leads = False
+        self.is_leader = False
         self._fleet.release_all(now)
-        self._estimates.resign(now)
+        self._estimates.stop_leading(now)
 
     def set_upstreams(
         self,
@@ -141,7 +141,7 @@
         self._fleet.set_entries(kept, kept if listed is None else tuple(listed), now)
         self._estimates.set_upstreams(kept)
 
-    def compare_lists(
+    def update_peer_lists(
         self, longest: int, all_read_at: float, behind: bool = False
     ) -> None:
         """Take in the longest list of other hosts, and when they had all read one.
@@ -194,9 +194,9 @@
         for job in self._jobs.of_host(host):
             self._drop(job, cause, now)
 
-    def drop_unrepeated(self, outsiders: set[str], now: float) -> None:
+    def drop_unrefreshed(self, outsiders: set[str], now: float) -> None:
         """Stop jobs of hosts of other groups that offer them no more."""
-        for job in self._jobs.unrepeated(outsiders, now):
+        for job in self._jobs.unrefreshed(outsiders, now):
             self._drop(job, DropCause.NOT_REPEATED, now)
 
     def _drop(self, job: Job, cause: DropCause, now: float) -> None:
@@ -212,8 +212,8 @@
         """Take in what became of a stop."""
         self._fleet.stop_replied(order, outcome, now)
 
-    def look_replied(
-        self, order: LookAt, result: LookReport | CallOutcome, now: float
+    def poll_replied(
+        self, order: PollUpstream, result: PollReport | CallOutcome, now: float
     ) -> None:
         """Take in the reply to a look, or why there is none."""
         self._looks.replied(order, result, now)
@@ -221,7 +221,7 @@
     def flush(self, now: float) -> list[Effect]:
         """Give room to waiting tasks and return all that is to be done."""
         self._now = now
-        if self.leads:
+        if self.is_leader:
             all_read = self._replies.all_read(now)
             if all_read:
                 self._starts.settle_overdue(now)
@@ -236,17 +236,17 @@
     @property
     def overdue_at(self) -> float | None:
         """Return when to flush at the latest, for a reply that is overdue then."""
-        return self._starts.overdue_at if self.leads else None
+        return self._starts.overdue_at if self.is_leader else None
 
     def tick(self, now: float) -> None:
         """Give up what can't be answered in time, and upstreams that are silent."""
-        if not self.leads:
+        if not self.is_leader:
             return
         # A job that came since the last pass is judged by what it finds, not before.
         self._placer.place_if_due(self._jobs.values(), now)
         for job in list(self._jobs.values()):
             self._end_if_hopeless(job, now)
-        self._refuse_beyond_use(now)
+        self._refuse_unservable(now)
         for job in self._jobs.take_reported():
             if self._review_of.job(job, now) is Verdict.GIVE_UP:
                 self._give_up(job, Decision.JOB_HOPELESS, now)
@@ -269,15 +269,15 @@
         """Take in the end of a run that took room on an upstream."""
         job = self.job_of(ended.run.task)
         task = job.by_name.get(ended.run.task) if job else None
-        self._estimates.ended(job, task, upstream, ended.ending, since, now)
+        self._estimates.ended(job, task, upstream, ended.result, since, now)
         if task is None or not task.runs_as(ended.run, upstream):
             return
-        if ended.ending is Ending.DONE:
+        if ended.result is RunResult.DONE:
             job.end_task(task)
             if job.complete:
                 self._complete(job)
         else:
-            self._run_again(job, task, ended.ending, now)
+            self._run_again(job, task, ended.result, now)
 
     def found_done(self, task_name: str, now: float) -> None:
         """Keep that a task is done which an earlier leading host had started.
@@ -314,7 +314,7 @@
         job = self.job_of(run.task)
         task = job.by_name.get(run.task) if job else None
         if task is not None and task.runs_as(run, upstream):
-            job.put_back(task)
+            job.requeue(task)
 
     def start_invalid(self, task_name: str, now: float) -> None:
         """Fail the job of a task that no upstream takes."""
@@ -322,9 +322,9 @@
         if job is not None:
             self._fail(job, "task refused", now)
 
-    def _run_again(self, job: Job, task: Task, ending: Ending, now: float) -> None:
-        job.put_back(task)
-        if ending is not Ending.FAILED:
+    def _run_again(self, job: Job, task: Task, ending: RunResult, now: float) -> None:
+        job.requeue(task)
+        if ending is not RunResult.FAILED:
             return
         task.failures += 1
         if task.failures >= job.request.route.max_attempts:
@@ -342,7 +342,7 @@
 
     def _answer(self, job: Job, outcome: JobOutcome) -> None:
         offer = job.offer
-        answer = AnswerJob(offer.host, offer.call, offer.handed, job.id, outcome)
+        answer = AnswerJob(offer.host, offer.call, offer.handovers, job.id, outcome)
         self._effects.append(answer)
         self._answers.add(answer, self._now)
 
@@ -378,12 +378,12 @@
         self._answer(job, outcome)
         self._end(job, now)
 
-    def _refuse_beyond_use(self, now: float) -> None:
+    def _refuse_unservable(self, now: float) -> None:
         """Refuse what the work ahead of it makes too late, or pass it on at once."""
         jobs, capacities = self._jobs.values(), self._fleet.capacities
         for beyond in self._admission.review(jobs, capacities, now):
             goes = may_go(beyond.job, now, longest_s=0.0)
-            if not (goes and self._passing_on.send(beyond.job, now)):
+            if not (goes and self._redirector.send(beyond.job, now)):
                 self._refuse(beyond.job, now, beyond.ahead_s)
 
     def _refuse(self, job: Job, now: float, ahead_s: float = 0.0) -> None:
--- a/jackdawspur/runs/_effects.py
+++ b/jackdawspur/runs/_effects.py
@@ -5,20 +5,20 @@
 
 from jackdawspur.leases import Fence, RunId
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs._offered_capacity import Place
+from jackdawspur.runs._offered_capacity import RemoteLeader
 from jackdawspur.runs._types import JobOutcome
 
 __all__ = [
     "AnswerJob",
     "Decision",
+    "DecisionRecord",
     "DropCause",
     "Effect",
-    "JobBegun",
+    "InitialTasksStarted",
     "JobLost",
-    "LookAt",
     "LossCause",
-    "Note",
-    "PassJobOn",
+    "PollUpstream",
+    "RedirectJob",
     "StartRun",
     "StopRun",
 ]
@@ -26,20 +26,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Start a run; `until_ms` is the lease's end on the upstream's clock.
+    """Start a run; `lease_until_ms` is the lease's end on the upstream's clock.
 
-    `holding` names, here and below, the time for which the upstream is held; a call
-    ends after `limit_s` without a reply.
+    `lease_id` names, here and below, the time for which the upstream is held; a call
+    ends after `timeout_s` without a reply.
     """
 
     upstream: UpstreamId
     address: str
     run: RunId
     spec: str
-    until_ms: int
+    lease_until_ms: int
     fence: Fence
-    holding: int
-    limit_s: float
+    lease_id: int
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,13 +50,13 @@
     address: str
     run: RunId
     fence: Fence
-    holding: int
-    limit_s: float
+    lease_id: int
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class LookAt:
-    """Ask for all runs, and prolong the lease unless `until_ms` is None.
+class PollUpstream:
+    """Ask for all runs, and prolong the lease unless `lease_until_ms` is None.
 
     `number` orders the looks at an upstream; ends up to `last_seen` are taken note of.
     """
@@ -66,25 +66,25 @@
     number: int
     fence: Fence
     last_seen: int
-    until_ms: int | None
+    lease_until_ms: int | None
     wait_ms: int
-    holding: int
-    limit_s: float
+    lease_id: int
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerJob:
-    """Tell a job's host how it ended; `handed` tells which offer is answered."""
+    """Tell a job's host how it ended; `handovers` tells which offer is answered."""
 
     host: str
     call: int
-    handed: int
+    handovers: int
     job: str
     outcome: JobOutcome
 
 
 @dataclass(frozen=True, slots=True)
-class PassJobOn:
+class RedirectJob:
     """Tell a job's host to offer it to the leading host of another group.
 
     `attempt` names the offer that is replied to.
@@ -94,7 +94,7 @@
     call: int
     attempt: int
     job: str
-    place: Place
+    remote_leader: RemoteLeader
 
 
 class Decision(Enum):
@@ -150,7 +150,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class DecisionRecord:
     """Explain one decision; `inputs` are what decided it."""
 
     decision: Decision
@@ -160,7 +160,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobBegun:
+class InitialTasksStarted:
     """Tell that all tasks of a job have started that wait for no other step."""
 
     job: str
@@ -187,4 +187,13 @@
     told_ms: int | None = None
 
 
-Effect = StartRun | StopRun | LookAt | AnswerJob | PassJobOn | Note | JobBegun | JobLost
+Effect = (
+    StartRun
+    | StopRun
+    | PollUpstream
+    | AnswerJob
+    | RedirectJob
+    | DecisionRecord
+    | InitialTasksStarted
+    | JobLost
+)
--- a/jackdawspur/runs/_estimates.py
+++ b/jackdawspur/runs/_estimates.py
@@ -4,22 +4,22 @@
 from itertools import islice
 
 from jackdawspur.health import UpstreamHealth
-from jackdawspur.leases import Ending, UpstreamEntry
+from jackdawspur.leases import RunResult, UpstreamEntry
 from jackdawspur.model import HostId, SubmissionId, UpstreamId
 from jackdawspur.runs._hearsay import Hearsay, weight
 from jackdawspur.runs._job import Job, Task, run_time_spec
 from jackdawspur.runs._learned import (
     MOST_PACE_TASKS,
     MOST_ROUTE_TASKS,
-    Learned,
     LearnedPace,
+    LearnedStats,
     boot_key,
     pack_route,
 )
 from jackdawspur.runs._paces import Paces
 from jackdawspur.runs._telling import Telling
 from jackdawspur.runs._types import JobStep, Route
-from jackdawspur.scheduling import RunTimes
+from jackdawspur.scheduling import RunTimeEstimator
 
 __all__ = ["Estimates"]
 
@@ -33,7 +33,7 @@
 
     def __init__(self, own: HostId) -> None:
         self._own = own
-        self._run_times = RunTimes()
+        self._run_times = RunTimeEstimator()
         self._health = UpstreamHealth(own)
         self._paces = Paces()
         self._keys: dict[UpstreamId, int] = {}
@@ -61,7 +61,7 @@
         self._health = UpstreamHealth(self._own)
         self._health.set_upstreams(upstreams)
 
-    def lead(self, now: float) -> None:
+    def start_leading(self, now: float) -> None:
         """Begin with what the leading hosts before have told of routes."""
         if self._leads_since is not None:
             return
@@ -70,11 +70,11 @@
         self._own_weight = weight(now - led_until)
         self._leads_since = now
         for (service, route), moments, tasks in self._hearsay.routes(now):
-            own = min(MOST_ROUTE_TASKS, self._run_times.count(service, route))
+            own = min(MOST_ROUTE_TASKS, self._run_times.sample_count(service, route))
             if round(tasks) and tasks > own * self._own_weight:
-                self._run_times.believe(service, route, moments, round(tasks))
+                self._run_times.seed_history(service, route, moments, round(tasks))
 
-    def resign(self, now: float) -> None:
+    def stop_leading(self, now: float) -> None:
         """Hear from now on what the next leading host learns."""
         self._hearsay.clear()
         self._leads_since = None
@@ -92,14 +92,14 @@
         level, tasks = told
         own = min(MOST_PACE_TASKS, self._paces.seen(upstream))
         if round(tasks) and tasks > own * self._own_weight:
-            self._paces.believe(upstream, level, round(tasks))
+            self._paces.seed_history(upstream, level, round(tasks))
 
-    def take_in(self, learned: Learned, now: float) -> None:
+    def merge_update(self, learned: LearnedStats, now: float) -> None:
         """Keep what the leading host told, for when this one leads."""
         if self._leads_since is None:
             self._hearsay.take_in(learned, now)
 
-    def told(self, now: float) -> Learned | None:
+    def next_update(self, now: float) -> LearnedStats | None:
         """Return what to tell the hosts that follow, None for nothing new."""
         if self._leads_since is None:
             return None
@@ -125,7 +125,7 @@
 
     def lost(self, upstream: UpstreamId, now: float) -> None:
         """Note a run that ended with its upstream or was never there."""
-        self._health.cancelled(upstream)
+        self._health.record_inconclusive(upstream)
 
     def allows(self, upstream: UpstreamId, now: float) -> bool:
         """Tell whether one more task may be started there."""
@@ -133,7 +133,7 @@
             upstream, now
         )
 
-    def pace(self, upstream: UpstreamId) -> float:
+    def slowdown(self, upstream: UpstreamId) -> float:
         """Return the factor on the time that a task takes there."""
         return self._paces.of(upstream)
 
@@ -161,22 +161,26 @@
         job: Job | None,
         task: Task | None,
         upstream: UpstreamId,
-        ending: Ending,
+        ending: RunResult,
         since: float | None,
         now: float,
     ) -> None:
         """Learn from an end; `since` is None when it was heard of late."""
-        if job is None or task is None or ending not in (Ending.DONE, Ending.FAILED):
-            self._health.cancelled(upstream)
+        if (
+            job is None
+            or task is None
+            or ending not in (RunResult.DONE, RunResult.FAILED)
+        ):
+            self._health.record_inconclusive(upstream)
             return
         route = job.request.route
-        if ending is Ending.FAILED:
+        if ending is RunResult.FAILED:
             submission = SubmissionId(self._own, hash(job.id) & 0xFFFFFFFF)
             self._health.failed(upstream, submission, route.name, now)
             return
         if task.adopted or since is None:
             # It began before this host found it, or ended some time ago.
-            self._health.cancelled(upstream)
+            self._health.record_inconclusive(upstream)
             return
         took_ms = (now - since) * MS_PER_S
         task.took_ms = took_ms
--- a/jackdawspur/runs/_fleet.py
+++ b/jackdawspur/runs/_fleet.py
@@ -7,22 +7,22 @@
 from jackdawspur.leases import (
     CallOutcome,
     Fence,
-    HeldUpstream,
-    Phase,
+    LeasedUpstream,
     Run,
+    RunPhase,
     UpstreamEntry,
 )
 from jackdawspur.model import UpstreamId
 from jackdawspur.runs._crashes import Crashes
-from jackdawspur.runs._effects import Decision, Effect, LookAt, StartRun, StopRun
+from jackdawspur.runs._effects import Decision, Effect, PollUpstream, StartRun, StopRun
 from jackdawspur.runs._job import Job, Task, TaskState
 from jackdawspur.runs._listing import Listing
-from jackdawspur.runs._notes import Notes
+from jackdawspur.runs._notes import DecisionLog
 from jackdawspur.runs._replies import Replies
 from jackdawspur.runs._run_owner import RunOwner
 from jackdawspur.runs._watch import Watch
 
-__all__ = ["Fleet"]
+__all__ = ["UpstreamPool"]
 
 # A new leading host waits this long for the jobs of the runs it finds: it tells the
 # others at once that it leads, and they offer their jobs again within a pass or two.
@@ -35,11 +35,15 @@
 DOUBT_EVERY_S = 0.05
 
 
-class Fleet:
+class UpstreamPool:
     """Hold upstreams, and keep where each task takes room."""
 
     def __init__(
-        self, owner: RunOwner, effects: list[Effect], notes: Notes, replies: Replies
+        self,
+        owner: RunOwner,
+        effects: list[Effect],
+        notes: DecisionLog,
+        replies: Replies,
     ) -> None:
         self.owner = owner
         self.effects = effects
@@ -49,9 +53,9 @@
         self.watch = Watch(replies)
         self.crashes = Crashes()
         self._entries: dict[UpstreamId, UpstreamEntry] = {}
-        self._held: dict[UpstreamId, HeldUpstream] = {}
+        self._held: dict[UpstreamId, LeasedUpstream] = {}
         self._holdings = itertools.count()
-        self._where: dict[str, list[HeldUpstream]] = {}
+        self._where: dict[str, list[LeasedUpstream]] = {}
         self._fence: Fence = 0
         self._leads = False
         # The last fences of upstreams that left the list, which may come back.
@@ -74,7 +78,7 @@
         return {
             held.entry.id: held.entry.capacity.cpu_millis
             for held in self._held.values()
-            if (held.held or held.answered) and not held.entry.draining
+            if (held.acquired or held.responsive) and not held.entry.draining
         }
 
     @property
@@ -93,7 +97,7 @@
         if not self.listing.complete(now):
             return False
         return all(
-            held.held and held.answered and self.watch.fresh(held, now)
+            held.acquired and held.responsive and self.watch.fresh(held, now)
             for held in self._held.values()
         )
 
@@ -115,7 +119,7 @@
         return min(times, default=None)
 
     @property
-    def held(self) -> Iterable[HeldUpstream]:
+    def upstreams(self) -> Iterable[LeasedUpstream]:
         """Return all upstreams, held or not yet."""
         return self._held.values()
 
@@ -158,8 +162,8 @@
 
     def _hold(self, entry: UpstreamEntry, now: float) -> None:
         fence = self._fences.pop(entry.id, self._fence)
-        held = HeldUpstream(entry, fence, next(self._holdings), now)
-        held.sure_look = 1
+        held = LeasedUpstream(entry, fence, next(self._holdings), now)
+        held.confirming_poll = 1
         self._held[entry.id] = held
 
     def doubt_all(self, now: float) -> None:
@@ -173,9 +177,11 @@
             return
         self._doubted_at = now
         for held in self._held.values():
-            held.doubt()
+            held.require_confirmation()
 
-    def asked_by(self, order: StartRun | StopRun | LookAt) -> HeldUpstream | None:
+    def asked_by(
+        self, order: StartRun | StopRun | PollUpstream
+    ) -> LeasedUpstream | None:
         """Return the upstream that an order went to, if it is still held for it.
 
         An upstream is held anew with each term, and when it left the list and came
@@ -184,7 +190,7 @@
         back that is in use, and their tasks would start once more elsewhere.
         """
         held = self._held.get(order.upstream)
-        return held if held and held.number == order.holding else None
+        return held if held and held.lease_id == order.lease_id else None
 
     def takes_room(self, task_name: str) -> bool:
         """Tell whether a run of the task may exist."""
@@ -195,46 +201,46 @@
         held = self._held.get(task.upstream)
         return held.runs.get(task.run_id) if held else None
 
-    def with_room(self, now: float) -> dict[str, list[HeldUpstream]]:
+    def with_room(self, now: float) -> dict[str, list[LeasedUpstream]]:
         """Return the upstreams that take tasks, by service."""
-        found: dict[str, list[HeldUpstream]] = {}
+        found: dict[str, list[LeasedUpstream]] = {}
         for held in self._held.values():
             if self._open(held, now):
                 found.setdefault(held.entry.service, []).append(held)
         return found
 
-    def _open(self, held: HeldUpstream, now: float) -> bool:
+    def _open(self, held: LeasedUpstream, now: float) -> bool:
         return (
-            held.held
-            and held.answered
+            held.acquired
+            and held.responsive
             and not self._in_doubt(held)
             and not held.entry.draining
             and held.entry.id in self._entries
-            and now >= held.refused_until
+            and now >= held.backoff_until
             and self.listing.known_to_all(held.entry.id, now)
             and held.free.cpu_millis >= SMALLEST_ROOM_MILLIS
         )
 
-    def _in_doubt(self, held: HeldUpstream) -> bool:
+    def _in_doubt(self, held: LeasedUpstream) -> bool:
         """Tell whether a start there would likely be lost.
 
         Where replies get lost all the time a single one says little of its upstream:
         were that closed until a look is answered, half the room would be.
         """
         if self.replies.lossy:
-            return held.missed > 1
-        return held.doubtful
+            return held.consecutive_misses > 1
+        return held.unconfirmed
 
     def stop(self, task_name: str, now: float) -> None:
         """Stop the run of a task; one whose start is still open is stopped after it."""
         for held, run in self._runs_of(task_name):
             run.claimed = False
-            if run.phase in (Phase.RUNNING, Phase.UNSURE):
+            if run.phase in (RunPhase.RUNNING, RunPhase.UNSURE):
                 self.send_stop(held, run, now)
 
-    def send_stop(self, held: HeldUpstream, run: Run, now: float) -> None:
-        if run.phase is Phase.RUNNING:
-            run.phase = Phase.STOPPING
+    def send_stop(self, held: LeasedUpstream, run: Run, now: float) -> None:
+        if run.phase is RunPhase.RUNNING:
+            run.phase = RunPhase.STOPPING
         run.since = now
         entry = held.entry
         self.effects.append(
@@ -243,7 +249,7 @@
                 entry.address,
                 run.id,
                 held.fence,
-                held.number,
+                held.lease_id,
                 self.replies.limit_s,
             )
         )
@@ -256,18 +262,18 @@
                     self.adopt(held, run, job, task, now)
 
     def adopt(
-        self, held: HeldUpstream, run: Run, job: Job, task: Task, now: float
+        self, held: LeasedUpstream, run: Run, job: Job, task: Task, now: float
     ) -> None:
-        held.size(run, task.spec.resources)
-        usable = run.phase is Phase.RUNNING and task.state is TaskState.WAITING
+        held.set_run_resources(run, task.spec.resources)
+        usable = run.phase is RunPhase.RUNNING and task.state is TaskState.WAITING
         if not usable:
-            if run.phase is Phase.RUNNING:
+            if run.phase is RunPhase.RUNNING:
                 self.send_stop(held, run, now)
             return
         run.claimed = True
         # The look that waits for an end there was sent before the run had a job, and
         # prolongs nothing; the lease of the earlier leading host is about to end.
-        held.sure_look = held.looks + 1
+        held.confirming_poll = held.polls_sent + 1
         task.adopted = True
         task.run = run.id.number
         job.place(task, held.entry.id, now)
@@ -279,37 +285,37 @@
         run = held.runs.get(order.run) if held else None
         if run is not None and outcome is CallOutcome.OK:
             run.stop_acked = True
-            run.sure_after = max(run.sure_after, held.looks + 1)
+            run.first_listing_poll = max(run.first_listing_poll, held.polls_sent + 1)
 
     def tick(self, now: float) -> None:
         """Repeat stops, stop runs of nobody and give up silent upstreams."""
         for held in list(self._held.values()):
             for run in list(held.runs.values()):
                 self._care_for(held, run, now)
-            if not held.answered and held.runs and self._all_lapsed(held, now):
+            if not held.responsive and held.runs and self._all_lapsed(held, now):
                 self._lapse(held, now)
             if held.entry.id not in self._entries and not held.runs:
                 self._forget(held)
 
-    def _care_for(self, held: HeldUpstream, run: Run, now: float) -> None:
+    def _care_for(self, held: LeasedUpstream, run: Run, now: float) -> None:
         waited = now - run.since
-        if run.phase is Phase.STOPPING and not run.stop_acked:
+        if run.phase is RunPhase.STOPPING and not run.stop_acked:
             if waited > self.replies.overdue_s:
                 self.send_stop(held, run, now)
-        elif run.phase is Phase.RUNNING and not run.claimed and waited > UNCLAIMED_S:
+        elif run.phase is RunPhase.RUNNING and not run.claimed and waited > UNCLAIMED_S:
             self.notes.add(Decision.RUN_STOPPED, run.id.task, str(held.entry.id))
             self.send_stop(held, run, now)
 
-    def _all_lapsed(self, held: HeldUpstream, now: float) -> bool:
+    def _all_lapsed(self, held: LeasedUpstream, now: float) -> bool:
         if held.fenced_since is not None:
             return now - held.fenced_since > FENCED_S
-        return held.lapsed(now)
+        return held.leases_expired(now)
 
-    def _lapse(self, held: HeldUpstream, now: float) -> None:
+    def _lapse(self, held: LeasedUpstream, now: float) -> None:
         """Give up the runs of a silent upstream; their leases have ended there."""
         held.raise_fence()
-        held.held = False
-        silent_ms = round((now - held.heard_at) * 1000)
+        held.acquired = False
+        silent_ms = round((now - held.last_reply_at) * 1000)
         self.crashes.lost(held.entry.id, held.tasks, now)
         for run in list(held.runs.values()):
             self.notes.add(
@@ -321,21 +327,21 @@
             )
             self.lose(held, run, now)
 
-    def restarted(self, held: HeldUpstream, boot: int, now: float) -> None:
+    def restarted(self, held: LeasedUpstream, boot: int, now: float) -> None:
         """Take in that an upstream started again under its name."""
         self.notes.add(
             Decision.UPSTREAM_RESTARTED,
             "",
             str(held.entry.id),
             boot=boot,
-            before=held.boot or 0,
+            before=held.incarnation or 0,
             runs=len(held.runs),
         )
-        held.restart(boot)
+        held.record_restart(boot)
         self._note_crash(held, now)
 
     def gone(
-        self, held: HeldUpstream, now: float, replaced_by: float = math.inf
+        self, held: LeasedUpstream, now: float, replaced_by: float = math.inf
     ) -> None:
         """Give up a boot of an upstream that another boot has replaced.
 
@@ -351,40 +357,40 @@
         self._forget(held)
 
     def _note_crash(
-        self, held: HeldUpstream, now: float, replaced_by: float = math.inf
+        self, held: LeasedUpstream, now: float, replaced_by: float = math.inf
     ) -> None:
         """Keep what ran under a boot that ended; the list may name it once more."""
         upstream = held.entry.id
-        known = held.boot is not None or self.crashes.may_have_crashed(upstream)
+        known = held.incarnation is not None or self.crashes.may_have_crashed(upstream)
         if known and not held.entry.draining:
             tasks = {
                 run.id.task
                 for run in held.runs.values()
-                if run.phase is not Phase.STARTING or run.since < replaced_by
+                if run.phase is not RunPhase.STARTING or run.since < replaced_by
             }
             self.crashes.crashed(upstream, tasks, now)
 
-    def _forget(self, held: HeldUpstream) -> None:
+    def _forget(self, held: LeasedUpstream) -> None:
         self._held.pop(held.entry.id, None)
         self._fences[held.entry.id] = held.fence
 
-    def lose(self, held: HeldUpstream, run: Run, now: float) -> None:
+    def lose(self, held: LeasedUpstream, run: Run, now: float) -> None:
         self.release(held, run)
         self.owner.run_lost(run.id, held.entry.id, now)
 
-    def add(self, held: HeldUpstream, run: Run) -> None:
-        held.add(run)
+    def add(self, held: LeasedUpstream, run: Run) -> None:
+        held.add_run(run)
         self._where.setdefault(run.id.task, []).append(held)
 
-    def release(self, held: HeldUpstream, run: Run) -> None:
-        held.drop(run)
+    def release(self, held: LeasedUpstream, run: Run) -> None:
+        held.remove_run(run)
         self.gained = True
         places = self._where[run.id.task]
         places.remove(held)
         if not places:
             del self._where[run.id.task]
 
-    def _runs_of(self, task_name: str) -> list[tuple[HeldUpstream, Run]]:
+    def _runs_of(self, task_name: str) -> list[tuple[LeasedUpstream, Run]]:
         return [
             (held, run)
             for held in dict.fromkeys(self._where.get(task_name, ()))
--- a/jackdawspur/runs/_hearsay.py
+++ b/jackdawspur/runs/_hearsay.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from jackdawspur.runs._learned import (
-    Learned,
     LearnedPace,
+    LearnedStats,
     unpack_paces,
     unpack_route,
 )
@@ -41,7 +41,7 @@
         self._paces.clear()
         self._routes.clear()
 
-    def take_in(self, learned: Learned, now: float) -> None:
+    def take_in(self, learned: LearnedStats, now: float) -> None:
         """Keep what was told; what is no sane value tells nothing."""
         for pace in unpack_paces(learned.paces):
             _keep(self._paces, pace.key, _Told(pace, now))
--- a/jackdawspur/runs/_job.py
+++ b/jackdawspur/runs/_job.py
@@ -91,16 +91,16 @@
         self.offer = offer
         self.offered_at = now
         # When its host last offered it, and when that counts as repeated.
-        self.told_at = self.repeated_at = now
+        self.told_at = self.refreshed_at = now
         self.request = offer.request
         self.first_expected_ms = expected_ms
         self.expected_ms = list(expected_ms)
-        self.started = offer.handed > 0
+        self.started = offer.handovers > 0
         # Whether a run told its progress since the job was last reviewed.
         self.reported = False
         # Whether others go first, since not all can be on time.
         self.deferred = False
-        first_run = offer.handed * RUNS_A_HAND_OVER
+        first_run = offer.handovers * RUNS_A_HAND_OVER
         self.tasks = [
             Task(task_name(self.request.id, number, index), number, step, first_run)
             for number, step in enumerate(self.request.steps)
@@ -143,16 +143,16 @@
         and may have started it: kept as one of which nothing started, it could be
         refused as not run. One with fewer, from the same call, was overtaken.
         """
-        self.told_at = self.repeated_at = now
+        self.told_at = self.refreshed_at = now
         same_call = (offer.host, offer.call) == (self.offer.host, self.offer.call)
-        if same_call and offer.handed < self.offer.handed:
+        if same_call and offer.handovers < self.offer.handovers:
             return
-        if offer.handed != self.offer.handed:
+        if offer.handovers != self.offer.handovers:
             self.offered_at = now
-        if offer.handed:
+        if offer.handovers:
             self.started = True
             for task in self._waiting:
-                task.run = max(task.run, offer.handed * RUNS_A_HAND_OVER)
+                task.run = max(task.run, offer.handovers * RUNS_A_HAND_OVER)
         self.offer = offer
         self._count_failures(offer)
 
@@ -179,7 +179,7 @@
             task.begun_at, task.begun_as = now, task.run
             self.not_begun -= not task.spec.after
 
-    def put_back(self, task: Task) -> None:
+    def requeue(self, task: Task) -> None:
         """Let a task wait again."""
         if task.state is TaskState.PLACED:
             task.state = TaskState.WAITING
--- a/jackdawspur/runs/_learned.py
+++ b/jackdawspur/runs/_learned.py
@@ -11,9 +11,9 @@
 from jackdawspur.scheduling import Moments
 
 __all__ = [
-    "Learned",
     "LearnedPace",
     "LearnedRoute",
+    "LearnedStats",
     "MOST_PACE_TASKS",
     "MOST_ROUTE_TASKS",
     "PACE_BYTES",
@@ -52,7 +52,7 @@
     moments: bytes
 
 
-class Learned(msgspec.Struct, frozen=True, array_like=True):
+class LearnedStats(msgspec.Struct, frozen=True, array_like=True):
     """Tell paces of upstreams and run times of routes, some of them at a time."""
 
     paces: bytes = b""
--- a/jackdawspur/runs/_looks.py
+++ b/jackdawspur/runs/_looks.py
@@ -3,16 +3,16 @@
 from jackdawspur.leases import (
     CallOutcome,
     EndedRun,
-    Ending,
-    HeldUpstream,
-    LookReport,
-    Phase,
+    LeasedUpstream,
+    PollReport,
     Run,
     RunId,
     RunningRun,
+    RunPhase,
+    RunResult,
 )
-from jackdawspur.runs._effects import Decision, LookAt
-from jackdawspur.runs._fleet import Fleet
+from jackdawspur.runs._effects import Decision, PollUpstream
+from jackdawspur.runs._fleet import UpstreamPool
 from jackdawspur.runs._replies import Replies
 from jackdawspur.runs._watch import LOOK_WAIT_MS, SILENT_AFTER
 
@@ -35,13 +35,13 @@
 class Looks:
     """Look at every upstream without end, and believe what the answers prove."""
 
-    def __init__(self, fleet: Fleet, replies: Replies) -> None:
+    def __init__(self, fleet: UpstreamPool, replies: Replies) -> None:
         self._fleet = fleet
         self._replies = replies
 
     def count_overdue(self, now: float) -> None:
         """Take note of the looks whose replies are overdue."""
-        for held in self._fleet.held:
+        for held in self._fleet.upstreams:
             if now >= held.overdue_at:
                 self._count_overdue(held, now)
 
@@ -52,22 +52,26 @@
         call, leases would end of upstreams that are sound.
         """
         lossy = self._replies.lossy
-        for held in self._fleet.held:
-            if held.open_looks and not lossy and held.sure_look <= held.looks:
+        for held in self._fleet.upstreams:
+            if (
+                held.pending_polls
+                and not lossy
+                and held.confirming_poll <= held.polls_sent
+            ):
                 continue
             if not self._due(held, now):
                 continue
-            calls = len(held.open_looks) + len(held.overdue_looks)
+            calls = len(held.pending_polls) + len(held.overdue_polls)
             if calls < MOST_LOOKS_OPEN:
                 self._look(held, now)
 
-    def _due(self, held: HeldUpstream, now: float) -> bool:
-        if held.sure_look > held.looks:
+    def _due(self, held: LeasedUpstream, now: float) -> bool:
+        if held.confirming_poll > held.polls_sent:
             return True
-        due = now >= held.look_at and not held.rests(now)
-        return due and len(held.open_looks) < self._wanted(held)
+        due = now >= held.next_poll_at and not held.can_skip_poll(now)
+        return due and len(held.pending_polls) < self._wanted(held)
 
-    def _wanted(self, held: HeldUpstream) -> int:
+    def _wanted(self, held: LeasedUpstream) -> int:
         """Return how many looks are to wait for an end.
 
         An end whose look is lost is heard of only when that is overdue, 0.2 s later,
@@ -76,22 +80,22 @@
         """
         return 2 if self._replies.lossy and held.runs else 1
 
-    def _count_overdue(self, held: HeldUpstream, now: float) -> None:
-        for number in held.take_overdue(now):
-            if number > held.answered_look:
+    def _count_overdue(self, held: LeasedUpstream, now: float) -> None:
+        for number in held.pop_overdue_polls(now):
+            if number > held.last_answered_poll:
                 self._count_missed(held, number, CallOutcome.UNKNOWN, now)
 
-    def _look(self, held: HeldUpstream, now: float) -> None:
-        if not held.open_looks and not held.overdue_looks:
-            held.asked_since = now
-        calm = held.held and held.answered and not held.doubtful
+    def _look(self, held: LeasedUpstream, now: float) -> None:
+        if not held.pending_polls and not held.overdue_polls:
+            held.polled_since = now
+        calm = held.acquired and held.responsive and not held.unconfirmed
         long_ms = LOSSY_WAIT_MS if self._replies.lossy else LOOK_WAIT_MS
         wait_ms = long_ms if calm and held.runs else 0
         overdue_at = now + wait_ms / MS_PER_S + self._replies.overdue_s
-        number = held.next_look(overdue_at)
-        until = held.grant_until(now) if self._may_prolong(held) else None
+        number = held.register_poll(overdue_at)
+        until = held.extend_lease(now) if self._may_prolong(held) else None
         self._fleet.effects.append(
-            LookAt(
+            PollUpstream(
                 held.entry.id,
                 held.entry.address,
                 number,
@@ -99,12 +103,12 @@
                 held.last_seen,
                 until,
                 wait_ms,
-                held.number,
+                held.lease_id,
                 self._replies.limit_s + wait_ms / MS_PER_S,
             )
         )
 
-    def _may_prolong(self, held: HeldUpstream) -> bool:
+    def _may_prolong(self, held: LeasedUpstream) -> bool:
         """Tell whether a lease may grow: not while a run there must end.
 
         The caller of a stopped task may ask again elsewhere; were the stop lost, only
@@ -113,19 +117,19 @@
         Looks at a silent upstream grant nothing, or its leases would never count as
         ended.
         """
-        return held.answered and not any(_must_end(run) for run in held.runs.values())
+        return held.responsive and not any(_must_end(run) for run in held.runs.values())
 
     def replied(
-        self, order: LookAt, result: LookReport | CallOutcome, now: float
+        self, order: PollUpstream, result: PollReport | CallOutcome, now: float
     ) -> None:
         """Take in the reply to a look, or why there is none."""
         held = self._fleet.asked_by(order)
         if held is None:
             return
-        held.close_look(order.number)
-        if isinstance(result, LookReport):
+        held.complete_poll(order.number)
+        if isinstance(result, PollReport):
             self._replies.came()
-            held.look_at = now
+            held.next_poll_at = now
             self._of_boot(held, order, result, now)
         elif result is CallOutcome.GONE:
             self._fleet.gone(held, now)
@@ -133,81 +137,85 @@
             self._look_failed(held, order, result, now)
 
     def _of_boot(
-        self, held: HeldUpstream, order: LookAt, report: LookReport, now: float
+        self, held: LeasedUpstream, order: PollUpstream, report: PollReport, now: float
     ) -> None:
         """Take in a report of the present boot, or that there is another."""
-        if held.boot is None:
-            held.note_boot(report.boot)
-            self._fleet.owner.boot_seen(held.entry.id, report.boot)
-        if report.boot == held.boot:
+        if held.incarnation is None:
+            held.set_incarnation(report.incarnation)
+            self._fleet.owner.boot_seen(held.entry.id, report.incarnation)
+        if report.incarnation == held.incarnation:
             self._reported(held, order.number, report, now)
-        elif not held.is_of_earlier_boot(order.number, report.boot):
-            self._fleet.restarted(held, report.boot, now)
-            self._fleet.owner.boot_seen(held.entry.id, report.boot)
+        elif not held.is_from_earlier_incarnation(order.number, report.incarnation):
+            self._fleet.restarted(held, report.incarnation, now)
+            self._fleet.owner.boot_seen(held.entry.id, report.incarnation)
 
     def _look_failed(
-        self, held: HeldUpstream, order: LookAt, outcome: CallOutcome, now: float
+        self,
+        held: LeasedUpstream,
+        order: PollUpstream,
+        outcome: CallOutcome,
+        now: float,
     ) -> None:
         if outcome is CallOutcome.FENCED and order.fence < held.fence:
             # This host raised its own fence since, and the next look shows that.
             return
-        if outcome is CallOutcome.UNKNOWN and held.answered:
+        if outcome is CallOutcome.UNKNOWN and held.responsive:
             self._replies.lost()
         if outcome is CallOutcome.FENCED:
             self._obeys_another(held, now)
-        elif order.number > held.answered_look:
+        elif order.number > held.last_answered_poll:
             self._count_missed(held, order.number, outcome, now)
-            held.look_at = now + (RETRY_S if held.answered else LOOK_AGAIN_S)
+            held.next_poll_at = now + (RETRY_S if held.responsive else LOOK_AGAIN_S)
 
     def _count_missed(
-        self, held: HeldUpstream, number: int, outcome: CallOutcome, now: float
+        self, held: LeasedUpstream, number: int, outcome: CallOutcome, now: float
     ) -> None:
         """Count a look without a reply; several in a row make the upstream silent.
 
         Looks that were sent side by side count once.
         """
-        if number <= held.missed_look:
+        if number <= held.last_missed_poll:
             return
-        held.missed_look = held.looks
-        held.missed += 1
-        held.look_at = now
-        if held.missed == 1:
+        held.last_missed_poll = held.polls_sent
+        held.consecutive_misses += 1
+        held.next_poll_at = now
+        if held.consecutive_misses == 1:
             self._fleet.watch_all(now)
-        if held.missed < SILENT_AFTER:
+        if held.consecutive_misses < SILENT_AFTER:
             return
-        held.look_at = now + LOOK_AGAIN_S
-        if held.answered:
+        held.next_poll_at = now + LOOK_AGAIN_S
+        if held.responsive:
             self._note_lost(Decision.UPSTREAM_SILENT, held, outcome)
-            held.silent_look = held.looks
-            held.shaky_until = now + SHAKY_S
-        held.answered = False
+            held.last_poll_before_silence = held.polls_sent
+            held.flapping_until = now + SHAKY_S
+        held.responsive = False
 
-    def _obeys_another(self, held: HeldUpstream, now: float) -> None:
-        held.look_at = now + LOOK_AGAIN_S
-        if held.answered:
+    def _obeys_another(self, held: LeasedUpstream, now: float) -> None:
+        held.next_poll_at = now + LOOK_AGAIN_S
+        if held.responsive:
             self._fleet.watch_all(now)
             self._note_lost(Decision.UPSTREAM_FENCED, held, CallOutcome.FENCED)
-        held.answered = False
-        held.held = False
+        held.responsive = False
+        held.acquired = False
         if held.fenced_since is None:
             held.fenced_since = now
 
     def _note_lost(
-        self, decision: Decision, held: HeldUpstream, outcome: CallOutcome
+        self, decision: Decision, held: LeasedUpstream, outcome: CallOutcome
     ) -> None:
         self._fleet.notes.add(
             decision, "", str(held.entry.id), runs=len(held.runs), why=outcome.value
         )
 
     def _reported(
-        self, held: HeldUpstream, number: int, report: LookReport, now: float
+        self, held: LeasedUpstream, number: int, report: PollReport, now: float
     ) -> None:
-        if not held.answered and number <= held.silent_look:
+        if not held.responsive and number <= held.last_poll_before_silence:
             # It says that the upstream answered before it turned silent, not that it
             # does now.
             self._take_ends(held, report, in_time=False, now=now)
             return
-        if not held.held or not held.answered:
+        if not held.acquired or not held.responsive:
             self._fleet.gained = True
             self._fleet.crashes.answered(held.entry.id)
             self._fleet.notes.add(
@@ -217,8 +225,8 @@
             # A job that was handed over may have waited for this answer.
             self._fleet.gained = True
         # A reply that is missing may have told of these ends, some time ago.
-        in_time = held.missed == 0
-        held.note_report(number, report, now)
+        in_time = held.consecutive_misses == 0
+        held.record_report(number, report, now)
         self._fleet.watch.let_rest(held, now)
         self._take_ends(held, report, in_time, now)
         listed = set()
@@ -228,13 +236,13 @@
         self._drop_absent(held, number, listed, now)
 
     def _take_ends(
-        self, held: HeldUpstream, report: LookReport, in_time: bool, now: float
+        self, held: LeasedUpstream, report: PollReport, in_time: bool, now: float
     ) -> None:
         for ended in report.ended:
             self._take_end(held, ended, in_time, now)
 
     def _take_end(
-        self, held: HeldUpstream, ended: EndedRun, in_time: bool, now: float
+        self, held: LeasedUpstream, ended: EndedRun, in_time: bool, now: float
     ) -> None:
         if ended.number <= held.last_seen:
             return
@@ -244,30 +252,30 @@
             self._fleet.release(held, run)
             since = run.since if in_time else None
             self._fleet.owner.run_ended(held.entry.id, ended, since, now)
-        elif ended.ending is Ending.DONE:
+        elif ended.result is RunResult.DONE:
             self._fleet.owner.found_done(ended.run.task, now)
 
-    def _take_running(self, held: HeldUpstream, row: RunningRun, now: float) -> None:
+    def _take_running(self, held: LeasedUpstream, row: RunningRun, now: float) -> None:
         run = held.runs.get(row.run)
         if run is not None:
             run.percent = row.percent
             run.reported_at = now
             self._fleet.owner.run_reported(row.run.task)
-            if run.phase is Phase.UNSURE:
-                run.phase = Phase.RUNNING
+            if run.phase is RunPhase.UNSURE:
+                run.phase = RunPhase.RUNNING
                 if not run.claimed:
                     self._fleet.send_stop(held, run, now)
             return
-        found = Run(row.run, None, Phase.RUNNING, now, row.percent, claimed=False)
-        found.sure_after = held.looks + 1
-        found.first_percent = row.percent
+        found = Run(row.run, None, RunPhase.RUNNING, now, row.percent, claimed=False)
+        found.first_listing_poll = held.polls_sent + 1
+        found.initial_percent = row.percent
         self._fleet.add(held, found)
         job = self._fleet.owner.job_of(row.run.task)
         if job is not None and row.run.task in job.by_name:
             self._fleet.adopt(held, found, job, job.by_name[row.run.task], now)
 
     def _drop_absent(
-        self, held: HeldUpstream, number: int, listed: set[RunId], now: float
+        self, held: LeasedUpstream, number: int, listed: set[RunId], now: float
     ) -> None:
         """Give back the room of runs that a look shows to be absent.
 
@@ -275,12 +283,12 @@
         since, proves that; an earlier one may have passed the start on the way.
         """
         for run in list(held.runs.values()):
-            settled = run.sure_after and number >= run.sure_after
-            if run.id not in listed and settled and run.phase is not Phase.STARTING:
+            settled = run.first_listing_poll and number >= run.first_listing_poll
+            if run.id not in listed and settled and run.phase is not RunPhase.STARTING:
                 self._fleet.lose(held, run, now)
 
 
 def _must_end(run: Run) -> bool:
-    if run.phase is Phase.STOPPING:
+    if run.phase is RunPhase.STOPPING:
         return not run.stop_acked
-    return not run.claimed and run.phase is not Phase.STARTING
+    return not run.claimed and run.phase is not RunPhase.STARTING
--- a/jackdawspur/runs/_losses.py
+++ b/jackdawspur/runs/_losses.py
@@ -5,7 +5,7 @@
 
 from jackdawspur.runs._effects import JobLost, LossCause
 from jackdawspur.runs._estimates import Estimates
-from jackdawspur.runs._fleet import Fleet
+from jackdawspur.runs._fleet import UpstreamPool
 from jackdawspur.runs._job import Job, Task, TaskState
 from jackdawspur.runs._order import useful_until
 from jackdawspur.runs._progress import LEAST_PERCENT, project
@@ -33,7 +33,7 @@
 class Losses:
     """Judge lost jobs, and tell where their tasks are."""
 
-    def __init__(self, fleet: Fleet, estimates: Estimates) -> None:
+    def __init__(self, fleet: UpstreamPool, estimates: Estimates) -> None:
         self._fleet = fleet
         self._estimates = estimates
 
@@ -41,7 +41,7 @@
         """Return how long a task takes at a pace of 1, None while not known."""
         if task.state is TaskState.WAITING:
             return None
-        pace = self._estimates.pace(task.upstream)
+        pace = self._estimates.slowdown(task.upstream)
         if task.took_ms:
             ended = task.placed_at + task.took_ms / MS_PER_S
             return Known(task.took_ms / pace, task.placed_at, ended)
@@ -51,7 +51,7 @@
             return None
         whole_ms = projected.whole_s * MS_PER_S / pace
         began = projected.end - projected.whole_s
-        stalled = run.percent - run.first_percent < LEAST_PERCENT
+        stalled = run.percent - run.initial_percent < LEAST_PERCENT
         return Known(whole_ms, began, run.reported_at, stalled)
 
     def of(self, job: Job, now: float) -> JobLost:
@@ -100,7 +100,7 @@
     def _ends_ms(self, job: Job, task: Task, known: Known | None, now: float) -> float:
         """Return when a task ends where it is, in milliseconds from the coming."""
         placed = task.state is TaskState.PLACED
-        pace = self._estimates.pace(task.upstream) if placed else 1.0
+        pace = self._estimates.slowdown(task.upstream) if placed else 1.0
         return _begun_ms(job, task, known, now) + _needs_ms(job, task, known) * pace
 
     def stories(self, job: Job, now: float) -> str:
@@ -126,7 +126,7 @@
         ms = task.took_ms or (now - task.placed_at) * MS_PER_S
         run = self._fleet.run_of(task)
         told = f":{round(run.percent)}%" if run else ""
-        pace = self._estimates.pace(task.upstream)
+        pace = self._estimates.slowdown(task.upstream)
         again = ":again" if task.restarted else ""
         name = task.upstream.name
         return f"{task.state.value}:{name}:{round(ms)}{told}:x{pace:.2f}{again}"
--- a/jackdawspur/runs/_notes.py
+++ b/jackdawspur/runs/_notes.py
@@ -2,21 +2,21 @@
 
 from jackdawspur.runs._effects import (
     Decision,
+    DecisionRecord,
     Effect,
-    JobBegun,
+    InitialTasksStarted,
     JobLost,
     LossCause,
-    Note,
 )
 from jackdawspur.runs._job import Job, Task
 from jackdawspur.runs._order import latest_start, useful_until
 
-__all__ = ["Notes"]
+__all__ = ["DecisionLog"]
 
 MS_PER_S = 1000.0
 
 
-class Notes:
+class DecisionLog:
     """Add notes to the effects of a pass."""
 
     def __init__(self, effects: list[Effect]) -> None:
@@ -26,7 +26,7 @@
         self, decision: Decision, job: str, upstream: str, **inputs: str | int | float
     ) -> None:
         """Explain one decision."""
-        note = Note(decision, job, upstream, tuple(inputs.items()))
+        note = DecisionRecord(decision, job, upstream, tuple(inputs.items()))
         self._effects.append(note)
 
     def late(
@@ -81,9 +81,11 @@
         Jobs that were handed over may have started under another lead.
         """
         last = not job.not_begun and task.begun_at == now and not task.spec.after
-        if last and not job.offer.handed:
+        if last and not job.offer.handovers:
             waited_ms = (now - job.offer.arrived) * MS_PER_S
-            self._effects.append(JobBegun(job.id, job.request.route.name, waited_ms))
+            self._effects.append(
+                InitialTasksStarted(job.id, job.request.route.name, waited_ms)
+            )
 
     def _lost(self, job: Job, cause: LossCause) -> None:
         route = job.request.route.name
--- a/jackdawspur/runs/_offered_capacity.py
+++ b/jackdawspur/runs/_offered_capacity.py
@@ -8,7 +8,14 @@
 from jackdawspur.runs._order import spare_s
 from jackdawspur.runs._types import JobStep
 
-__all__ = ["Elsewhere", "Place", "SpareRoom", "deal", "may_go", "patience_s"]
+__all__ = [
+    "OfferedCapacity",
+    "RemoteLeader",
+    "SpareCapacity",
+    "may_go",
+    "patience_s",
+    "split_round_robin",
+]
 
 # Room is offered anew every 0.2 s; an older offer has been used by others.
 OFFER_KEPT_S = 0.5
@@ -22,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class RemoteLeader:
     """Name the leading host of another group, and its term by its fence."""
 
     leader: str
@@ -30,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpareRoom:
+class SpareCapacity:
     """Tell what upstreams of a service have left, each in thousandths of a core.
 
     `slow` are those on which tasks take longer than on the fast ones.
@@ -42,12 +49,12 @@
 
 @dataclass(eq=False, slots=True)
 class _Offered:
-    place: Place
+    place: RemoteLeader
     at: float
-    free: dict[str, SpareRoom]
+    free: dict[str, SpareCapacity]
 
 
-class Elsewhere:
+class OfferedCapacity:
     """Keep what room other leading hosts offer to this one, and use it up.
 
     Each leading host deals its room out to the others, so that two of them never fill
@@ -63,7 +70,9 @@
         """Tell whether there are other groups."""
         return bool(self._offered)
 
-    def offered(self, place: Place, room: dict[str, SpareRoom], now: float) -> None:
+    def offered(
+        self, place: RemoteLeader, room: dict[str, SpareCapacity], now: float
+    ) -> None:
         """Take in the room of each service."""
         self._offered[place.leader] = _Offered(place, now, dict(room))
 
@@ -81,7 +90,7 @@
 
     def take(
         self, job: Job, now: float, anywhere: bool = False, only_fast: bool = False
-    ) -> Place | None:
+    ) -> RemoteLeader | None:
         """Return where all tasks of a job find room at once, and count it as used.
 
         With `anywhere` a job for which there is none goes to each group in turn, which
@@ -117,11 +126,13 @@
     """
     offer = job.offer
     bound = any(step.label or step.near for step in job.request.steps)
-    came = offer.far or offer.handed or job.started
+    came = offer.from_other_group or offer.handovers or job.started
     return not (bound or came) and now - job.offered_at >= longest_s
 
 
-def deal(rows: Iterable[int], leaders: Sequence[str]) -> dict[str, tuple[int, ...]]:
+def split_round_robin(
+    rows: Iterable[int], leaders: Sequence[str]
+) -> dict[str, tuple[int, ...]]:
     """Deal rows of room out to other leading hosts, one each in turn."""
     ordered = sorted(rows, reverse=True)
     count = len(leaders)
@@ -129,8 +140,8 @@
 
 
 def _use(
-    room: SpareRoom | None, steps: Sequence[JobStep], only_fast: bool
-) -> SpareRoom | None:
+    room: SpareCapacity | None, steps: Sequence[JobStep], only_fast: bool
+) -> SpareCapacity | None:
     """Return what is left of some room, None when not all tasks find some in it.
 
     Tasks that may run on slow upstreams leave the fast ones to others.
@@ -140,9 +151,9 @@
     if not only_fast:
         left = fill(room.slow, steps)
         if left is not None:
-            return SpareRoom(room.fast, left)
+            return SpareCapacity(room.fast, left)
     left = fill(room.fast, steps)
-    return None if left is None else SpareRoom(left, room.slow)
+    return None if left is None else SpareCapacity(left, room.slow)
 
 
 def fill(rows: Sequence[int], steps: Sequence[JobStep]) -> list[int] | None:
--- a/jackdawspur/runs/_open_jobs.py
+++ b/jackdawspur/runs/_open_jobs.py
@@ -2,7 +2,7 @@
 
 from jackdawspur.runs._crashes import Crashes
 from jackdawspur.runs._job import Job
-from jackdawspur.runs._types import Progress, TaskTrouble
+from jackdawspur.runs._types import Progress, TaskFailureCounts
 
 __all__ = ["OpenJobs"]
 
@@ -24,7 +24,7 @@
         """Return the jobs of a host's callers."""
         return [job for job in self.values() if job.offer.host == host]
 
-    def not_begun(self, route: str) -> int:
+    def count_not_started(self, route: str) -> int:
         """Return the number of a route's jobs of which nothing started."""
         jobs = self.values()
         return sum(job.request.route.name == route and not job.started for job in jobs)
@@ -39,9 +39,9 @@
     def all_repeated(self, now: float) -> None:
         """Count all offers as repeated just now, those that lapse only once."""
         for job in self.values():
-            job.repeated_at = min(now, job.told_at + UNREPEATED_S)
+            job.refreshed_at = min(now, job.told_at + UNREPEATED_S)
 
-    def unrepeated(self, outsiders: set[str], now: float) -> list[Job]:
+    def unrefreshed(self, outsiders: set[str], now: float) -> list[Job]:
         """Return the jobs that their hosts offer no more.
 
         That a host is heard says nothing of a job: it may have handed the job to its
@@ -51,7 +51,7 @@
         return [
             job
             for job in self.values()
-            if now - job.repeated_at > _kept_s(job, outsiders)
+            if now - job.refreshed_at > _kept_s(job, outsiders)
         ]
 
     def progress_by_host(self, crashes: Crashes) -> dict[str, dict[str, Progress]]:
@@ -67,7 +67,7 @@
 def _progress(job: Job, crashes: Crashes) -> Progress:
     done = tuple(task.name for task in job.tasks if task.is_done)
     troubles = tuple(
-        TaskTrouble(task.name, task.failures, crashes.count(task.name))
+        TaskFailureCounts(task.name, task.failures, crashes.count(task.name))
         for task in job.tasks
         if task.failures or crashes.is_suspect(task.name)
     )
@@ -76,5 +76,5 @@
 
 def _kept_s(job: Job, outsiders: set[str]) -> float:
     """Return how long a job is kept that its host repeats no more."""
-    outside = job.offer.far or job.offer.host in outsiders
+    outside = job.offer.from_other_group or job.offer.host in outsiders
     return UNREPEATED_S if outside else OWN_UNREPEATED_S
--- a/jackdawspur/runs/_paces.py
+++ b/jackdawspur/runs/_paces.py
@@ -70,7 +70,7 @@
         share = (self._log(upstream) - FASTEST) / (SLOWEST - FASTEST)
         return round(LEVELS * min(1.0, max(0.0, share)))
 
-    def believe(self, upstream: UpstreamId, level: int, tasks: int) -> None:
+    def seed_history(self, upstream: UpstreamId, level: int, tasks: int) -> None:
         """Take a pace over as if so many tasks had shown it."""
         if upstream in self._own:
             share = min(LEVELS, max(0, level)) / LEVELS
--- a/jackdawspur/runs/_passing_on.py
+++ b/jackdawspur/runs/_passing_on.py
@@ -1,22 +1,24 @@
 """Jobs that go to other groups, which have room for them."""
 
-from jackdawspur.runs._effects import Effect, PassJobOn
-from jackdawspur.runs._fleet import Fleet
+from jackdawspur.runs._effects import Effect, RedirectJob
+from jackdawspur.runs._fleet import UpstreamPool
 from jackdawspur.runs._job import Job
-from jackdawspur.runs._offered_capacity import Elsewhere
+from jackdawspur.runs._offered_capacity import OfferedCapacity
 from jackdawspur.runs._open_jobs import OpenJobs
 
-__all__ = ["PassingOn"]
+__all__ = ["JobRedirector"]
 
 
-class PassingOn:
+class JobRedirector:
     """Send jobs to the leading hosts of other groups."""
 
-    def __init__(self, jobs: OpenJobs, fleet: Fleet, effects: list[Effect]) -> None:
+    def __init__(
+        self, jobs: OpenJobs, fleet: UpstreamPool, effects: list[Effect]
+    ) -> None:
         self._jobs = jobs
         self._fleet = fleet
         self._effects = effects
-        self.elsewhere = Elsewhere()
+        self.elsewhere = OfferedCapacity()
 
     def possible(self, job: Job, now: float) -> bool:
         """Tell at little cost whether another group may take a job."""
@@ -33,7 +35,7 @@
         offer = job.offer
         self._fleet.notes.passed_on(job, place.leader, now)
         self._effects.append(
-            PassJobOn(offer.host, offer.call, offer.attempt, job.id, place)
+            RedirectJob(offer.host, offer.call, offer.attempt, job.id, place)
         )
         del self._jobs[job.id]
         return True
--- a/jackdawspur/runs/_placer.py
+++ b/jackdawspur/runs/_placer.py
@@ -3,15 +3,15 @@
 import math
 from collections.abc import Iterable, Sequence
 
-from jackdawspur.leases import HeldUpstream, Resources
-from jackdawspur.runs._begun import BegunJobs
+from jackdawspur.leases import LeasedUpstream, Resources
+from jackdawspur.runs._begun import StartedJobs
 from jackdawspur.runs._crashes import Crashes
 from jackdawspur.runs._estimates import Estimates
-from jackdawspur.runs._fleet import Fleet
+from jackdawspur.runs._fleet import UpstreamPool
 from jackdawspur.runs._job import Job, Task
-from jackdawspur.runs._offered_capacity import SpareRoom, fill, may_go, patience_s
+from jackdawspur.runs._offered_capacity import SpareCapacity, fill, may_go, patience_s
 from jackdawspur.runs._order import order_key
-from jackdawspur.runs._passing_on import PassingOn
+from jackdawspur.runs._passing_on import JobRedirector
 from jackdawspur.runs._placing import (
     FastRoom,
     choose,
@@ -44,11 +44,11 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        fleet: UpstreamPool,
         starts: Starts,
         estimates: Estimates,
-        begun: BegunJobs,
-        passing_on: PassingOn,
+        begun: StartedJobs,
+        passing_on: JobRedirector,
     ) -> None:
         self._fleet = fleet
         self._starts = starts
@@ -77,7 +77,7 @@
 
         They get a moment for their first answer.
         """
-        return bool(job.offer.handed) and now - job.offered_at < ANSWERS_S
+        return bool(job.offer.handovers) and now - job.offered_at < ANSWERS_S
 
     def earliest_start(self, job: Job, now: float) -> float:
         """Return when a job's waiting tasks may start, room or not."""
@@ -89,22 +89,22 @@
         """Return the waiting jobs, the one to be served first at the front."""
         return sorted(waiting, key=lambda job: order_key(job, now))
 
-    def spare_room(self, now: float) -> dict[str, SpareRoom]:
+    def spare_capacity(self, now: float) -> dict[str, SpareCapacity]:
         """Return what is left of the upstreams, by service."""
-        spare: dict[str, SpareRoom] = {}
+        spare: dict[str, SpareCapacity] = {}
         for service, upstreams in self._fleet.with_room(now).items():
             fast = self._fast_room(service, now)
             rows: dict[bool, list[int]] = {False: [], True: []}
             for held in upstreams:
                 rows[self._is_slow(held, fast)].append(held.free.cpu_millis)
-            spare[service] = SpareRoom(rows[False], rows[True])
+            spare[service] = SpareCapacity(rows[False], rows[True])
         return spare
 
     def waits_by_choice(self, job: Job) -> bool:
         """Tell whether a job waits for fast room beside slow room."""
         return job.id in self._choosy
 
-    def wants_room(self, now: float) -> bool:
+    def needs_capacity(self, now: float) -> bool:
         """Tell whether a job found no room just now."""
         return now - self._no_room_at <= WANTS_S
 
@@ -122,7 +122,7 @@
                 self._place_job(job, some, refused, now)
 
     def _goes_elsewhere(
-        self, job: Job, upstreams: Sequence[HeldUpstream], now: float
+        self, job: Job, upstreams: Sequence[LeasedUpstream], now: float
     ) -> bool:
         """Pass a job on that can't wait for room here, where another group has some.
 
@@ -145,13 +145,15 @@
         self._no_room_at = now
         return self._passing_on.send(job, now, only_fast)
 
-    def _is_slow(self, held: HeldUpstream, fast: FastRoom | None) -> bool:
-        return fast is not None and is_slow(self._estimates.pace(held.entry.id), fast)
+    def _is_slow(self, held: LeasedUpstream, fast: FastRoom | None) -> bool:
+        return fast is not None and is_slow(
+            self._estimates.slowdown(held.entry.id), fast
+        )
 
     def _fast_room(self, service: str, now: float) -> FastRoom | None:
         if now >= self._fast_until:
             self._fast_until = now + FAST_KEPT_S
-            self._fast = fast_room(self._fleet.held, self._estimates)
+            self._fast = fast_room(self._fleet.upstreams, self._estimates)
         return self._fast.get(service)
 
     def _may_place(self, job: Job, now: float) -> bool:
@@ -160,7 +162,7 @@
         It may reach an upstream that this host does not, or led a group with others,
         and run the same tasks there.
         """
-        if not job.offer.handed or now - job.offered_at > SETTLED_S:
+        if not job.offer.handovers or now - job.offered_at > SETTLED_S:
             return True
         self._fleet.watch_all(now)
         return self._fleet.listing.bars(job.offer) and self._fleet.all_held(now)
@@ -168,7 +170,7 @@
     def _place_job(
         self,
         job: Job,
-        upstreams: Sequence[HeldUpstream],
+        upstreams: Sequence[LeasedUpstream],
         refused: dict[str, Resources],
         now: float,
     ) -> None:
@@ -201,14 +203,14 @@
             self._start(job, task, held, now)
 
     def _had_better_wait(
-        self, job: Job, task: Task, held: HeldUpstream, now: float
+        self, job: Job, task: Task, held: LeasedUpstream, now: float
     ) -> bool:
         """Tell whether to wait for a fast upstream."""
-        pace = self._estimates.pace(held.entry.id)
+        pace = self._estimates.slowdown(held.entry.id)
         fast = self._fast_room(job.request.route.service, now)
         return fast is not None and had_better_wait(task, job, pace, fast, now)
 
-    def _start(self, job: Job, task: Task, held: HeldUpstream, now: float) -> None:
+    def _start(self, job: Job, task: Task, held: LeasedUpstream, now: float) -> None:
         task.run += 1
         job.place(task, held.entry.id, now)
         self._fleet.notes.started(job, task, now)
@@ -227,8 +229,8 @@
 
 
 def _without_suspects(
-    upstreams: Sequence[HeldUpstream], crashes: Crashes
-) -> list[HeldUpstream]:
+    upstreams: Sequence[LeasedUpstream], crashes: Crashes
+) -> list[LeasedUpstream]:
     """Return the upstreams on which no task runs that one may have crashed under.
 
     What crashes next then tells which of them it was.
--- a/jackdawspur/runs/_placing.py
+++ b/jackdawspur/runs/_placing.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from operator import itemgetter
 
-from jackdawspur.leases import HeldUpstream, Resources
+from jackdawspur.leases import LeasedUpstream, Resources
 from jackdawspur.runs._estimates import Estimates
 from jackdawspur.runs._job import Job, Task
 from jackdawspur.runs._order import Standing, objective, standing, useful_until
@@ -46,10 +46,10 @@
 def choose(
     task: Task,
     job: Job,
-    upstreams: Sequence[HeldUpstream],
+    upstreams: Sequence[LeasedUpstream],
     estimates: Estimates,
     now: float,
-) -> HeldUpstream | None:
+) -> LeasedUpstream | None:
     """Return the upstream that suits the task best, the fullest among equals.
 
     A task that has time takes the slowest upstream that is safe for it, which leaves
@@ -62,7 +62,7 @@
     for held in upstreams:
         if not _suits(task, held, estimates, now):
             continue
-        shaky = now < held.shaky_until
+        shaky = now < held.flapping_until
         score = (shaky, *_score(task, held, estimates, most_pace))
         if best_score is None or score < best_score:
             best, best_score = held, score
@@ -78,13 +78,13 @@
 
 
 def fast_room(
-    upstreams: Iterable[HeldUpstream], estimates: Estimates
+    upstreams: Iterable[LeasedUpstream], estimates: Estimates
 ) -> dict[str, FastRoom]:
     """Return the fast upstreams of each service."""
     paces: dict[str, list[tuple[float, Resources]]] = {}
     for held in upstreams:
-        if held.answered and not held.entry.draining:
-            one = (estimates.pace(held.entry.id), held.entry.capacity)
+        if held.responsive and not held.entry.draining:
+            one = (estimates.slowdown(held.entry.id), held.entry.capacity)
             paces.setdefault(held.entry.service, []).append(one)
     return {service: _fastest(known) for service, known in paces.items()}
 
@@ -144,7 +144,7 @@
     return spec.resources.fits_in(fast.capacity)
 
 
-def _suits(task: Task, held: HeldUpstream, estimates: Estimates, now: float) -> bool:
+def _suits(task: Task, held: LeasedUpstream, estimates: Estimates, now: float) -> bool:
     spec = task.spec
     if not spec.resources.fits_in(held.free):
         return False
@@ -158,7 +158,7 @@
     return estimates.allows(entry.id, now)
 
 
-def _of_step(task: Task, held: HeldUpstream) -> int:
+def _of_step(task: Task, held: LeasedUpstream) -> int:
     step = task.name.rpartition(".")[0] + "."
     return sum(run.task.startswith(step) for run in held.runs)
 
@@ -172,9 +172,9 @@
 
 
 def _score(
-    task: Task, held: HeldUpstream, estimates: Estimates, most_pace: float
+    task: Task, held: LeasedUpstream, estimates: Estimates, most_pace: float
 ) -> tuple[bool, bool, int, int, int]:
-    pace = estimates.pace(held.entry.id)
+    pace = estimates.slowdown(held.entry.id)
     seen = min(SEEN_ENOUGH, estimates.pace_seen(held.entry.id))
     remote = bool(task.spec.near) and task.spec.near not in held.entry.labels
     left = held.free.cpu_millis - task.spec.resources.cpu_millis
--- a/jackdawspur/runs/_progress.py
+++ b/jackdawspur/runs/_progress.py
@@ -56,7 +56,7 @@
     another leading host started is known since it was found, with some of it done.
     """
     passed = run.reported_at - run.since
-    gained = run.percent - run.first_percent
+    gained = run.percent - run.initial_percent
     stalled = passed * MS_PER_S > STALLED_SHARE * expected_ms
     if passed <= 0 or (gained < LEAST_PERCENT and not stalled):
         return None
@@ -105,5 +105,5 @@
 
 
 def _misses(projected: Projection, run: Run, limit: float) -> bool:
-    doubt = BEYOND + 1.0 / max(1.0, run.percent - run.first_percent)
+    doubt = BEYOND + 1.0 / max(1.0, run.percent - run.initial_percent)
     return run.since + (projected.end - run.since) / (1.0 + doubt) > limit
--- a/jackdawspur/runs/_review.py
+++ b/jackdawspur/runs/_review.py
@@ -1,12 +1,12 @@
 """Runs under way, judged against the others of their job."""
 
-from jackdawspur.leases import Phase, Run
+from jackdawspur.leases import Run, RunPhase
 from jackdawspur.runs._effects import Decision
 from jackdawspur.runs._estimates import Estimates
-from jackdawspur.runs._fleet import Fleet
+from jackdawspur.runs._fleet import UpstreamPool
 from jackdawspur.runs._job import Job, Task
 from jackdawspur.runs._losses import Losses
-from jackdawspur.runs._notes import Notes
+from jackdawspur.runs._notes import DecisionLog
 from jackdawspur.runs._placing import choose
 from jackdawspur.runs._progress import (
     Verdict,
@@ -30,7 +30,9 @@
 class Review:
     """Restart slow runs elsewhere, and find jobs that can't end in time."""
 
-    def __init__(self, fleet: Fleet, estimates: Estimates, notes: Notes) -> None:
+    def __init__(
+        self, fleet: UpstreamPool, estimates: Estimates, notes: DecisionLog
+    ) -> None:
         self._fleet = fleet
         self._estimates = estimates
         self._notes = notes
@@ -43,7 +45,7 @@
             self._correct(job, step)
         for task in placed:
             run = self._fleet.run_of(task)
-            if run is None or run.phase is not Phase.RUNNING:
+            if run is None or run.phase is not RunPhase.RUNNING:
                 continue
             elsewhere_ms = self._elsewhere_ms(job, task)
             verdict = judge(run, job, elsewhere_ms, task.restarts, now)
@@ -72,8 +74,8 @@
         held = choose(task, job, others, self._estimates, now)
         if held is None:
             return False
-        pace = self._estimates.pace(task.upstream)
-        faster = self._estimates.pace(held.entry.id) / pace
+        pace = self._estimates.slowdown(task.upstream)
+        faster = self._estimates.slowdown(held.entry.id) / pace
         if faster > MOST_OF_PACE:
             return False
         return ends_in_time_anew(run, job, expected_ms, faster, now)
--- a/jackdawspur/runs/_telling.py
+++ b/jackdawspur/runs/_telling.py
@@ -6,9 +6,9 @@
     MOST_PACE_TASKS,
     MOST_ROUTE_TASKS,
     PACE_BYTES,
-    Learned,
     LearnedPace,
     LearnedRoute,
+    LearnedStats,
     pack_paces,
     route_bytes,
     unpack_route,
@@ -40,7 +40,7 @@
 
     def next(
         self, paces: Iterable[LearnedPace], routes: Iterable[LearnedRoute], now: float
-    ) -> Learned | None:
+    ) -> LearnedStats | None:
         """Return what to tell now, None for nothing."""
         due_paces = self._due({one.key: one for one in paces}, now)
         due_routes = self._due({(one.service, one.route): one for one in routes}, now)
@@ -58,7 +58,7 @@
             return None
         self._told.update({one.key: (one, now) for one in chosen})
         self._told.update({(r.service, r.route): (r, now) for r in chosen_routes})
-        return Learned(pack_paces(chosen), tuple(chosen_routes))
+        return LearnedStats(pack_paces(chosen), tuple(chosen_routes))
 
     def _due(self, values: dict, now: float) -> list:
         """Return what is to be told, the longest untold first."""
--- a/jackdawspur/runs/_types.py
+++ b/jackdawspur/runs/_types.py
@@ -13,7 +13,7 @@
     "Offer",
     "Progress",
     "Route",
-    "TaskTrouble",
+    "TaskFailureCounts",
 ]
 
 MS_PER_S = 1000.0
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TaskTrouble:
+class TaskFailureCounts:
     """Count how often a task failed, and the upstreams that crashed under it."""
 
     task: str
@@ -85,18 +85,18 @@
     """Tell what the next leading host must know of a job's tasks."""
 
     done: tuple[str, ...] = ()
-    troubles: tuple[TaskTrouble, ...] = ()
+    troubles: tuple[TaskFailureCounts, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
     """Carry a job and who waits for it; times in seconds of the leading host's clock.
 
-    `call` names the waiting request on `host`. `handed` counts earlier hand-overs and
-    `progress` is what became of its tasks under them. `far` tells that the host belongs
-    to another group. `attempt` counts the offers of the job. `zone` is the host's;
-    `all_zones` tells that an earlier leading host could run the job on upstreams of
-    others too, `outranked` that one had a higher fence.
+    `call` names the waiting request on `host`. `handovers` counts earlier hand-overs
+    and `progress` is what became of its tasks under them. `from_other_group` tells that
+    the host belongs to another group. `attempt` counts the offers of the job. `zone` is
+    the host's; `all_zones` tells that an earlier leading host could run the job on
+    upstreams of others too, `outranked` that one had a higher fence.
     """
 
     request: JobRequest
@@ -104,9 +104,9 @@
     call: int
     arrived: float
     deadline: float
-    handed: int = 0
+    handovers: int = 0
     progress: Progress = Progress()
-    far: bool = False
+    from_other_group: bool = False
     attempt: int = 0
     zone: str = ""
     all_zones: bool = False
--- a/jackdawspur/runs/_watch.py
+++ b/jackdawspur/runs/_watch.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from jackdawspur.leases import HeldUpstream
+from jackdawspur.leases import LeasedUpstream
 from jackdawspur.runs._replies import Replies
 
 __all__ = ["LOOK_WAIT_MS", "SILENT_AFTER", "Watch"]
@@ -37,7 +37,7 @@
         """Tell whether upstreams at rest are looked at more often."""
         return now < self._until
 
-    def begin(self, all_held: Iterable[HeldUpstream], now: float) -> None:
+    def begin(self, all_held: Iterable[LeasedUpstream], now: float) -> None:
         """Look at all upstreams often for a moment.
 
         What breaks off often takes several upstreams along, and each one on which
@@ -47,20 +47,20 @@
             return
         self._until = now + WATCH_S
         for held in all_held:
-            held.rest_until = min(held.rest_until, held.heard_at + WATCHED_LOOK_S)
+            held.idle_until = min(held.idle_until, held.last_reply_at + WATCHED_LOOK_S)
 
-    def let_rest(self, held: HeldUpstream, now: float) -> None:
+    def let_rest(self, held: LeasedUpstream, now: float) -> None:
         """Choose when to look again at an upstream that answered, if nothing runs."""
         pause_s = WATCHED_LOOK_S
         if not self.on(now):
-            share = held.number * GOLDEN_RATIO % 1.0
+            share = held.lease_id * GOLDEN_RATIO % 1.0
             pause_s = IDLE_LOOK_S * (1.0 - SPREAD / 2 + SPREAD * share)
-        held.rest_until = now + pause_s
+        held.idle_until = now + pause_s
 
-    def fresh(self, held: HeldUpstream, now: float) -> bool:
+    def fresh(self, held: LeasedUpstream, now: float) -> bool:
         """Tell whether an upstream was heard as lately as one that runs something.
 
         An earlier answer doesn't show that it still obeys this host.
         """
         looks_s = LOOK_WAIT_MS / MS_PER_S + SILENT_AFTER * self._replies.overdue_s
-        return now - held.heard_at <= looks_s
+        return now - held.last_reply_at <= looks_s
--- a/jackdawspur/runs/tests/conftest.py
+++ b/jackdawspur/runs/tests/conftest.py
@@ -7,11 +7,11 @@
 from jackdawspur.leases import (
     CallOutcome,
     EndedRun,
-    Ending,
-    LookReport,
+    PollReport,
     Resources,
     RunId,
     RunningRun,
+    RunResult,
     UpstreamEntry,
 )
 from jackdawspur.model import HostId, UpstreamId
@@ -21,9 +21,9 @@
     Effect,
     JobRequest,
     JobStep,
-    LookAt,
     Offer,
-    PassJobOn,
+    PollUpstream,
+    RedirectJob,
     Route,
     StartRun,
     StopRun,
@@ -65,20 +65,20 @@
         self.ended.clear()
         self.began_ms.clear()
 
-    def end(self, task: str, ending: Ending = Ending.DONE) -> None:
+    def end(self, task: str, ending: RunResult = RunResult.DONE) -> None:
         """End a run."""
         self.ends += 1
         run = RunId(task, self.running.pop(task))
         self.ended.append(EndedRun(self.ends, run, ending, ""))
 
-    def report(self, last_seen: int) -> LookReport:
+    def report(self, last_seen: int) -> PollReport:
         """Report all runs."""
         self.ended = [one for one in self.ended if one.number > last_seen]
         rows = tuple(
             RunningRun(RunId(task, number), "", self._percent(task))
             for task, number in self.running.items()
         )
-        return LookReport(self.clock_ms, rows, tuple(self.ended), self.boot)
+        return PollReport(self.clock_ms, rows, tuple(self.ended), self.boot)
 
     def _percent(self, task: str) -> float:
         passed = self.clock_ms - self.began_ms.setdefault(task, self.clock_ms)
@@ -96,8 +96,8 @@
         self.answers: list[AnswerJob] = []
         self.starts: list[StartRun] = []
         self.stops: list[StopRun] = []
-        self.looks: list[LookAt] = []
-        self.passed_on: list[PassJobOn] = []
+        self.looks: list[PollUpstream] = []
+        self.passed_on: list[RedirectJob] = []
         self.silent: set[UpstreamId] = set()
         # Its list is complete: it was first read long ago.
         listed_at = self.now - LISTED_FOR_S
@@ -109,7 +109,7 @@
 
     def lead(self, fence: int = FENCE) -> None:
         """Lead, and hold all upstreams that answer."""
-        self.dispatcher.lead(fence, self.now)
+        self.dispatcher.start_leading(fence, self.now)
         self.settle()
 
     def offer(
@@ -135,8 +135,8 @@
         self.answers += [e for e in effects if isinstance(e, AnswerJob)]
         self.starts += [e for e in effects if isinstance(e, StartRun)]
         self.stops += [e for e in effects if isinstance(e, StopRun)]
-        self.looks += [e for e in effects if isinstance(e, LookAt)]
-        self.passed_on += [e for e in effects if isinstance(e, PassJobOn)]
+        self.looks += [e for e in effects if isinstance(e, PollUpstream)]
+        self.passed_on += [e for e in effects if isinstance(e, RedirectJob)]
         return effects
 
     def settle(self, passes: int = 6) -> None:
@@ -196,7 +196,7 @@
                 outcome = CallOutcome.OK
                 upstream = self.upstreams[order.upstream]
                 if order.run.task in upstream.running:
-                    upstream.end(order.run.task, Ending.STOPPED)
+                    upstream.end(order.run.task, RunResult.STOPPED)
             self.dispatcher.stop_replied(order, outcome, self.now)
 
     def reply_looks(self) -> None:
@@ -210,7 +210,7 @@
                 result = CallOutcome.FENCED
             else:
                 upstream.fence = order.fence
-            self.dispatcher.look_replied(order, result, self.now)
+            self.dispatcher.poll_replied(order, result, self.now)
 
 
 @pytest.fixture
--- a/jackdawspur/runs/tests/test_arrivals.py
+++ b/jackdawspur/runs/tests/test_arrivals.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from jackdawspur.runs import JobRequest, JobStep, Offer, Place, SpareRoom
+from jackdawspur.runs import JobRequest, JobStep, Offer, RemoteLeader, SpareCapacity
 from jackdawspur.runs.tests.conftest import FENCE, PATIENT, TASK, Leading
 
 PATIENCE_S = 1.545
 TICK_S = 0.025
 # Half of what the longest jobs that can be served have to spare.
 SOON_S = 0.01
-PLACE = Place("far", FENCE * 2)
+PLACE = RemoteLeader("far", FENCE * 2)
 
 
 def offer_long(leading: Leading, estimate_ms: float, tasks: int) -> None:
@@ -39,8 +39,8 @@
     # Guards against refusing a job before another zone is asked.
     leading.offer("full", tasks=4, route=PATIENT, deadline=leading.now + 5.0)
     leading.settle()
-    room = {"roster": SpareRoom((14_000, 14_000, 28_000, 28_000))}
-    leading.dispatcher.room_offered(PLACE, room, leading.now)
+    room = {"roster": SpareCapacity((14_000, 14_000, 28_000, 28_000))}
+    leading.dispatcher.update_offered_capacity(PLACE, room, leading.now)
     offer_long(leading, estimate_ms, tasks=4)
     leading.settle()
     leading.advance(TICK_S, TICK_S)
@@ -54,8 +54,8 @@
     # Guards against a wait in a full zone that is longer than the job can spare.
     leading.offer("full", tasks=4, route=PATIENT, deadline=leading.now + 5.0)
     leading.settle()
-    room = {"roster": SpareRoom((14_000, 14_000, 28_000, 28_000))}
-    leading.dispatcher.room_offered(PLACE, room, leading.now)
+    room = {"roster": SpareCapacity((14_000, 14_000, 28_000, 28_000))}
+    leading.dispatcher.update_offered_capacity(PLACE, room, leading.now)
     offer_long(leading, 853.0, tasks=4)
     leading.settle()
     leading.advance(SOON_S, SOON_S)
--- a/jackdawspur/runs/tests/test_crashes.py
+++ b/jackdawspur/runs/tests/test_crashes.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from jackdawspur.leases import CallOutcome, Ending
+from jackdawspur.leases import CallOutcome, RunResult
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs import JobEnd, Progress, TaskTrouble
+from jackdawspur.runs import JobEnd, Progress, TaskFailureCounts
 from jackdawspur.runs._crashes import KEPT_S, Crashes
 from jackdawspur.runs.tests.conftest import PATIENT, Leading
 
@@ -104,7 +104,7 @@
     leading.upstreams[place].running.clear()
     look = next(one for one in leading.looks if one.upstream == place)
     leading.looks.remove(look)
-    leading.dispatcher.look_replied(look, CallOutcome.GONE, leading.now)
+    leading.dispatcher.poll_replied(look, CallOutcome.GONE, leading.now)
 
 
 @pytest.fixture
@@ -157,10 +157,10 @@
     # Guards against attempts without end while hosts are restarted in turn.
     leading = Leading(upstreams=1)
     leading.lead()
-    troubles = (TaskTrouble("aa.0.0.0", 2, 0),)
-    leading.offer("aa", handed=1, progress=Progress((), troubles))
+    troubles = (TaskFailureCounts("aa.0.0.0", 2, 0),)
+    leading.offer("aa", handovers=1, progress=Progress((), troubles))
     leading.settle()
-    leading.upstreams[PLACES[0]].end("aa.0.0.0", Ending.FAILED)
+    leading.upstreams[PLACES[0]].end("aa.0.0.0", RunResult.FAILED)
     leading.settle()
     (answer,) = leading.answers
     assert answer.outcome.end is JobEnd.FAILED
@@ -169,12 +169,17 @@
 def test_crashes_under_a_task_count_on_after_a_hand_over():
     leading = Leading(upstreams=2)
     leading.lead()
-    troubles = (TaskTrouble(BAD, 0, 1),)
+    troubles = (TaskFailureCounts(BAD, 0, 1),)
     deadline = leading.now + 20.0
-    leading.offer("bad", 1, PATIENT, handed=1, deadline=deadline)
+    leading.offer("bad", 1, PATIENT, handovers=1, deadline=deadline)
     leading.settle()
     leading.offer(
-        "bad", 1, PATIENT, handed=1, deadline=deadline, progress=Progress((), troubles)
+        "bad",
+        1,
+        PATIENT,
+        handovers=1,
+        deadline=deadline,
+        progress=Progress((), troubles),
     )
     crash(leading, BAD)
     leading.advance(0.05)
@@ -187,11 +192,11 @@
     leading.lead()
     leading.offer("aa")
     leading.settle()
-    leading.upstreams[PLACES[0]].end("aa.0.0.0", Ending.FAILED)
+    leading.upstreams[PLACES[0]].end("aa.0.0.0", RunResult.FAILED)
     leading.settle()
     jobs = leading.dispatcher.open_jobs
-    told = jobs.progress_by_host(leading.dispatcher.fleet.crashes)
-    assert told["h2"]["aa"].troubles == (TaskTrouble("aa.0.0.0", 1, 0),)
+    told = jobs.progress_by_host(leading.dispatcher.upstream_pool.crashes)
+    assert told["h2"]["aa"].troubles == (TaskFailureCounts("aa.0.0.0", 1, 0),)
 
 
 def test_tasks_lost_with_one_silent_upstream_start_again_at_once():
--- a/jackdawspur/runs/tests/test_flapping.py
+++ b/jackdawspur/runs/tests/test_flapping.py
@@ -1,8 +1,8 @@
 """Upstreams that go down and up by turns, each time for more than a second."""
 
-from jackdawspur.leases import HeldUpstream
+from jackdawspur.leases import LeasedUpstream
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs import LookAt
+from jackdawspur.runs import PollUpstream
 from jackdawspur.runs._replies import LOSSY_SHARE
 from jackdawspur.runs.tests.conftest import PATIENT, Leading
 
@@ -15,9 +15,9 @@
 SILENT_S = 0.1
 
 
-def held(leading: Leading, upstream: UpstreamId) -> HeldUpstream:
+def held(leading: Leading, upstream: UpstreamId) -> LeasedUpstream:
     """Return what the leading host keeps of an upstream."""
-    all_held = leading.dispatcher.fleet.held
+    all_held = leading.dispatcher.upstream_pool.upstreams
     return next(one for one in all_held if one.entry.id == upstream)
 
 
@@ -29,7 +29,7 @@
     leading.silent.add(FLAPPING)
 
 
-def fall_silent(leading: Leading) -> LookAt:
+def fall_silent(leading: Leading) -> PollUpstream:
     """Let an upstream lose a start and the next looks; return one sent before."""
     leading.advance(SOON_S, STEP_S)
     go_down(leading)
@@ -39,14 +39,14 @@
     leading.collect()
     assert leading.lose_start(carried_out=False).upstream == FLAPPING
     leading.advance(SILENT_S, STEP_S)
-    assert not held(leading, FLAPPING).answered
+    assert not held(leading, FLAPPING).responsive
     return early
 
 
-def reply_late(leading: Leading, early: LookAt) -> None:
+def reply_late(leading: Leading, early: PollUpstream) -> None:
     """Let the reply to a look come after later ones were lost."""
     report = leading.upstreams[FLAPPING].report(early.last_seen)
-    leading.dispatcher.look_replied(early, report, leading.now)
+    leading.dispatcher.poll_replied(early, report, leading.now)
 
 
 def test_an_upstream_that_was_down_just_now_is_taken_last(leading: Leading):
@@ -56,7 +56,7 @@
     leading.upstreams[FLAPPING].running.clear()
     leading.silent.clear()
     leading.advance(SOON_S, STEP_S)
-    assert held(leading, FLAPPING).answered
+    assert held(leading, FLAPPING).responsive
     leading.upstreams[SOUND].end("aa.0.0.0")
     leading.settle()
     leading.offer("bb", tasks=3, call=2)
@@ -74,7 +74,7 @@
     leading.collect()
     assert [one for one in leading.looks if one.upstream == FLAPPING]
     for look in leading.looks:
-        assert look.upstream == SOUND or look.until_ms is None
+        assert look.upstream == SOUND or look.lease_until_ms is None
 
 
 def test_a_reply_to_a_look_from_before_the_silence_opens_no_room(leading: Leading):
--- a/jackdawspur/runs/tests/test_full_zone.py
+++ b/jackdawspur/runs/tests/test_full_zone.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from jackdawspur.runs import Place, SpareRoom
+from jackdawspur.runs import RemoteLeader, SpareCapacity
 from jackdawspur.runs.tests.conftest import FENCE, PATIENT, Leading
 
-PLACE = Place("far", FENCE * 2)
-ROOM_FOR_FOUR = {"roster": SpareRoom((28_000, 28_000))}
+PLACE = RemoteLeader("far", FENCE * 2)
+ROOM_FOR_FOUR = {"roster": SpareCapacity((28_000, 28_000))}
 # Tasks are expected to take 0.2 s, and some take all of this; a tick comes every 25 ms.
 MAY_TAKE_S = 0.36
 NEARLY_ALL_S = 0.24
@@ -18,7 +18,7 @@
     leading.offer("aa", tasks, PATIENT, deadline=leading.now + 5.0)
     leading.settle()
     assert len(leading.running()) == tasks
-    leading.dispatcher.room_offered(PLACE, ROOM_FOR_FOUR, leading.now)
+    leading.dispatcher.update_offered_capacity(PLACE, ROOM_FOR_FOUR, leading.now)
 
 
 def passed_on(leading: Leading) -> list[str]:
--- a/jackdawspur/runs/tests/test_learned.py
+++ b/jackdawspur/runs/tests/test_learned.py
@@ -8,9 +8,9 @@
 import msgspec
 import pytest
 
-from jackdawspur.leases import Ending, Resources, UpstreamEntry
+from jackdawspur.leases import Resources, RunResult, UpstreamEntry
 from jackdawspur.model import HostId, UpstreamId
-from jackdawspur.runs import JobRequest, JobStep, Learned, LearnedRoute, Offer
+from jackdawspur.runs import JobRequest, JobStep, LearnedRoute, LearnedStats, Offer
 from jackdawspur.runs._estimates import Estimates
 from jackdawspur.runs._job import Job
 from jackdawspur.runs._learned import LearnedPace
@@ -41,7 +41,7 @@
         self._boots = boots or {}
 
     def lead(self) -> None:
-        self.estimates.lead(self.now)
+        self.estimates.start_leading(self.now)
         for one in self.upstreams:
             self.estimates.boot_seen(one, self._boots.get(one, 0))
 
@@ -54,7 +54,7 @@
         for task, (one, ms) in zip(job.tasks, took_ms.items(), strict=True):
             task.upstream = one
             since = self.now - ms / 1000
-            self.estimates.ended(job, task, one, Ending.DONE, since, self.now)
+            self.estimates.ended(job, task, one, RunResult.DONE, since, self.now)
         self.estimates.learn_paces(job)
 
     def run_jobs(self, jobs: int = 12, slow_ms: float = 1800.0) -> None:
@@ -67,18 +67,18 @@
         return self.estimates.expected_ms(ROUTE, STEPS)[0]
 
 
-def tell(teller: Host, hearer: Host, beats: int = 8) -> list[Learned]:
+def tell(teller: Host, hearer: Host, beats: int = 8) -> list[LearnedStats]:
     """Let one host hear what another tells with its heartbeats."""
     heard = []
     for _ in range(beats):
         teller.now += BEAT_S
         hearer.now = teller.now
-        learned = teller.estimates.told(teller.now)
+        learned = teller.estimates.next_update(teller.now)
         if learned is not None:
             heard.append(learned)
             data = msgspec.msgpack.encode(learned)
-            again = msgspec.msgpack.decode(data, type=Learned)
-            hearer.estimates.take_in(again, hearer.now)
+            again = msgspec.msgpack.decode(data, type=LearnedStats)
+            hearer.estimates.merge_update(again, hearer.now)
     return heard
 
 
@@ -111,12 +111,12 @@
         leads.advance(0.1)
     for _ in range(4):
         leads.now += BEAT_S
-        learned = leads.dispatcher.estimates.told(leads.now)
+        learned = leads.dispatcher.estimates.next_update(leads.now)
         if learned:
-            follows.dispatcher.estimates.take_in(learned, leads.now)
+            follows.dispatcher.estimates.merge_update(learned, leads.now)
     follows.now = leads.now
     follows.lead(2 * FENCE)
-    pace = follows.dispatcher.estimates.pace
+    pace = follows.dispatcher.estimates.slowdown
     assert pace(SLOW) > 1.5 * pace(FIRST)
     follows.offer("long")
     follows.settle()
@@ -140,9 +140,9 @@
         former.run_jobs(jobs, slow_ms=850.0)
         tell(former, following)
         following.lead()
-        before = math.log(following.estimates.pace(SLOW))
+        before = math.log(following.estimates.slowdown(SLOW))
         following.run_job(dict.fromkeys(following.upstreams, 600.0))
-        moved.append(1.0 - math.log(following.estimates.pace(SLOW)) / before)
+        moved.append(1.0 - math.log(following.estimates.slowdown(SLOW)) / before)
     assert moved[0] > 0.25
     assert moved[1] < 0.15
 
@@ -158,13 +158,13 @@
         hearer.lead()
         hearer.run_job(dict.fromkeys(hearer.upstreams, 600.0) | {SLOW: shown_ms})
         shown = math.log(shown_ms / 600.0)
-        off.append(abs(math.log(hearer.estimates.pace(SLOW)) - shown))
+        off.append(abs(math.log(hearer.estimates.slowdown(SLOW)) - shown))
     assert off[1] < off[0]
     forgotten = Host("b", 4)
     tell(former, forgotten, TO_ALL_AGAIN)
     forgotten.now += 600.0
     forgotten.lead()
-    assert forgotten.estimates.pace(SLOW) == 1.0
+    assert forgotten.estimates.slowdown(SLOW) == 1.0
     assert forgotten.expected_ms() == pytest.approx(200.0)
 
 
@@ -173,7 +173,7 @@
     hearer = Host("b", 4, boots={SLOW: 7})
     tell(former, hearer)
     hearer.lead()
-    assert hearer.estimates.pace(SLOW) == 1.0
+    assert hearer.estimates.slowdown(SLOW) == 1.0
     assert hearer.expected_ms() > 400.0
 
 
@@ -183,18 +183,18 @@
     following._boots[SLOW] = 9
     tell(former, following)
     following.lead()
-    assert following.estimates.pace(SLOW) == 1.0
+    assert following.estimates.slowdown(SLOW) == 1.0
 
 
 def test_a_host_that_led_lately_keeps_what_rests_on_more_tasks(former):
     # Guards against a short lead of another host that wipes out what was known.
-    former.estimates.resign(former.now)
+    former.estimates.stop_leading(former.now)
     other = Host("c", 4)
     other.lead()
     other.run_job(dict.fromkeys(other.upstreams, 300.0))
     tell(other, former)
     former.lead()
-    assert former.estimates.pace(SLOW) > 2.0
+    assert former.estimates.slowdown(SLOW) > 2.0
     assert former.expected_ms() > 400.0
 
 
@@ -202,16 +202,18 @@
     # Guards against two hosts that both lead for a moment and mix what they see.
     following.lead()
     tell(former, following)
-    following.estimates.lead(following.now)
-    assert following.estimates.pace(SLOW) == 1.0
+    following.estimates.start_leading(following.now)
+    assert following.estimates.slowdown(SLOW) == 1.0
 
 
 def test_the_first_leading_host_begins_as_ever(following):
     # Guards against beliefs without a source.
-    assert following.estimates.told(following.now) is None
+    assert following.estimates.next_update(following.now) is None
     following.lead()
-    assert following.estimates.told(following.now) is None
-    assert [following.estimates.pace(one) for one in following.upstreams] == [1.0] * 4
+    assert following.estimates.next_update(following.now) is None
+    assert [following.estimates.slowdown(one) for one in following.upstreams] == [
+        1.0
+    ] * 4
 
 
 def moments(*values: float) -> bytes:
@@ -238,7 +240,7 @@
 @pytest.mark.parametrize("route", ABSURD_ROUTES)
 def test_absurd_run_times_are_not_believed(following, route):
     # Guards against one broken value that makes every job of a route hopeless.
-    following.estimates.take_in(Learned(b"", (route,)), following.now)
+    following.estimates.merge_update(LearnedStats(b"", (route,)), following.now)
     following.lead()
     assert following.expected_ms() == pytest.approx(200.0)
 
@@ -248,11 +250,15 @@
     # Guards against bytes of strangers that slow upstreams down or stop the decisions.
     rng = random.Random(size)
     for _ in range(20):
-        following.estimates.take_in(Learned(rng.randbytes(size)), following.now)
+        following.estimates.merge_update(
+            LearnedStats(rng.randbytes(size)), following.now
+        )
     following.lead()
-    assert [following.estimates.pace(one) for one in following.upstreams] == [1.0] * 4
+    assert [following.estimates.slowdown(one) for one in following.upstreams] == [
+        1.0
+    ] * 4
     following.run_jobs()
-    assert following.estimates.pace(SLOW) > 2.0
+    assert following.estimates.slowdown(SLOW) > 2.0
 
 
 def test_any_level_that_is_told_is_a_possible_pace(former, following):
@@ -261,9 +267,11 @@
         for level in (0, 255):
             paces = bytearray(told.paces)
             paces[4::6] = bytes([level]) * (len(paces) // 6)
-            following.estimates.take_in(Learned(bytes(paces)), following.now)
+            following.estimates.merge_update(LearnedStats(bytes(paces)), following.now)
     following.lead()
-    assert all(0.49 < following.estimates.pace(u) < 20.1 for u in following.upstreams)
+    assert all(
+        0.49 < following.estimates.slowdown(u) < 20.1 for u in following.upstreams
+    )
 
 
 def test_what_is_told_is_bounded_in_bytes_and_comes_round():
@@ -295,7 +303,7 @@
     assert routes_told >= 8
 
 
-def _keys(learned: Learned) -> list[bytes]:
+def _keys(learned: LearnedStats) -> list[bytes]:
     return [learned.paces[at : at + 4] for at in range(0, len(learned.paces), 6)]
 
 
@@ -316,5 +324,5 @@
     assert a_second < 320
     following.lead()
     for one in former.upstreams:
-        ratio = following.estimates.pace(one) / former.estimates.pace(one)
+        ratio = following.estimates.slowdown(one) / former.estimates.slowdown(one)
         assert 0.7 < ratio < 1.4
--- a/jackdawspur/runs/tests/test_little_to_spare.py
+++ b/jackdawspur/runs/tests/test_little_to_spare.py
@@ -4,10 +4,10 @@
 """
 
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs import JobEnd, Place, SpareRoom
+from jackdawspur.runs import JobEnd, RemoteLeader, SpareCapacity
 from jackdawspur.runs.tests.conftest import FENCE, PATIENT, Leading
 
-PLACE = Place("far", FENCE * 2)
+PLACE = RemoteLeader("far", FENCE * 2)
 # Less than a task may well take, and more than it does if all goes well.
 LITTLE_S = 0.21
 
@@ -18,8 +18,8 @@
 
 def offer_room(leading: Leading, fast: int = 0, slow: int = 0) -> None:
     """Let another group offer room for so many tasks."""
-    room = SpareRoom((14_000,) * fast, (14_000,) * slow)
-    leading.dispatcher.room_offered(PLACE, {"roster": room}, leading.now)
+    room = SpareCapacity((14_000,) * fast, (14_000,) * slow)
+    leading.dispatcher.update_offered_capacity(PLACE, {"roster": room}, leading.now)
 
 
 # Guards against refusing a job beside idle upstreams when it comes just before a tick.
@@ -108,17 +108,17 @@
 
 
 def _ratio(estimates, one: UpstreamId, other: UpstreamId) -> float:
-    return estimates.pace(one) / estimates.pace(other)
+    return estimates.slowdown(one) / estimates.slowdown(other)
 
 
 # Guards against offering no room although a job here wants none of it.
 def test_it_is_told_whether_jobs_found_no_room(leading: Leading):
     leading.offer("aa", tasks=4)
     leading.settle()
-    assert not leading.dispatcher.wants_room(leading.now)
+    assert not leading.dispatcher.needs_capacity(leading.now)
     leading.offer("bb", route=PATIENT, deadline=leading.now + 5.0)
     leading.settle()
-    assert leading.dispatcher.wants_room(leading.now)
+    assert leading.dispatcher.needs_capacity(leading.now)
     leading.dispatcher.drop("h2", "bb", 1, leading.now)
     leading.advance(0.6)
-    assert not leading.dispatcher.wants_room(leading.now)
+    assert not leading.dispatcher.needs_capacity(leading.now)
--- a/jackdawspur/runs/tests/test_losses.py
+++ b/jackdawspur/runs/tests/test_losses.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from jackdawspur.leases import Ending
+from jackdawspur.leases import RunResult
 from jackdawspur.runs import (
     Decision,
-    JobBegun,
+    DecisionRecord,
+    InitialTasksStarted,
     JobLost,
     JobRequest,
     JobStep,
     LossCause,
-    Note,
     Offer,
 )
 from jackdawspur.runs.tests.conftest import PATIENT, ROUTE, TASK, Leading
@@ -23,14 +23,20 @@
 
 
 @pytest.fixture
-def notes(leading: Leading, monkeypatch) -> list[Note | JobLost | JobBegun]:
+def notes(
+    leading: Leading, monkeypatch
+) -> list[DecisionRecord | JobLost | InitialTasksStarted]:
     """Return what is told from now on."""
-    told: list[Note | JobLost | JobBegun] = []
+    told: list[DecisionRecord | JobLost | InitialTasksStarted] = []
     flush = leading.dispatcher.flush
 
     def keep(now: float) -> list:
         effects = flush(now)
-        told.extend(e for e in effects if isinstance(e, Note | JobLost | JobBegun))
+        told.extend(
+            e
+            for e in effects
+            if isinstance(e, DecisionRecord | JobLost | InitialTasksStarted)
+        )
         return effects
 
     monkeypatch.setattr(leading.dispatcher, "flush", keep)
@@ -46,7 +52,7 @@
     (one,) = [
         n
         for n in notes
-        if isinstance(n, Note) and n.job == job and n.decision is decision
+        if isinstance(n, DecisionRecord) and n.job == job and n.decision is decision
     ]
     return dict(one.inputs)
 
@@ -132,7 +138,7 @@
     leading.settle()
     leading.advance(0.3)
     (place,) = leading.running()["aa.0.0.0"]
-    leading.upstreams[place].end("aa.0.0.0", Ending.LAPSED)
+    leading.upstreams[place].end("aa.0.0.0", RunResult.LAPSED)
     leading.settle()
     barred(leading, "aa")
     leading.upstreams[place].began_ms.clear()
@@ -175,7 +181,7 @@
     leading.offer("aa", call=3)
     leading.dispatcher.drop("h2", "aa", 3, leading.now)
     (place,) = leading.running()["bb.0.0.0"]
-    leading.upstreams[place].end("bb.0.0.0", Ending.FAILED)
+    leading.upstreams[place].end("bb.0.0.0", RunResult.FAILED)
     leading.settle()
     assert lost(notes, "aa").cause is LossCause.NEVER_BEGUN
     assert lost(notes, "bb").cause is LossCause.FAILED
@@ -216,12 +222,12 @@
     # Guards against telling the wait of the first task as that of all.
     leading.offer("aa", tasks=5, route=PATIENT)
     leading.settle()
-    assert not [one for one in notes if isinstance(one, JobBegun)]
+    assert not [one for one in notes if isinstance(one, InitialTasksStarted)]
     leading.advance(0.1)
     for place in leading.upstreams.values():
         for task in list(place.running)[:1]:
             place.end(task)
     leading.settle()
-    (begun,) = [one for one in notes if isinstance(one, JobBegun)]
+    (begun,) = [one for one in notes if isinstance(one, InitialTasksStarted)]
     assert (begun.job, begun.route) == ("aa", ROUTE.name)
     assert 95.0 < begun.last_start_ms < 105.0
--- a/jackdawspur/runs/tests/test_lost_replies.py
+++ b/jackdawspur/runs/tests/test_lost_replies.py
@@ -6,7 +6,7 @@
 """
 
 from jackdawspur.leases import CallOutcome
-from jackdawspur.runs import JobEnd, LookAt
+from jackdawspur.runs import JobEnd, PollUpstream
 from jackdawspur.runs._replies import LOSSY_SHARE, Replies
 from jackdawspur.runs.tests.conftest import PATIENT, Leading
 
@@ -20,7 +20,7 @@
     leading.advance(seconds, step_s)
 
 
-def lost_look(leading: Leading) -> LookAt:
+def lost_look(leading: Leading) -> PollUpstream:
     """Take the look that waits at the first upstream, which gets no reply."""
     first = next(iter(leading.upstreams))
     pass_time(leading, SOON_S)
@@ -70,11 +70,13 @@
     assert first.upstream == second.upstream
     leading.dispatcher.start_replied(first, CallOutcome.UNKNOWN, leading.now)
     leading.dispatcher.start_replied(second, CallOutcome.FENCED, leading.now)
-    held = {h.entry.id: h for h in leading.dispatcher.fleet.held}[first.upstream]
-    assert held.held
+    held = {h.entry.id: h for h in leading.dispatcher.upstream_pool.upstreams}[
+        first.upstream
+    ]
+    assert held.acquired
     leading.settle()
     assert len(leading.running()) == 2
-    assert leading.dispatcher.fleet.fenced_since is None
+    assert leading.dispatcher.upstream_pool.fenced_since is None
 
 
 def test_one_lost_look_costs_no_run_and_no_lease(leading: Leading):
@@ -83,12 +85,12 @@
     leading.offer("aa")
     leading.settle()
     look = lost_look(leading)
-    before = leading.dispatcher.fleet.cpu_millis
+    before = leading.dispatcher.upstream_pool.cpu_millis
     pass_time(leading, 0.3)
-    leading.dispatcher.look_replied(look, CallOutcome.UNKNOWN, leading.now)
+    leading.dispatcher.poll_replied(look, CallOutcome.UNKNOWN, leading.now)
     pass_time(leading, 0.4)
-    assert leading.dispatcher.fleet.all_held(leading.now)
-    assert leading.dispatcher.fleet.cpu_millis == before
+    assert leading.dispatcher.upstream_pool.all_held(leading.now)
+    assert leading.dispatcher.upstream_pool.cpu_millis == before
     assert list(leading.running()) == ["aa.0.0.0"]
 
 
@@ -97,7 +99,7 @@
     first = next(iter(leading.upstreams))
     leading.silent.add(first)
     pass_time(leading, 0.3)
-    assert not leading.dispatcher.fleet.all_held(leading.now)
+    assert not leading.dispatcher.upstream_pool.all_held(leading.now)
     leading.offer("aa", tasks=2)
     pass_time(leading, SOON_S)
     assert all(first not in places for places in leading.running().values())
@@ -114,7 +116,9 @@
     (order,) = leading.starts
     leading.now += 1.0
     leading.collect()
-    held = {h.entry.id: h for h in leading.dispatcher.fleet.held}[order.upstream]
+    held = {h.entry.id: h for h in leading.dispatcher.upstream_pool.upstreams}[
+        order.upstream
+    ]
     assert held.fence == order.fence
 
 
@@ -200,4 +204,4 @@
         upstream.end(next(iter(upstream.running)))
     pass_time(leading, 0.5)
     assert [answer.outcome.end for answer in leading.answers] == [JobEnd.COMPLETE]
-    assert leading.dispatcher.estimates.pace(late) < 1.2
+    assert leading.dispatcher.estimates.slowdown(late) < 1.2
--- a/jackdawspur/runs/tests/test_new_lead.py
+++ b/jackdawspur/runs/tests/test_new_lead.py
@@ -9,7 +9,7 @@
 def test_no_job_is_refused_before_upstreams_have_answered():
     # Guards against refusing callers who come back after a loss of power.
     leading = Leading()
-    leading.dispatcher.lead(FENCE, leading.now)
+    leading.dispatcher.start_leading(FENCE, leading.now)
     for number in range(JOBS):
         leading.offer(f"{number:02x}", call=number)
     leading.dispatcher.tick(leading.now)
--- a/jackdawspur/runs/tests/test_one_run.py
+++ b/jackdawspur/runs/tests/test_one_run.py
@@ -1,6 +1,6 @@
 """A task never has two runs at one time."""
 
-from jackdawspur.leases import CallOutcome, Ending
+from jackdawspur.leases import CallOutcome, RunResult
 from jackdawspur.runs import DropCause, JobEnd, Progress
 from jackdawspur.runs.tests.conftest import FENCE, PATIENT, Leading
 
@@ -78,12 +78,14 @@
     leading.looks.clear()
     leading.now += 0.01
     held = next(
-        h for h in leading.dispatcher.fleet.held if h.entry.id == order.upstream
+        h
+        for h in leading.dispatcher.upstream_pool.upstreams
+        if h.entry.id == order.upstream
     )
-    held.open_looks.clear()
+    held.pending_polls.clear()
     leading.collect()
     look = next(look for look in leading.looks if look.upstream == order.upstream)
-    assert look.until_ms is None
+    assert look.lease_until_ms is None
 
 
 def test_the_same_job_again_waits_until_its_first_run_is_gone(leading: Leading):
@@ -106,7 +108,7 @@
     for _ in range(3):
         leading.settle()
         ((name, (place,)),) = leading.running().items()
-        leading.upstreams[place].end(name, Ending.FAILED)
+        leading.upstreams[place].end(name, RunResult.FAILED)
     leading.settle()
     assert [a.outcome.end for a in leading.answers] == [JobEnd.FAILED]
     assert not leading.running()
@@ -132,7 +134,7 @@
     upstream = next(iter(leading.upstreams.values()))
     upstream.running["aa.0.0.1"] = 1
     leading.lead()
-    leading.offer("aa", tasks=2, handed=1, progress=Progress(("aa.0.0.0",)))
+    leading.offer("aa", tasks=2, handovers=1, progress=Progress(("aa.0.0.0",)))
     leading.settle()
     assert leading.running() == {"aa.0.0.1": [upstream.id]}
     upstream.end("aa.0.0.1")
@@ -147,7 +149,7 @@
     first = next(iter(leading.upstreams))
     leading.silent.add(first)
     leading.lead()
-    leading.offer("aa", route=PATIENT, deadline=leading.now + 5.0, handed=1)
+    leading.offer("aa", route=PATIENT, deadline=leading.now + 5.0, handovers=1)
     leading.settle()
     assert not leading.running()
     leading.advance(1.0)
@@ -164,7 +166,7 @@
     leading.offer("aa")
     leading.settle()
     assert not leading.running()
-    assert leading.dispatcher.fleet.fenced_since is not None
+    assert leading.dispatcher.upstream_pool.fenced_since is not None
 
 
 def test_every_listed_run_takes_room_though_its_task_runs_elsewhere():
@@ -175,7 +177,7 @@
     first.running["aa.0.0.0"] = 1
     second.running["aa.0.0.0"] = 17
     leading.lead()
-    leading.offer("aa", handed=1)
+    leading.offer("aa", handovers=1)
     leading.offer("bb", tasks=4, call=2)
     leading.collect()
     assert all(len(u.running) <= 2 for u in leading.upstreams.values())
@@ -193,7 +195,7 @@
     first = next(iter(leading.upstreams))
     leading.silent.add(first)
     leading.advance(1.0)
-    leading.offer("aa", handed=1)
+    leading.offer("aa", handovers=1)
     leading.settle()
     assert not leading.running()
 
@@ -206,7 +208,7 @@
     upstream.running["aa.0.0.0"] = 1
     upstream.end("aa.0.0.0")
     leading.lead()
-    leading.offer("aa", handed=1)
+    leading.offer("aa", handovers=1)
     leading.settle()
     assert [a.outcome.end for a in leading.answers] == [JobEnd.COMPLETE]
     assert not leading.running()
@@ -220,7 +222,7 @@
     first, second = leading.upstreams
     leading.dispatcher.set_upstreams([leading.entry(second)], leading.now)
     leading.advance(0.1)
-    leading.offer("aa", route=PATIENT, deadline=leading.now + 5.0, handed=1)
+    leading.offer("aa", route=PATIENT, deadline=leading.now + 5.0, handovers=1)
     leading.settle()
     assert not leading.running()
     leading.offer("bb", call=2)
@@ -253,14 +255,14 @@
     # as running for ever, since its end had gone to the host that led in between.
     leading.offer("aa", tasks=4)
     leading.settle()
-    leading.dispatcher.resign(leading.now)
+    leading.dispatcher.stop_leading(leading.now)
     for upstream in leading.upstreams.values():
         upstream.running.clear()
     leading.lead(FENCE * 2)
     leading.offer("bb", tasks=4)
     leading.settle()
     for name, (place,) in list(leading.running().items()):
-        leading.upstreams[place].end(name, Ending.FAILED)
+        leading.upstreams[place].end(name, RunResult.FAILED)
     leading.settle()
     assert leading.running()
 
@@ -289,14 +291,14 @@
     leading = Leading(upstreams=1)
     (upstream,) = leading.upstreams.values()
     upstream.running["aa.0.0.0"] = 1
-    leading.dispatcher.lead(FENCE, leading.now)
+    leading.dispatcher.start_leading(FENCE, leading.now)
     leading.collect()
     leading.reply_looks()
     leading.collect()
-    assert [look.until_ms for look in leading.looks] == [None]
-    leading.offer("aa", handed=1)
+    assert [look.lease_until_ms for look in leading.looks] == [None]
+    leading.offer("aa", handovers=1)
     leading.collect()
-    assert leading.looks[-1].until_ms is not None
+    assert leading.looks[-1].lease_until_ms is not None
     assert leading.looks[-1].wait_ms == 0
 
 
@@ -307,7 +309,9 @@
     leading = Leading()
     leading.silent.add(next(iter(leading.upstreams)))
     leading.lead()
-    leading.offer("aa", handed=1, arrived=leading.now - 0.5, deadline=leading.now + 1.0)
+    leading.offer(
+        "aa", handovers=1, arrived=leading.now - 0.5, deadline=leading.now + 1.0
+    )
     leading.advance(0.2)
     assert not leading.answers
     leading.advance(0.2)
@@ -318,7 +322,7 @@
     leading = Leading()
     leading.silent.add(next(iter(leading.upstreams)))
     leading.lead()
-    leading.offer("aa", route=PATIENT, handed=1, deadline=leading.now + 3.0)
+    leading.offer("aa", route=PATIENT, handovers=1, deadline=leading.now + 3.0)
     leading.advance(1.2)
     assert not leading.answers
     assert len(leading.running()) == 1
--- a/jackdawspur/runs/tests/test_overdue_starts.py
+++ b/jackdawspur/runs/tests/test_overdue_starts.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from jackdawspur.leases import Phase, Run, RunId
+from jackdawspur.leases import Run, RunId, RunPhase
 from jackdawspur.runs._starts import Starts, _Open
 
 # With these, `a + b - b < a` in floating point.
@@ -14,7 +14,7 @@
     settled = []
     starts = Starts(SimpleNamespace(), SimpleNamespace(overdue_s=OVERDUE_S))
     starts._unsure = lambda held, run, now: settled.append(run)
-    run = Run(RunId("t", 1), None, Phase.STARTING, STARTED_AT)
+    run = Run(RunId("t", 1), None, RunPhase.STARTING, STARTED_AT)
     held = SimpleNamespace(runs={run.id: run})
     starts._open.append(_Open(STARTED_AT, held, run))
     starts.settle_overdue(starts.overdue_at)
--- a/jackdawspur/runs/tests/test_placer.py
+++ b/jackdawspur/runs/tests/test_placer.py
@@ -20,11 +20,11 @@
 def placer(leading: Leading) -> CountingPlacer:
     dispatcher = leading.dispatcher
     one = CountingPlacer(
-        dispatcher.fleet,
+        dispatcher.upstream_pool,
         dispatcher._starts,
         dispatcher.estimates,
         dispatcher._begun,
-        dispatcher._passing_on,
+        dispatcher._redirector,
     )
     dispatcher._placer = one
     return one
@@ -68,9 +68,9 @@
     # A host that leads many upstreams is busy though no job comes: with each tick it
     # asked all of them for room.
     asked = []
-    with_room = leading.dispatcher.fleet.with_room
+    with_room = leading.dispatcher.upstream_pool.with_room
     monkeypatch.setattr(
-        leading.dispatcher.fleet,
+        leading.dispatcher.upstream_pool,
         "with_room",
         lambda now: asked.append(now) or with_room(now),
     )
--- a/jackdawspur/runs/tests/test_progress.py
+++ b/jackdawspur/runs/tests/test_progress.py
@@ -91,7 +91,7 @@
     upstream.running["aa.0.0.0"] = 1
     upstream.percent["aa.0.0.0"] = 60.0
     leading.lead()
-    leading.offer("aa", handed=1)
+    leading.offer("aa", handovers=1)
     leading.settle()
     for percent in (70.0, 80.0, 90.0):
         upstream.percent["aa.0.0.0"] = percent
--- a/jackdawspur/runs/tests/test_replies.py
+++ b/jackdawspur/runs/tests/test_replies.py
@@ -1,6 +1,6 @@
 """Replies that come late, or out of order, free no room that is in use."""
 
-from jackdawspur.leases import CallOutcome, Ending
+from jackdawspur.leases import CallOutcome, RunResult
 from jackdawspur.runs.tests.conftest import FENCE, Leading
 
 LATER_FENCE = FENCE * 2
@@ -52,7 +52,7 @@
     leading.offer("aa")
     leading.settle()
     assert leading.running() == {"aa.0.0.0": [place]}
-    leading.dispatcher.look_replied(old_look, old_report, leading.now)
+    leading.dispatcher.poll_replied(old_look, old_report, leading.now)
     leading.collect()
     assert not leading.starts
 
@@ -73,7 +73,7 @@
     leading.silent.clear()
     leading.advance(SOON_S)
     assert leading.running() == {"aa.0.0.0": [place]}
-    assert [end.ending for end in other.ended] in ([], [Ending.STOPPED])
+    assert [end.result for end in other.ended] in ([], [RunResult.STOPPED])
     leading.dispatcher.drop("h2", "aa", 1, leading.now)
     leading.settle()
     assert not leading.running()
--- a/jackdawspur/runs/tests/test_restarts.py
+++ b/jackdawspur/runs/tests/test_restarts.py
@@ -22,7 +22,7 @@
     leading.advance(FIRST_TOLD_S, STEP_S)
     leading.upstreams[place].percent["aa.0.0.0"] = FIRST_PERCENT
     report = leading.upstreams[place].report(look.last_seen)
-    leading.dispatcher.look_replied(look, report, leading.now)
+    leading.dispatcher.poll_replied(look, report, leading.now)
     leading.dispatcher.tick(leading.now)
     leading.collect()
     assert not leading.stops
--- a/jackdawspur/runs/tests/test_unknown_paces.py
+++ b/jackdawspur/runs/tests/test_unknown_paces.py
@@ -69,7 +69,7 @@
     teach(leading, slow=large)
     drained = [replace(one, draining=one.id in (small, large)) for one in entries]
     leading.dispatcher.set_upstreams(drained, leading.now)
-    leading.dispatcher.compare_lists(len(drained), leading.now)
+    leading.dispatcher.update_peer_lists(len(drained), leading.now)
     leading.advance(0.05)
     use_a_little(leading, new_large, tasks=2)
     leading.offer("aa", deadline=leading.now + NEARLY_ALL_S)
--- a/jackdawspur/runs/tests/test_upstream_restarts.py
+++ b/jackdawspur/runs/tests/test_upstream_restarts.py
@@ -89,7 +89,7 @@
     leading.settle()
     leading.offer("aa")
     leading.settle()
-    leading.dispatcher.look_replied(old_look, old_report, leading.now)
+    leading.dispatcher.poll_replied(old_look, old_report, leading.now)
     leading.settle()
     assert place.running == {"aa.0.0.0": 1}
 
@@ -103,4 +103,4 @@
     leading.offer("aa")
     leading.collect()
     (start,) = leading.starts
-    assert place.clock_ms < start.until_ms <= place.clock_ms + LEASE_MS
+    assert place.clock_ms < start.lease_until_ms <= place.clock_ms + LEASE_MS
--- a/jackdawspur/runs/tests/test_watch.py
+++ b/jackdawspur/runs/tests/test_watch.py
@@ -6,7 +6,7 @@
 
 from jackdawspur.leases import CallOutcome
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs import LookAt
+from jackdawspur.runs import PollUpstream
 from jackdawspur.runs.tests.conftest import FENCE, Leading
 
 CALM_S = 5.0
@@ -24,7 +24,7 @@
 
     def counted():
         effects = collect()
-        looks.update(e.upstream for e in effects if isinstance(e, LookAt))
+        looks.update(e.upstream for e in effects if isinstance(e, PollUpstream))
         return effects
 
     leading.collect = counted
@@ -71,9 +71,9 @@
     resting.offer("aa")
     effects = resting.collect()
     (order,) = resting.starts
-    (look,) = [e for e in effects if isinstance(e, LookAt)]
+    (look,) = [e for e in effects if isinstance(e, PollUpstream)]
     assert look.upstream == order.upstream
-    assert look.wait_ms > 0 and look.until_ms is not None
+    assert look.wait_ms > 0 and look.lease_until_ms is not None
 
 
 def test_a_handed_over_job_waits_for_an_upstream_that_fell_silent_at_rest(
@@ -87,7 +87,7 @@
     resting.now += 0.5
     for upstream in resting.upstreams.values():
         upstream.clock_ms += 500
-    resting.offer("aa", handed=1)
+    resting.offer("aa", handovers=1)
     resting.collect()
     assert not resting.starts
     resting.settle()
@@ -105,7 +105,7 @@
     # A caller waits 1.1 s longer after a change of the lead though all upstreams are
     # sound: none had been looked at just then.
     resting.now += rested_s
-    resting.offer("aa", handed=1)
+    resting.offer("aa", handovers=1)
     resting.settle()
     assert list(resting.running()) == ["aa.0.0.0"]
 
@@ -154,7 +154,7 @@
 
 def looked_at(leading: Leading) -> set[UpstreamId]:
     """Take the effects of a pass; return the upstreams that are looked at."""
-    return {e.upstream for e in leading.collect() if isinstance(e, LookAt)}
+    return {e.upstream for e in leading.collect() if isinstance(e, PollUpstream)}
 
 
 def test_a_foreign_fence_on_one_upstream_has_all_looked_at(resting: Leading):
--- a/jackdawspur/scheduling/__init__.py
+++ b/jackdawspur/scheduling/__init__.py
@@ -8,18 +8,18 @@
     __name__,
     submod_attrs={
         "_admission": [
-            "Admission",
+            "AdmissionController",
+            "AdmissionDecision",
             "Admit",
             "LocalLoad",
             "Refuse",
             "UpstreamSizes",
-            "Verdict",
             "expected_wait_ms",
-            "never_fits",
+            "refuse_oversized",
         ],
-        "_peer_selector": ["Elsewhere", "HostLoad", "Move"],
+        "_peer_selector": ["DelegationTarget", "HostLoad", "PeerSelector"],
         "_job": ["NextTask", "QueuedJob", "Reservation"],
         "_queue": ["JobQueue"],
-        "_run_times": ["Moments", "RunTimes"],
+        "_run_times": ["Moments", "RunTimeEstimator"],
     },
 )
--- a/jackdawspur/scheduling/_admission.py
+++ b/jackdawspur/scheduling/_admission.py
@@ -15,14 +15,14 @@
 from jackdawspur.scheduling._job import ROUND_TRIP_MS
 
 __all__ = [
-    "Admission",
+    "AdmissionController",
+    "AdmissionDecision",
     "Admit",
     "LocalLoad",
     "Refuse",
     "UpstreamSizes",
-    "Verdict",
     "expected_wait_ms",
-    "never_fits",
+    "refuse_oversized",
 ]
 
 MIN_RETRY_MS = 50.0
@@ -47,15 +47,15 @@
     retry_after_ms: float = 0.0
 
 
-Verdict = Admit | Refuse
+AdmissionDecision = Admit | Refuse
 
 
 @dataclass(frozen=True, slots=True)
 class LocalLoad:
     """Describe what waits here; times in slot-milliseconds.
 
-    `slots` are those usable here, `own_slots` the most the customer may hold of them
-    by its quota; `fair_part` its weight over that of all customers that wait;
+    `slots` are those usable here, `customer_slots` the most the customer may hold of
+    them by its quota; `fair_share` its weight over that of all customers that wait;
     `running_ms` what running tasks are expected to need still.
     """
 
@@ -63,9 +63,9 @@
     free_slots: int
     waiting_tasks: int
     backlog_ms: float
-    own_backlog_ms: float
-    own_slots: int
-    fair_part: float
+    customer_backlog_ms: float
+    customer_slots: int
+    fair_share: float
     running_ms: float = 0.0
 
 
@@ -86,7 +86,7 @@
         return any(_covers(largest, size) for largest in self._largest)
 
 
-def never_fits(request: JobRequest, sizes: UpstreamSizes) -> Refuse | None:
+def refuse_oversized(request: JobRequest, sizes: UpstreamSizes) -> Refuse | None:
     """Refuse a job with a task that is larger than every upstream."""
     for spec in _distinct(request.tasks):
         if not sizes.can_hold(spec):
@@ -99,19 +99,19 @@
     return None
 
 
-class Admission:
+class AdmissionController:
     """Judge whether a job can meet its contract behind what already waits."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def judge(
+    def evaluate(
         self,
         request: JobRequest,
         estimates_ms: Sequence[float],
         customer: Customer,
         load: LocalLoad,
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Admit a job, or refuse it with the time after which it may fit."""
         if customer.quota_slots <= 0:
             message = "the customer's quota is 0; nothing ran; ask for a quota"
@@ -134,7 +134,7 @@
 def expected_wait_ms(estimates_ms: Sequence[float], load: LocalLoad) -> float:
     """Return the expected wait before the last start of a job that comes now."""
     count = len(estimates_ms)
-    if not load.waiting_tasks and count <= min(load.free_slots, load.own_slots):
+    if not load.waiting_tasks and count <= min(load.free_slots, load.customer_slots):
         return 0.0
     if load.slots <= 0:
         return float("inf")
@@ -143,9 +143,11 @@
     # Fair queueing: a customer waits for all that waits or, when others hold most of
     # it, for its own work at its share of the slots; whichever ends first.
     behind_all = (load.running_ms + load.backlog_ms + work) / load.slots
-    share = max(1.0, load.slots * load.fair_part)
-    behind_own = load.running_ms / load.slots + (load.own_backlog_ms + work) / share
-    quota = (load.own_backlog_ms + work) / max(1, load.own_slots)
+    share = max(1.0, load.slots * load.fair_share)
+    behind_own = (
+        load.running_ms / load.slots + (load.customer_backlog_ms + work) / share
+    )
+    quota = (load.customer_backlog_ms + work) / max(1, load.customer_slots)
     return max(min(behind_all, behind_own), quota)
 
 
@@ -172,7 +174,7 @@
 
 
 def _own_wait_ms(estimates_ms: Sequence[float], load: LocalLoad) -> float:
-    slots = min(load.slots, load.own_slots)
+    slots = min(load.slots, load.customer_slots)
     if len(estimates_ms) <= slots:
         return 0.0
     return (sum(estimates_ms) - min(estimates_ms)) / max(1, slots)
--- a/jackdawspur/scheduling/_lanes.py
+++ b/jackdawspur/scheduling/_lanes.py
@@ -64,7 +64,7 @@
             self.key = self._urgency()
         return index
 
-    def put_back(self, index: int) -> None:
+    def requeue(self, index: int) -> None:
         """Add a task again that did not start."""
         self.left_ms += self.job.estimates_ms[index]
         bisect.insort(self.left, index, key=self.job.estimates_ms.__getitem__)
--- a/jackdawspur/scheduling/_peer_selector.py
+++ b/jackdawspur/scheduling/_peer_selector.py
@@ -5,7 +5,7 @@
 
 from jackdawspur.model import HostId, Objective
 
-__all__ = ["Elsewhere", "HostLoad", "Move"]
+__all__ = ["DelegationTarget", "HostLoad", "PeerSelector"]
 
 # A load older than this says nothing; in seconds.
 STALE_AFTER = 3.0
@@ -30,14 +30,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class DelegationTarget:
     """Name the host a job should go to and the wait expected there."""
 
     host: HostId
     wait_ms: float
 
 
-class Elsewhere:
+class PeerSelector:
     """Weigh other hosts by their last load and by what was sent there since.
 
     A job moves once at most; the caller of `choose` sees to that.
@@ -50,7 +50,7 @@
         self._sent_ms: dict[HostId, float] = {}
         self._sent_tasks: dict[HostId, int] = {}
 
-    def heard(self, load: HostLoad, now: float) -> None:
+    def update_load(self, load: HostLoad, now: float) -> None:
         """Take in a heartbeat."""
         self._loads[load.host] = (now, load)
         self._sent_ms.pop(load.host, None)
@@ -69,7 +69,7 @@
         refused_here: bool,
         objective: Objective,
         now: float,
-    ) -> Move | None:
+    ) -> DelegationTarget | None:
         """Return a host where the job waits clearly less, or None to stay."""
         # Moving costs messages: where these weigh most, only a refusal is worth it.
         if objective is Objective.MESSAGES and not refused_here:
@@ -89,13 +89,13 @@
 
     def _moves(
         self, estimates_ms: tuple[float, ...], most: float, now: float
-    ) -> list[Move]:
+    ) -> list[DelegationTarget]:
         moves = []
         for heard, load in self._loads.values():
             if load.accepts and load.slots > 0 and now - heard <= STALE_AFTER:
                 wait = self._wait_ms(load, estimates_ms)
                 if wait < most:
-                    moves.append(Move(load.host, wait))
+                    moves.append(DelegationTarget(load.host, wait))
         return moves
 
     def _wait_ms(self, load: HostLoad, estimates_ms: tuple[float, ...]) -> float:
--- a/jackdawspur/scheduling/_queue.py
+++ b/jackdawspur/scheduling/_queue.py
@@ -73,7 +73,7 @@
         lane = self._lanes.get(customer)
         return lane.waiting if lane else 0
 
-    def waiting_customers(self) -> dict[str, int]:
+    def waiting_by_customer(self) -> dict[str, int]:
         """Return the number of waiting tasks of each customer that has some."""
         return {lane.name: lane.waiting for lane in self._active}
 
@@ -97,7 +97,7 @@
         """Let all tasks of a job wait."""
         self._insert(WaitingJob(job, range(len(job.tasks))))
 
-    def put_back(self, job: QueuedJob, index: int) -> None:
+    def requeue(self, job: QueuedJob, index: int) -> None:
         """Let a task wait again that its upstream refused to start."""
         lane = self._lane(job.customer)
         estimate = job.estimates_ms[index]
@@ -106,7 +106,7 @@
         if waiting is None:
             self._insert(WaitingJob(job, (index,)))
             return
-        waiting.put_back(index)
+        waiting.requeue(index)
         self._count(lane, 1, estimate)
         self._queue_job(waiting, lane)
 
--- a/jackdawspur/scheduling/_run_times.py
+++ b/jackdawspur/scheduling/_run_times.py
@@ -8,7 +8,7 @@
 
 from jackdawspur.model import TaskSpec
 
-__all__ = ["Moments", "RunTimes"]
+__all__ = ["Moments", "RunTimeEstimator"]
 
 DEFAULT_RUN_MS = 250.0
 MIN_RUN_MS = 1.0
@@ -99,7 +99,7 @@
         self.noise = keep * (self.noise + step * residual * residual)
 
 
-class RunTimes:
+class RunTimeEstimator:
     """Estimate run times by customer and class from tasks that ended.
 
     A regression on log scale corrects a constant factor in declarations, and ignores
@@ -151,13 +151,13 @@
         for key, history in reversed(self._classes.items()):
             yield key, history.moments()
 
-    def count(self, customer: str, job_class: str) -> int:
+    def sample_count(self, customer: str, job_class: str) -> int:
         """Return how many tasks ended; of all classes for an empty name."""
         overall = self._customers.get(customer)
         history = self._classes.get((customer, job_class)) if job_class else overall
         return history.count if history else 0
 
-    def believe(
+    def seed_history(
         self, customer: str, job_class: str, moments: Moments, tasks: int
     ) -> None:
         """Take moments over as if so many tasks had shown them."""
