--- a/jackdawspur/scheduling/tests/test_admission.py
+++ b/jackdawspur/scheduling/tests/test_admission.py
@@ -16,14 +16,14 @@
     UpstreamId,
 )
 from jackdawspur.scheduling import (
-    Admission,
+    AdmissionController,
     Admit,
-    Elsewhere,
     HostLoad,
     LocalLoad,
+    PeerSelector,
     Refuse,
     UpstreamSizes,
-    never_fits,
+    refuse_oversized,
 )
 
 IDLE = LocalLoad(64, 64, 0, 0.0, 0.0, 64, 1.0)
@@ -38,12 +38,12 @@
 
 @pytest.fixture
 def admission():
-    return Admission(random.Random(1))
+    return AdmissionController(random.Random(1))
 
 
 @pytest.fixture
 def elsewhere():
-    return Elsewhere("north", random.Random(2))
+    return PeerSelector("north", random.Random(2))
 
 
 def host_load(name, zone="north", backlog_ms=0.0, free=64):
@@ -53,8 +53,8 @@
 
 def test_backlog_beyond_the_contract_is_refused(admission):
     estimates = (500.0,) * 8
-    assert admission.judge(request(8), estimates, CUSTOMER, IDLE) == Admit(0.0)
-    verdict = admission.judge(request(8), estimates, CUSTOMER, BUSY)
+    assert admission.evaluate(request(8), estimates, CUSTOMER, IDLE) == Admit(0.0)
+    verdict = admission.evaluate(request(8), estimates, CUSTOMER, BUSY)
     assert verdict.code is FailureCode.OVERLOADED
     # 503,500 slot-ms on 64 slots are 7,867 ms, 7,366 ms more than the bound of
     # 1,002 ms allows before a last task of 500 ms.
@@ -66,21 +66,23 @@
 
     It holds 7.8 s of work; a customer without any would wait only for its share.
     """
-    load = replace(BUSY, own_backlog_ms=0.0, fair_part=0.5)
-    assert isinstance(admission.judge(request(), (500.0,), CUSTOMER, load), Admit)
+    load = replace(BUSY, customer_backlog_ms=0.0, fair_share=0.5)
+    assert isinstance(admission.evaluate(request(), (500.0,), CUSTOMER, load), Admit)
 
 
 def test_wide_job_is_admitted_when_idle_and_refused_behind_others(admission):
     estimates = (100.0,) * 360
-    assert isinstance(admission.judge(request(360), estimates, CUSTOMER, IDLE), Admit)
-    verdict = admission.judge(request(360), estimates, CUSTOMER, BUSY)
+    assert isinstance(
+        admission.evaluate(request(360), estimates, CUSTOMER, IDLE), Admit
+    )
+    verdict = admission.evaluate(request(360), estimates, CUSTOMER, BUSY)
     assert isinstance(verdict, Refuse)
-    late = admission.judge(request(360, 300.0), estimates, CUSTOMER, IDLE)
+    late = admission.evaluate(request(360, 300.0), estimates, CUSTOMER, IDLE)
     assert late.code is FailureCode.OVERLOADED
 
 
 def test_customer_without_quota_is_told_so(admission):
-    verdict = admission.judge(request(), (100.0,), Customer("a", 0), IDLE)
+    verdict = admission.evaluate(request(), (100.0,), Customer("a", 0), IDLE)
     assert verdict.code is FailureCode.QUOTA
 
 
@@ -96,13 +98,13 @@
         )
     )
     both = TaskSpec(memory_mb=4096, accelerators=1)
-    assert never_fits(request(spec=both), sizes).code is FailureCode.NEVER_FITS
-    assert never_fits(request(spec=TaskSpec(memory_mb=4096)), sizes) is None
-    assert never_fits(request(spec=TaskSpec(accelerators=2)), sizes) is None
+    assert refuse_oversized(request(spec=both), sizes).code is FailureCode.NEVER_FITS
+    assert refuse_oversized(request(spec=TaskSpec(memory_mb=4096)), sizes) is None
+    assert refuse_oversized(request(spec=TaskSpec(accelerators=2)), sizes) is None
 
 
 def test_job_moves_only_for_a_clear_gain(elsewhere):
-    elsewhere.heard(host_load("e2", backlog_ms=6_400.0), 0.0)
+    elsewhere.update_load(host_load("e2", backlog_ms=6_400.0), 0.0)
     estimates = (100.0,)
     stay = elsewhere.choose(estimates, 110.0, False, RESPONSE, 0.1)
     move = elsewhere.choose(estimates, 1000.0, False, RESPONSE, 0.1)
@@ -120,7 +122,7 @@
     Heartbeats come once a second; until the next one that host still looks idle.
     """
     for name in ("e4", "e5", "e6"):
-        elsewhere.heard(host_load(name, "south"), 0.0)
+        elsewhere.update_load(host_load(name, "south"), 0.0)
     moved = [
         elsewhere.choose((200.0,) * 8, 5000.0, True, RESPONSE, 0.5) for _ in range(60)
     ]
--- a/jackdawspur/scheduling/tests/test_queue.py
+++ b/jackdawspur/scheduling/tests/test_queue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jackdawspur.model import Contract, Customer, Objective, TaskSpec
-from jackdawspur.scheduling import JobQueue, RunTimes
+from jackdawspur.scheduling import JobQueue, RunTimeEstimator
 from jackdawspur.scheduling._lanes import COMPACT_AT
 from jackdawspur.scheduling.tests import trial
 
@@ -33,10 +33,10 @@
     job = make_job(estimates_ms=(100.0, 900.0, 300.0))
     queue.add(job)
     refused = queue.next_task(0.0, anywhere)
-    queue.put_back(job, refused.index)
+    queue.requeue(job, refused.index)
     assert queue.backlog_ms() == 1300.0
     assert [task.index for task in drain(queue)] == [1, 2, 0]
-    queue.put_back(job, 2)
+    queue.requeue(job, 2)
     assert job.submission in queue
     assert [task.index for task in drain(queue)] == [2]
 
@@ -90,7 +90,7 @@
     Both keep jobs of 1,000 ms tasks waiting, and one declares 100 ms under a new
     class name each time. Believed, it goes first and pays for a tenth of its use.
     """
-    times = RunTimes()
+    times = RunTimeEstimator()
     declared = {"liar": TaskSpec(run_ms=100.0), "honest": TaskSpec(run_ms=1000.0)}
     started = {"liar": 0, "honest": 0}
     for step in range(800):
@@ -215,7 +215,7 @@
                 queue.task_ended(task.job, task.index, rng.uniform(1.0, 99.0))
             elif task.job.submission not in cancelled:
                 out.remove((task.job.submission, task.index))
-                queue.put_back(task.job, task.index)
+                queue.requeue(task.job, task.index)
         else:
             small = rng.random() < 0.5
             task = queue.next_task(
--- a/jackdawspur/scheduling/tests/test_run_times.py
+++ b/jackdawspur/scheduling/tests/test_run_times.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jackdawspur.model import TaskSpec
-from jackdawspur.scheduling import RunTimes
+from jackdawspur.scheduling import RunTimeEstimator
 
 
 def teach(times, customer, count, declare, seed=3):
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("factor", [0.1, 1.0, 10.0])
 def test_constant_factor_is_corrected(factor):
-    times = RunTimes()
+    times = RunTimeEstimator()
     teach(times, "a", 200, lambda run_ms, rng: run_ms * factor)
     for run_ms in (100.0, 400.0, 900.0):
         spec = TaskSpec(run_ms=run_ms * factor)
@@ -26,7 +26,7 @@
 
 
 def test_useless_declarations_are_ignored():
-    times = RunTimes()
+    times = RunTimeEstimator()
     teach(times, "a", 500, lambda run_ms, rng: rng.uniform(10.0, 10_000.0))
     low = times.estimate_ms("a", "tile", TaskSpec(run_ms=10.0))
     high = times.estimate_ms("a", "tile", TaskSpec(run_ms=10_000.0))
@@ -39,7 +39,7 @@
 
     Both use the same class name, and one declares a tenth of the truth at random.
     """
-    times = RunTimes()
+    times = RunTimeEstimator()
     teach(times, "honest", 100, lambda run_ms, rng: run_ms)
     spec = TaskSpec(run_ms=300.0)
     before = times.estimate_ms("honest", "tile", spec)
@@ -50,14 +50,14 @@
 
 
 def test_new_class_name_does_not_bring_a_false_declaration_back():
-    times = RunTimes()
+    times = RunTimeEstimator()
     teach(times, "liar", 100, lambda run_ms, rng: run_ms * 0.1)
     estimate = times.estimate_ms("liar", "fresh", TaskSpec(run_ms=40.0))
     assert estimate == pytest.approx(400.0, rel=0.2)
 
 
 def test_stragglers_hardly_move_an_estimate():
-    times = RunTimes()
+    times = RunTimeEstimator()
     spec = TaskSpec(run_ms=100.0)
     for count in range(400):
         times.observe("a", "tile", spec, 5000.0 if count % 20 == 19 else 100.0)
@@ -65,7 +65,7 @@
 
 
 def test_memory_is_bounded():
-    times = RunTimes(classes_kept=10)
+    times = RunTimeEstimator(classes_kept=10)
     for number in range(100):
         times.observe("a", f"class-{number}", TaskSpec(), 100.0)
     assert len(times) == 10
--- a/jackdawspur/scheduling/tests/trial.py
+++ b/jackdawspur/scheduling/tests/trial.py
@@ -11,13 +11,13 @@
 
 from jackdawspur.model import Customer, HostId, JobRequest, SubmissionId, TaskSpec
 from jackdawspur.scheduling import (
-    Admission,
+    AdmissionController,
     Admit,
     JobQueue,
     LocalLoad,
     NextTask,
     QueuedJob,
-    RunTimes,
+    RunTimeEstimator,
 )
 
 SLOTS = 64
@@ -131,11 +131,11 @@
     queue: JobQueue | KeyedQueue,
     jobs: Iterable[Arrival],
     rng: random.Random,
-    admission: Admission | None = None,
+    admission: AdmissionController | None = None,
 ) -> list[Ended]:
     """Run jobs on `SLOTS` equal slots and return each admitted one with its ratio."""
     pending = list(jobs)[::-1]
-    times = RunTimes()
+    times = RunTimeEstimator()
     ends: list[tuple[float, int, NextTask]] = []
     left: dict[int, int] = {}
     known: dict[int, Arrival] = {}
@@ -174,7 +174,9 @@
     return (now - arrival.at + ROUND_TRIP_S) / ideal
 
 
-def _admitted(admission: Admission, queue: JobQueue, job: QueuedJob, free: int) -> bool:
+def _admitted(
+    admission: AdmissionController, queue: JobQueue, job: QueuedJob, free: int
+) -> bool:
     name = job.customer
     request = JobRequest(name, "", job.tasks, NO_DEADLINE)
     weight = queue.weight(name)
@@ -190,7 +192,9 @@
         (SLOTS - free) * MEAN_RESIDUE_MS,
     )
     customer = Customer(name, SLOTS)
-    return isinstance(admission.judge(request, job.estimates_ms, customer, load), Admit)
+    return isinstance(
+        admission.evaluate(request, job.estimates_ms, customer, load), Admit
+    )
 
 
 class _Entry(tuple):
@@ -206,7 +210,7 @@
 
 
 def _queued(
-    sequence: int, job: Arrival, times: RunTimes, rng: random.Random
+    sequence: int, job: Arrival, times: RunTimeEstimator, rng: random.Random
 ) -> QueuedJob:
     tasks = tuple(declare(rng, run) for run in job.runs)
     estimates = times.estimates_ms(job.customer, job.job_class, tasks)
@@ -249,7 +253,9 @@
         for name, make in ORDERS.items():
             ended = run(make(), jobs, random.Random(8))
             report(f"{load:.0%} {name}", ended, len(jobs))
-        ended = run(JobQueue(), jobs, random.Random(8), Admission(random.Random(9)))
+        ended = run(
+            JobQueue(), jobs, random.Random(8), AdmissionController(random.Random(9))
+        )
         report(f"{load:.0%} chosen, with admission", ended, len(jobs))
     jobs = with_burst(arrivals(random.Random(7), 0.7, COUNT), random.Random(9))
     for name, make in ORDERS.items():
--- a/jackdawspur/sessions/tests/session.py
+++ b/jackdawspur/sessions/tests/session.py
@@ -9,9 +9,9 @@
 from circuits.web.headers import Headers
 
 from jackdawspur.adapters import Call
-from jackdawspur.bench import DEPLOYMENTS, OWN_POLICY, POLICIES, Simulation
-from jackdawspur.callers import HttpReply, reply_answer, reply_ids
-from jackdawspur.cli._logs import json_lines
+from jackdawspur.bench import DEPLOYMENTS, POLICIES, PRODUCT_POLICY, Simulation
+from jackdawspur.callers import HttpResponse, answer_response, ids_response
+from jackdawspur.cli._logs import json_formatter
 from jackdawspur.configuration import (
     Configuration,
     CustomerEntry,
@@ -68,7 +68,7 @@
         session = self._session
         record.created = WALL_START + session.now
         record.msecs = record.created * 1000 % 1000 // 1
-        formatter = json_lines(session.at_work)
+        formatter = json_formatter(session.at_work)
         formatter.converter = time.gmtime
         session.note(f"{session.at_work} log", formatter.format(record))
 
@@ -86,12 +86,14 @@
     def post(self, event) -> None:
         self.host.receive(self.host.id, event)
 
-    def reply(self, number: int, reply: HttpReply) -> None:
+    def reply(self, call_id: int, reply: HttpResponse) -> None:
         checker = self._session.simulation.checker
         refused = b'"not_run":true' in reply.body
         state = JobState.REFUSED if refused else JobState.PENDING
-        checker.call_answered(number, Answer(state, not_run=refused), self._session.now)
-        self._session.replied(number, reply)
+        checker.call_answered(
+            call_id, Answer(state, not_run=refused), self._session.now
+        )
+        self._session.replied(call_id, reply)
 
     def readiness(self) -> Readiness:
         if self.host.draining_since is not None:
@@ -113,11 +115,11 @@
             if not self.log.down and self.links.reaches_platform(host.id.zone):
                 host.receive(host.id, ClaimsRead(()))
 
-    def reply_lost(self, run, upstream) -> bool:
+    def should_drop_reply(self, run, upstream) -> bool:
         if self.losing:
             self.losing -= 1
             return True
-        return super().reply_lost(run, upstream)
+        return super().should_drop_reply(run, upstream)
 
 
 class Session:
@@ -137,7 +139,7 @@
         )
         self.simulation.clients = self
         self._callers: dict[int, tuple[str, str]] = {}
-        self._replies: dict[int, HttpReply] = {}
+        self._replies: dict[int, HttpResponse] = {}
         names = [f"{z}.{n}" for z, n in self.simulation.hosts]
         self._faces = {name: _Face(self, name) for name in names}
         self.simulation.run([], BOOTED_S, 0.0)
@@ -221,21 +223,21 @@
         with self.working(self._callers[call][1]):
             log_answer(answer)
         self.simulation.checker.call_answered(call, answer, self.now)
-        self.replied(call, reply_answer(answer))
+        self.replied(call, answer_response(answer))
 
-    def issued(self, call: int, ids) -> None:
+    def ids_issued(self, call: int, ids) -> None:
         """Take ids that were issued."""
-        self.simulation.checker.control_ended(call, self.now)
-        self.replied(call, reply_ids(ids))
+        self.simulation.checker.control_call_answered(call, self.now)
+        self.replied(call, ids_response(ids))
 
     def host_died(self, host, draining: bool) -> None:
         """Break the connections of callers who still wait."""
         for number, (who, name) in self._callers.items():
             if self.host(name) is host and number not in self._replies:
                 self.note(f"{who} <- {name} #{number}", "connection lost")
-                self.simulation.checker.call_lost(number, self.now, draining)
+                self.simulation.checker.call_disconnected(number, self.now, draining)
 
-    def replied(self, number: int, reply: HttpReply) -> None:
+    def replied(self, number: int, reply: HttpResponse) -> None:
         """Bring a reply to its caller."""
         self._replies[number] = reply
         who, name = self._callers[number]
@@ -246,21 +248,21 @@
     def transcript(self) -> str:
         """Return all that was seen; every invariant must have held."""
         self.simulation.checker.finish(self.now)
-        assert self.simulation.checker.counts == {}, self.simulation.checker.breaches
+        assert self.simulation.checker.counts == {}, self.simulation.checker.violations
         return "\n".join(self.lines)
 
     def _expect(self, number: int, path: str, body, customer: str) -> None:
         """Tell the checker of invariants what the call asks to be run."""
         checker = self.simulation.checker
         if not body or "tasks" not in body:
-            checker.control_made(number)
+            checker.control_call_sent(number)
             return
         job = int(body["tasks"][0]["payload"].split()[1])
         once = body["job_class"] in ("dispatch-reassign", "map-order")
-        checker.call_made(number, job, _asked(body, customer, once))
+        checker.call_sent(number, job, _asked(body, customer, once))
 
     def _make(self, host: HostId, rng, now: float):
-        dispatcher = POLICIES[OWN_POLICY].make(host, rng, now)
+        dispatcher = POLICIES[PRODUCT_POLICY].make(host, rng, now)
         self._cores[f"{host.zone}.{host.name}"] = dispatcher.core
         return dispatcher
 
@@ -269,7 +271,7 @@
 
     def _arrive(self, name: str, call: Call) -> None:
         with self.working(name):
-            self._faces[name].routes.called(call)
+            self._faces[name].routes.handle_call(call)
 
     def _back(self, name: str) -> None:
         with self.working(name):
--- a/jackdawspur/sessions/tests/test_sessions.py
+++ b/jackdawspur/sessions/tests/test_sessions.py
@@ -114,7 +114,7 @@
     fail_tile(session, 217)
     # Alone, so that no other zone takes the job over.
     session.note("platform", "z2 is cut off from z1")
-    session.simulation.links.cut("z2", platform=False)
+    session.simulation.links.partition_zone("z2", platform=False)
     session.run(3.0)
     work = tasks(1, 360, run_ms=20.0)
     session.submit("skipper", "z1.e1", "overlay", work, customer="maps")
@@ -170,17 +170,17 @@
     """A zone goes on alone; what needs the others fails clearly until it is back."""
     call = session.ask("client", "z2.e1", "POST /v1/submissions", {"count": 1})
     session.run(0.1)
-    (issued,) = session.json(call)["ids"]
+    (ids_issued,) = session.json(call)["ids"]
     session.note("platform", "z2 is cut off from zones and platform")
-    session.simulation.links.cut("z2")
+    session.simulation.links.partition_zone("z2")
     session.submit("supervisor", "z2.e1", "confirm-arrival", tasks(1))
     session.submit("dispatcher", "z2.e1", "dispatch-reassign", tasks(2), key="crew-1")
     order = {"job_class": "map-order", "tasks": tasks(3)}
-    path = f"PUT /v1/submissions/{issued}?wait=true"
+    path = f"PUT /v1/submissions/{ids_issued}?wait=true"
     session.ask("client", "z1.e1", path, order)
     session.run(CUT_OFF_S)
     session.note("platform", "z2 is back")
-    session.simulation.links.heal("z2")
+    session.simulation.links.heal_zone("z2")
     session.run(3.0)
     session.submit("dispatcher", "z2.e1", "dispatch-reassign", tasks(2), key="crew-1")
     session.ask("client", "z1.e1", path, order)
--- a/jackdawspur/settings/__init__.py
+++ b/jackdawspur/settings/__init__.py
@@ -8,16 +8,16 @@
     __name__,
     submod_attrs={
         "_address": ["check_address"],
-        "_entry": ["EntrySettings", "OperatorSettings", "SiblingSettings"],
+        "_entry": ["EntrySettings", "OperatorSettings", "PeerSettings"],
         "_errors": ["SettingsError"],
         "_host": ["HostSettings", "check_host_settings", "load_host_settings"],
         "_load": ["load_settings"],
         "_standins": [
-            "HostListStandin",
+            "HostListStandinSettings",
             "ListedHostSettings",
-            "LogStandin",
-            "PlatformStandin",
-            "RackStandin",
+            "LogStandinSettings",
+            "PlatformStandinSettings",
+            "WorkerPoolStandinSettings",
         ],
     },
 )
--- a/jackdawspur/settings/_address.py
+++ b/jackdawspur/settings/_address.py
@@ -7,7 +7,7 @@
 MAX_PORT = 65_535
 
 
-def check_address(text: str, least_port: int = 0) -> str:
+def check_address(text: str, min_port: int = 0) -> str:
     """Return an address in numbers with its port; raise `ValueError`.
 
     Port 0 lets whoever listens there have any free one.
@@ -19,6 +19,6 @@
         number = None
     else:
         number = int(port) if port.isascii() and port.isdigit() else None
-    if number is None or not least_port <= number <= MAX_PORT:
+    if number is None or not min_port <= number <= MAX_PORT:
         raise ValueError("expected an address such as 127.0.0.1:18001")
     return text
--- a/jackdawspur/settings/_entry.py
+++ b/jackdawspur/settings/_entry.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.settings._load import STRICT, Address, Name
 
-__all__ = ["EntrySettings", "OperatorSettings", "SiblingSettings"]
+__all__ = ["EntrySettings", "OperatorSettings", "PeerSettings"]
 
 Sha256 = Annotated[str, Field(pattern="^[0-9a-f]{64}$")]
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SiblingSettings:
+class PeerSettings:
     """Say where another entry host listens, for a start while the log is down."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
@@ -51,7 +51,7 @@
     log: Address
     host_list: Address | None = None
     statsd: Address | None = None
-    siblings: tuple[SiblingSettings, ...] = ()
+    siblings: tuple[PeerSettings, ...] = ()
     operators: tuple[OperatorSettings, ...] = ()
     crosses_zones: bool = True
     drain_ms: Annotated[float, Field(gt=0, le=600_000)] = 15_000.0
--- a/jackdawspur/settings/_host.py
+++ b/jackdawspur/settings/_host.py
@@ -61,13 +61,13 @@
 def check_host_settings(
     values: Mapping[str, object],
     path: str,
-    shown: Mapping[str, str] | None = None,
-    text: bool = False,
+    display_names: Mapping[str, str] | None = None,
+    numbers_as_text: bool = False,
 ) -> HostSettings:
     """Return settings; raise `SettingsError` with all faults at once.
 
-    `shown` has the names under which the file knows fields, where these differ. With
-    `text` numbers may come as text.
+    `display_names` has the names under which the file knows fields, where these differ.
+    With `numbers_as_text` numbers may come as text.
     """
     hints = get_type_hints(HostSettings, include_extras=True)
     # A misspelt key must not leave a default in force unseen.
@@ -77,14 +77,14 @@
         if field.name in values:
             try:
                 checked[field.name] = _convert(
-                    field.name, values[field.name], hints[field.name], text
+                    field.name, values[field.name], hints[field.name], numbers_as_text
                 )
             except (msgspec.ValidationError, ValueError) as error:
                 faults[field.name] = str(error)
         elif field.default is MISSING:
             faults[field.name] = "field required"
     if faults:
-        names = ((shown or {}).get(name, name) for name in faults)
+        names = ((display_names or {}).get(name, name) for name in faults)
         pairs = zip(names, faults.values(), strict=True)
         raise SettingsError(f"{path}: {'; '.join(f'{n}: {f}' for n, f in pairs)}")
     return HostSettings(**checked)
--- a/jackdawspur/settings/_standins.py
+++ b/jackdawspur/settings/_standins.py
@@ -8,16 +8,16 @@
 from jackdawspur.settings._load import STRICT, Address, Name
 
 __all__ = [
-    "HostListStandin",
+    "HostListStandinSettings",
     "ListedHostSettings",
-    "LogStandin",
-    "PlatformStandin",
-    "RackStandin",
+    "LogStandinSettings",
+    "PlatformStandinSettings",
+    "WorkerPoolStandinSettings",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class RackStandin:
+class WorkerPoolStandinSettings:
     """Serve workers on several addresses from one process."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogStandin:
+class LogStandinSettings:
     """Serve the log; `append_delay_ms` in milliseconds, retention in seconds."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlatformStandin:
+class PlatformStandinSettings:
     """Serve the customers' platform: a store and its workers, from one process.
 
     `configuration` is published as it stands; `cpu` in thousandths of a core.
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostListStandin:
+class HostListStandinSettings:
     """Serve the host list; `lag_ms` in milliseconds."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
--- a/jackdawspur/settings/tests/test_settings.py
+++ b/jackdawspur/settings/tests/test_settings.py
@@ -6,7 +6,7 @@
 
 from jackdawspur.settings import EntrySettings, SettingsError, load_settings
 
-GOOD = {
+VALID_SETTINGS = {
     "zone": "north",
     "name": "e1",
     "http": "127.0.0.1:18001",
@@ -26,7 +26,7 @@
 
 
 def test_defaults_are_filled_in(write):
-    settings = load_settings(EntrySettings, write(GOOD))
+    settings = load_settings(EntrySettings, write(VALID_SETTINGS))
     assert settings.drain_ms == 15_000.0
     assert settings.siblings == ()
 
@@ -44,7 +44,7 @@
 )
 def test_fault_is_named(write, change, named):
     with pytest.raises(SettingsError, match=named):
-        load_settings(EntrySettings, write(GOOD | change))
+        load_settings(EntrySettings, write(VALID_SETTINGS | change))
 
 
 def test_missing_file_is_named(tmp_path):
--- a/jackdawspur/sharing/__init__.py
+++ b/jackdawspur/sharing/__init__.py
@@ -1,6 +1,6 @@
 """Divide the slots of a zone's upstreams among its entry hosts, and lend them."""
 
-from jackdawspur.sharing._borrowing import Ask, Need
+from jackdawspur.sharing._borrowing import Ask, SlotDemand
 from jackdawspur.sharing._division import divide
 from jackdawspur.sharing._limits import (
     LEND_MARGIN,
@@ -8,7 +8,7 @@
     LONGEST_HOLD,
 )
 from jackdawspur.sharing._loans import GiveBack, Lend
-from jackdawspur.sharing._table import SlotTable
+from jackdawspur.sharing._table import SlotPool
 
 __all__ = [
     "Ask",
@@ -17,7 +17,7 @@
     "LEND_TERM",
     "LONGEST_HOLD",
     "Lend",
-    "Need",
-    "SlotTable",
+    "SlotDemand",
+    "SlotPool",
     "divide",
 ]
--- a/jackdawspur/sharing/_borrowing.py
+++ b/jackdawspur/sharing/_borrowing.py
@@ -15,7 +15,7 @@
 )
 from jackdawspur.sharing._loans import GiveBack, listed
 
-__all__ = ["Ask", "Borrowing", "Need"]
+__all__ = ["Ask", "Borrowing", "SlotDemand"]
 
 MS = 1000.0
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class SlotDemand:
     """Say until when the most urgent job should start, and how many tasks it has.
 
     `latest_start` in seconds on this host's clock.
@@ -80,7 +80,7 @@
         self._done: dict[LoanId, Counter[UpstreamId]] = {}
         self._pruned_at = 0.0
 
-    def may_ask(self, host: HostId, wanted: int, need: Need, now: float) -> bool:
+    def may_ask(self, host: HostId, wanted: int, need: SlotDemand, now: float) -> bool:
         """Tell whether no recent request as large and as urgent is open there."""
         asked = self._asked.get(host)
         if asked is None or now - asked.at >= ASK_AGAIN or wanted > asked.wanted:
@@ -94,7 +94,7 @@
         recent = (one for one in self._asked.values() if now - one.at < REPLY_WAIT)
         return sum(one.wanted for one in recent)
 
-    def ask(self, host: HostId, wanted: int, need: Need, now: float) -> Ask:
+    def ask(self, host: HostId, wanted: int, need: SlotDemand, now: float) -> Ask:
         """Ask a host for slots."""
         number = self._next
         self._next += 1
--- a/jackdawspur/sharing/_division.py
+++ b/jackdawspur/sharing/_division.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from jackdawspur.model import HostId, Upstream, UpstreamId, rendezvous
+from jackdawspur.model import HostId, Upstream, UpstreamId, rendezvous_hash
 
 __all__ = ["divide"]
 
@@ -36,6 +36,6 @@
     # The least total goes first: by hash alone one host could stay short by chance.
     order = sorted(
         totals,
-        key=lambda host: (totals[host], rendezvous(str(upstream), host.name)),
+        key=lambda host: (totals[host], rendezvous_hash(str(upstream), host.name)),
     )
     return set(order[:rest])
--- a/jackdawspur/sharing/_loans.py
+++ b/jackdawspur/sharing/_loans.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from jackdawspur.messages import SlotGrant, SlotRequest, SlotReturn, SlotsOfUpstream
+from jackdawspur.messages import SlotGrant, SlotRequest, SlotReturn, UpstreamSlots
 from jackdawspur.model import HostId, UpstreamId
 from jackdawspur.sharing._limits import LEND_MARGIN, LEND_TERM, LONGEST_HOLD
 
@@ -86,6 +86,6 @@
         return back
 
 
-def listed(slots: Counter[UpstreamId]) -> tuple[SlotsOfUpstream, ...]:
+def listed(slots: Counter[UpstreamId]) -> tuple[UpstreamSlots, ...]:
     """Return the slots in the order of their upstreams."""
-    return tuple(SlotsOfUpstream(*item) for item in sorted((+slots).items()))
+    return tuple(UpstreamSlots(*item) for item in sorted((+slots).items()))
--- a/jackdawspur/sharing/_table.py
+++ b/jackdawspur/sharing/_table.py
@@ -6,21 +6,21 @@
 from dataclasses import dataclass
 
 from jackdawspur.messages import SlotGrant, SlotRequest, SlotReturn
-from jackdawspur.model import HostId, Upstream, UpstreamId, rendezvous
-from jackdawspur.sharing._borrowing import Ask, Borrowing, Need
+from jackdawspur.model import HostId, Upstream, UpstreamId, rendezvous_hash
+from jackdawspur.sharing._borrowing import Ask, Borrowing, SlotDemand
 from jackdawspur.sharing._division import divide
 from jackdawspur.sharing._limits import FIRST_BACK_OFF, LONGEST_BACK_OFF
 from jackdawspur.sharing._loans import GiveBack, Lend, Lending
 from jackdawspur.sharing._requests import OpenRequest, Requests
 
-__all__ = ["SlotTable"]
+__all__ = ["SlotPool"]
 
 MS = 1000.0
 NOBODY: frozenset[UpstreamId] = frozenset()
-NO_NEED = Need()
+NO_NEED = SlotDemand()
 NO_LIMITS: Mapping[UpstreamId, int] = {}
 
-NO_NEED = Need()
+NO_NEED = SlotDemand()
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     length: float
 
 
-class SlotTable:
+class SlotPool:
     """Count the slots that this host holds, borrows and uses.
 
     It holds slots of its own zone's upstreams; borrowed ones may be of other zones.
@@ -55,7 +55,7 @@
         self._lending = Lending()
         self._borrowing = Borrowing()
 
-    def set_view(
+    def set_members(
         self, upstreams: Iterable[Upstream], hosts: Iterable[HostId], now: float
     ) -> None:
         """Divide the zone's upstreams among its hosts, own included.
@@ -70,9 +70,9 @@
             name: count - self._lending.out[name] - self._on_own[name]
             for name, count in self._base.items()
         }
-        self.expire(now)
+        self.reclaim_expired(now)
 
-    def set_partners(self, hosts: Iterable[HostId]) -> None:
+    def set_remote_hosts(self, hosts: Iterable[HostId]) -> None:
         """Take the live hosts of other zones that may borrow here."""
         self._partners = frozenset(hosts)
 
@@ -90,13 +90,13 @@
 
     def free(self, now: float) -> int:
         """Return the slots on which starts may be sent now."""
-        return sum(self.open_slots(now).values())
+        return sum(self.available_slots(now).values())
 
-    def free_own(self, now: float) -> int:
+    def lendable_count(self, now: float) -> int:
         """Return the free slots that could be lent, for heartbeats."""
         return sum(self._lendable(now, NOBODY).values())
 
-    def open_slots(self, now: float) -> dict[UpstreamId, int]:
+    def available_slots(self, now: float) -> dict[UpstreamId, int]:
         """Return the slots of each upstream on which starts may be sent now."""
         free = self._lendable(now, NOBODY)
         for name, count in self._borrowing.usable(now).items():
@@ -104,7 +104,7 @@
                 free[name] = free.get(name, 0) + count
         return free
 
-    def pick(
+    def select_slots(
         self,
         count: int,
         now: float,
@@ -117,7 +117,7 @@
         `limits` caps this host's running tasks on some upstreams. With `pack` few
         upstreams are filled up instead, so that starts travel together.
         """
-        open_slots = self.open_slots(now)
+        open_slots = self.available_slots(now)
         for name in excluded:
             open_slots.pop(name, None)
         for name, limit in limits.items():
@@ -128,7 +128,7 @@
             return self._packed(count, open_slots)
         return self._spread(count, open_slots)
 
-    def take(self, upstream: UpstreamId, now: float) -> None:
+    def acquire(self, upstream: UpstreamId, now: float) -> None:
         """Occupy a slot, before the start is sent; an own one if there is one."""
         self._busy += 1
         self._running[upstream] += 1
@@ -149,22 +149,22 @@
             self._on_own[upstream] -= 1
             self._shift(upstream, 1)
 
-    def refused(self, upstream: UpstreamId, now: float) -> None:
+    def start_backoff(self, upstream: UpstreamId, now: float) -> None:
         """Leave an upstream that was full alone for a while, longer each time."""
         last = self._back_offs.get(upstream)
         length = min(LONGEST_BACK_OFF, 2 * last.length) if last else FIRST_BACK_OFF
         self._back_offs[upstream] = _BackOff(now + length, length)
 
-    def accepted(self, upstream: UpstreamId) -> None:
+    def reset_backoff(self, upstream: UpstreamId) -> None:
         """Forget earlier refusals of an upstream that started a task."""
         self._back_offs.pop(upstream, None)
 
-    def ask(
+    def request_slots(
         self,
         waiting: int,
         spare: Mapping[HostId, int],
         now: float,
-        need: Need = NO_NEED,
+        need: SlotDemand = NO_NEED,
     ) -> tuple[Ask, ...]:
         """Ask others for the slots that `waiting` tasks lack.
 
@@ -193,7 +193,7 @@
     ) -> SlotGrant | None:
         """Grant another host slots that are idle here; None when none is idle.
 
-        What a request lacks stays open for a short while, see `lend_late`.
+        What a request lacks stays open for a short while, see `grant_pending_requests`.
         """
         if sender not in self._members and sender not in self._partners:
             return None
@@ -203,7 +203,7 @@
                 return self._grant(one, one.wanted, waiting_own, now, excluded)
         return None
 
-    def lend_late(
+    def grant_pending_requests(
         self,
         waiting_own: int,
         now: float,
@@ -228,11 +228,11 @@
         return tuple(lends)
 
     @property
-    def asked(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Tell whether another host lacks slots."""
         return bool(self._requests)
 
-    def borrow(
+    def accept_grant(
         self, sender: HostId, grant: SlotGrant, now: float
     ) -> tuple[GiveBack, ...]:
         """Take a grant into use, or return it when it comes too late."""
@@ -240,17 +240,17 @@
             return ()
         return (GiveBack(sender, SlotReturn(grant.grant, grant.slots)),)
 
-    def give_back(self, waiting: int, now: float) -> tuple[GiveBack, ...]:
+    def release_idle_slots(self, waiting: int, now: float) -> tuple[GiveBack, ...]:
         """Return borrowed slots that are no longer needed or allowed."""
         if not waiting:
             self._borrowing.forget_asked()
         return self._borrowing.give_back(now, waiting > 0)
 
-    def returned(self, sender: HostId, message: SlotReturn) -> None:
+    def accept_return(self, sender: HostId, message: SlotReturn) -> None:
         """Take lent slots back."""
         self._take_in(self._lending.returned(sender, message))
 
-    def expire(self, now: float) -> None:
+    def reclaim_expired(self, now: float) -> None:
         """Take back slots that dead borrowers keep."""
         self._take_in(self._lending.expire(self._members | self._partners, now))
 
@@ -301,7 +301,7 @@
     ) -> tuple[bool, bool, int, int]:
         near = host.zone == self._own.zone
         # Equal hosts in an order of each asker's own, else all would ask the same.
-        order = rendezvous(self._own.name, self._own.zone, host.name, host.zone)
+        order = rendezvous_hash(self._own.name, self._own.zone, host.name, host.zone)
         return spare[host] <= 0, not near, -spare[host], order
 
     def _spread(
@@ -342,7 +342,7 @@
         running = self._running[upstream] + added
         rack = self._rack_running[self._rack(upstream)]
         far = upstream.zone != self._own.zone
-        return far, running, rack, rendezvous(self._own.name, str(upstream))
+        return far, running, rack, rendezvous_hash(self._own.name, str(upstream))
 
     def _rack(self, upstream: UpstreamId) -> str:
         # Kept apart from the configuration, which may drop an upstream or move it
--- a/jackdawspur/sharing/tests/test_lending.py
+++ b/jackdawspur/sharing/tests/test_lending.py
@@ -10,10 +10,10 @@
     SlotGrant,
     SlotRequest,
     SlotReturn,
-    SlotsOfUpstream,
+    UpstreamSlots,
 )
 from jackdawspur.model import HostId, Upstream, UpstreamId
-from jackdawspur.sharing import LEND_MARGIN, LEND_TERM, LONGEST_HOLD, SlotTable
+from jackdawspur.sharing import LEND_MARGIN, LEND_TERM, LONGEST_HOLD, SlotPool
 from jackdawspur.sharing.tests.trial import Trial, Way
 
 ZONE = "zone-1"
@@ -26,14 +26,14 @@
 
     def __init__(self):
         self.now = 0.0
-        self.tables = {host: SlotTable(host) for host in HOSTS}
+        self.tables = {host: SlotPool(host) for host in HOSTS}
         self.flights = []
         for table in self.tables.values():
-            table.set_view(UPSTREAMS, HOSTS, 0.0)
+            table.set_members(UPSTREAMS, HOSTS, 0.0)
 
     def start(self, host):
-        for upstream in self.tables[host].pick(1, self.now):
-            self.tables[host].take(upstream, self.now)
+        for upstream in self.tables[host].select_slots(1, self.now):
+            self.tables[host].acquire(upstream, self.now)
 
     def end(self, host):
         table = self.tables[host]
@@ -43,17 +43,17 @@
 
     def ask(self, host, spare=4):
         other = HOSTS[1 - HOSTS.index(host)]
-        for ask in self.tables[host].ask(8, {other: spare}, self.now):
+        for ask in self.tables[host].request_slots(8, {other: spare}, self.now):
             self.flights.append((host, ask.to, ask.request))
 
     def lend_late(self):
         for host, table in self.tables.items():
-            for lend in table.lend_late(0, self.now):
+            for lend in table.grant_pending_requests(0, self.now):
                 self.flights.append((host, lend.to, lend.grant))
 
     def give_back(self, host):
-        self.tables[host].expire(self.now)
-        for back in self.tables[host].give_back(0, self.now):
+        self.tables[host].reclaim_expired(self.now)
+        for back in self.tables[host].release_idle_slots(0, self.now):
             self.flights.append((host, back.to, back.message))
 
     def deliver(self, index, repeat):
@@ -69,17 +69,17 @@
             if grant:
                 self.flights.append((to, sender, grant))
         elif isinstance(message, SlotGrant):
-            for back in table.borrow(sender, message, self.now):
+            for back in table.accept_grant(sender, message, self.now):
                 self.flights.append((to, back.to, back.message))
         else:
-            table.returned(sender, message)
+            table.accept_return(sender, message)
 
     def held(self):
         """Count slots per upstream that run tasks or could start one now."""
         total = Counter()
         for table in self.tables.values():
             total += Counter(table.running())
-            total += Counter(table.pick(100, self.now))
+            total += Counter(table.select_slots(100, self.now))
         return total
 
 
@@ -137,17 +137,17 @@
     """A borrower dies; the lender must neither use its slots early nor lose them."""
     lender = lent.tables[HOSTS[1]]
     assert lender.free(0.0) == 2
-    lender.set_view(UPSTREAMS, HOSTS[1:], 0.5)
+    lender.set_members(UPSTREAMS, HOSTS[1:], 0.5)
     assert lender.free(0.5) == 8 - 2
-    lender.expire(LEND_TERM + LEND_MARGIN)
+    lender.reclaim_expired(LEND_TERM + LEND_MARGIN)
     assert lender.free(2.0) == 8
 
 
 def test_a_lost_return_costs_the_slots_for_a_bounded_time(lent):
     lender = lent.tables[HOSTS[1]]
-    lender.expire(LONGEST_HOLD - 0.1)
+    lender.reclaim_expired(LONGEST_HOLD - 0.1)
     assert lender.free(1.0) == 2
-    lender.expire(LONGEST_HOLD)
+    lender.reclaim_expired(LONGEST_HOLD)
     assert lender.free(1.0) == 4
 
 
@@ -159,20 +159,20 @@
     borrower = lent.tables[HOSTS[0]]
     assert borrower.free(LEND_TERM - 0.01) == 2
     assert borrower.free(LEND_TERM) == 0
-    (back,) = borrower.give_back(5, LEND_TERM)
+    (back,) = borrower.release_idle_slots(5, LEND_TERM)
     assert sum(item.slots for item in back.message.slots) == 2
 
 
 def test_a_task_that_outlasts_the_term_keeps_its_slot(lent):
     lent.start(HOSTS[0])
     borrower = lent.tables[HOSTS[0]]
-    (back,) = borrower.give_back(0, LEND_TERM)
-    lent.tables[HOSTS[1]].returned(HOSTS[0], back.message)
+    (back,) = borrower.release_idle_slots(0, LEND_TERM)
+    lent.tables[HOSTS[1]].accept_return(HOSTS[0], back.message)
     assert lent.tables[HOSTS[1]].free(LEND_TERM) == 3
     lent.end(HOSTS[0])
-    (back,) = borrower.give_back(0, LEND_TERM + 1)
-    lent.tables[HOSTS[1]].returned(HOSTS[0], back.message)
-    lent.tables[HOSTS[1]].returned(HOSTS[0], back.message)
+    (back,) = borrower.release_idle_slots(0, LEND_TERM + 1)
+    lent.tables[HOSTS[1]].accept_return(HOSTS[0], back.message)
+    lent.tables[HOSTS[1]].accept_return(HOSTS[0], back.message)
     assert lent.tables[HOSTS[1]].free(LEND_TERM + 1) == 4
 
 
@@ -191,11 +191,11 @@
     that was not lent.
     """
     lender = lent.tables[HOSTS[1]]
-    slots = tuple(SlotsOfUpstream(upstream.id, 100) for upstream in UPSTREAMS)
-    other = SlotsOfUpstream(UpstreamId(ZONE, "up-9"), 5)
-    lender.returned(HOSTS[0], SlotReturn(1, (*slots, other)))
+    slots = tuple(UpstreamSlots(upstream.id, 100) for upstream in UPSTREAMS)
+    other = UpstreamSlots(UpstreamId(ZONE, "up-9"), 5)
+    lender.accept_return(HOSTS[0], SlotReturn(1, (*slots, other)))
     assert lender.free(0.0) == 4
-    lender.returned(HOSTS[0], SlotReturn(1, slots))
+    lender.accept_return(HOSTS[0], SlotReturn(1, slots))
     assert lender.free(0.0) == 4
 
 
@@ -206,13 +206,13 @@
     lender gives up waiting.
     """
     borrower = lent.tables[HOSTS[0]]
-    late = SlotGrant(99, 500.0, (SlotsOfUpstream(UPSTREAMS[0].id, 3),), request=98)
-    (back,) = borrower.borrow(HOSTS[1], late, 1.0)
+    late = SlotGrant(99, 500.0, (UpstreamSlots(UPSTREAMS[0].id, 3),), request=98)
+    (back,) = borrower.accept_grant(HOSTS[1], late, 1.0)
     assert (back.to, back.message) == (HOSTS[1], SlotReturn(99, late.slots))
     in_time = replace(late, grant=7, request=1)
-    assert borrower.borrow(HOSTS[1], in_time, LEND_TERM) == ()
+    assert borrower.accept_grant(HOSTS[1], in_time, LEND_TERM) == ()
     assert borrower.free(LEND_TERM) == 0
-    returned = borrower.give_back(1, LEND_TERM)
+    returned = borrower.release_idle_slots(1, LEND_TERM)
     assert SlotReturn(7, late.slots) in [back.message for back in returned]
 
 
@@ -225,14 +225,14 @@
     far = HostId("zone-2", "entry-0", 1)
     pair = Pair()
     lender = pair.tables[HOSTS[1]]
-    lender.set_partners((far,))
+    lender.set_remote_hosts((far,))
     for _ in range(4):
         pair.start(HOSTS[1])
     assert lender.lend(far, SlotRequest(9, 1, 100.0, urgent=1), 5, 0.0) is None
     assert lender.lend(HOSTS[0], SlotRequest(9, 1, 300.0, urgent=9), 5, 0.0) is None
     lender.release(UPSTREAMS[0].id)
     lender.release(UPSTREAMS[1].id)
-    lends = lender.lend_late(5, 0.1, latest_start=0.2)
+    lends = lender.grant_pending_requests(5, 0.1, latest_start=0.2)
     assert [(lend.to, _count(lend.grant)) for lend in lends] == [(far, 1)]
     assert lender.free(0.1) == 1
 
--- a/jackdawspur/sharing/tests/trial.py
+++ b/jackdawspur/sharing/tests/trial.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from jackdawspur.model import HostId, Upstream, UpstreamId
-from jackdawspur.sharing import SlotTable
+from jackdawspur.sharing import SlotPool
 
 UPSTREAMS = 8
 SLOTS = 8
@@ -77,7 +77,7 @@
         self._busy: Counter[UpstreamId] = Counter()
         self.result = Result()
         self.hosts = [HostId("z", f"entry-{n}", 1) for n in range(2)]
-        self.tables = {host: SlotTable(host) for host in self.hosts}
+        self.tables = {host: SlotPool(host) for host in self.hosts}
         self.queues = {host: deque() for host in self.hosts}
         self.spare = {host: 0 for host in self.hosts}
         self._divide()
@@ -103,7 +103,7 @@
                 members, mine = [host], all_of[index::2]
             if self._way.blind or self._way.single:
                 members = [host]
-            self.tables[host].set_view(mine, members, 0.0)
+            self.tables[host].set_members(mine, members, 0.0)
 
     def _at(self, time, action, *args) -> None:
         heapq.heappush(self._events, (time, next(self._order), action, args))
@@ -117,15 +117,17 @@
 
     def _dispatch(self, now, host) -> None:
         table, queue = self.tables[host], self.queues[host]
-        for upstream in table.pick(len(queue), now):
-            table.take(upstream, now)
+        for upstream in table.select_slots(len(queue), now):
+            table.acquire(upstream, now)
             self._at(now + ONE_WAY, self._start, host, upstream, queue.popleft())
         if self._way.lends:
-            for lend in table.lend_late(len(queue), now):
+            for lend in table.grant_pending_requests(len(queue), now):
                 self._send(now, self._granted, host, lend.grant)
         need = len(queue) + self._way.reserve
         if self._way.lends:
-            for ask in table.ask(need, {self._other(host): self.spare[host]}, now):
+            for ask in table.request_slots(
+                need, {self._other(host): self.spare[host]}, now
+            ):
                 self._send(now, self._asked, host, ask.request)
 
     def _start(self, now, host, upstream, task) -> None:
@@ -144,7 +146,7 @@
 
     def _refused(self, now, host, upstream, task) -> None:
         self.tables[host].release(upstream)
-        self.tables[host].refused(upstream, now)
+        self.tables[host].start_backoff(upstream, now)
         self.queues[host].appendleft(task)
 
     def _end(self, now, host, upstream) -> None:
@@ -157,16 +159,16 @@
 
     def _tick(self, now) -> None:
         for host, table in self.tables.items():
-            table.expire(now)
+            table.reclaim_expired(now)
             waiting = len(self.queues[host]) + self._way.reserve
-            for back in table.give_back(waiting, now):
+            for back in table.release_idle_slots(waiting, now):
                 self._send(now, self._returned, host, back.message)
             self._dispatch(now, host)
         self._at(now + TICK, self._tick)
 
     def _beat(self, now) -> None:
         for host in self.hosts:
-            self.spare[self._other(host)] = self.tables[host].free_own(now)
+            self.spare[self._other(host)] = self.tables[host].lendable_count(now)
         self._at(now + HEARTBEAT, self._beat)
 
     def _asked(self, now, sender, request) -> None:
@@ -178,13 +180,13 @@
 
     def _granted(self, now, sender, grant) -> None:
         host = self._other(sender)
-        for back in self.tables[host].borrow(sender, grant, now):
+        for back in self.tables[host].accept_grant(sender, grant, now):
             self._send(now, self._returned, host, back.message)
         self._dispatch(now, host)
 
     def _returned(self, now, sender, message) -> None:
         host = self._other(sender)
-        self.tables[host].returned(sender, message)
+        self.tables[host].accept_return(sender, message)
         self._dispatch(now, host)
 
     def _send(self, now, action, sender, message) -> None:
--- a/jackdawspur/slopes/__main__.py
+++ b/jackdawspur/slopes/__main__.py
@@ -10,7 +10,7 @@
 from jackdawspur.slopes._http import http_slopes
 from jackdawspur.slopes._memory import memory_slopes
 from jackdawspur.slopes._messages import message_slopes, pace_lines
-from jackdawspur.standins import measure_start_slopes
+from jackdawspur.standins import measure_start_costs
 
 __all__ = ["main"]
 
@@ -44,7 +44,7 @@
 
 
 def _start_line(address: str) -> str:
-    cost = measure_start_slopes(address, START_TASKS, START_REQUESTS)
+    cost = measure_start_costs(address, START_TASKS, START_REQUESTS)
     return (
         f"http: a start request: client {cost.client_request_us:.4g} us + "
         f"{cost.client_task_us:.4g} a task; worker stand-in "
--- a/jackdawspur/slopes/_host.py
+++ b/jackdawspur/slopes/_host.py
@@ -7,19 +7,20 @@
 
 from jackdawspur.dispatch import (
     AnswerCall,
+    ClusterSpecUpdated,
     EntryCore,
     Event,
-    PeerReceived,
+    PeerMessageReceived,
     ResultsReplied,
     StartsReplied,
     StartTasks,
     Submitted,
     Tick,
-    WorldSet,
 )
 from jackdawspur.external import StartVerdict, UpstreamReply
 from jackdawspur.messages import Message
 from jackdawspur.model import (
+    ClusterSpec,
     Customer,
     EntryHost,
     HostId,
@@ -30,7 +31,6 @@
     TaskState,
     Upstream,
     UpstreamId,
-    World,
 )
 
 __all__ = ["DrivenHost", "Sizes", "WrongRun", "peer_of", "world_of_size"]
@@ -61,10 +61,10 @@
     return HostId(f"zone-{zone:02}", f"e{host:02}", HOST_RUN)
 
 
-def world_of_size(sizes: Sizes) -> World:
+def world_of_size(sizes: Sizes) -> ClusterSpec:
     """Return a world; only the first zone has upstreams."""
     hosts = [peer_of(z, h) for z in range(sizes.zones) for h in range(sizes.hosts)]
-    return World(
+    return ClusterSpec(
         version=1,
         customers=tuple(
             Customer(f"team-{number:03}", QUOTA) for number in range(sizes.customers)
@@ -91,20 +91,20 @@
         self.handled: Counter[type] = Counter()
         self._calls = 0
         self._complete = 0
-        self.do(WorldSet(world_of_size(sizes)))
+        self.do(ClusterSpecUpdated(world_of_size(sizes)))
 
     def do(self, event: Event) -> list:
         """Let an event happen now and return its effects."""
         begun = time.process_time()
         effects = self.core.handle(event, self.now)
-        kind = type(event.message if isinstance(event, PeerReceived) else event)
+        kind = type(event.message if isinstance(event, PeerMessageReceived) else event)
         self.spent_s[kind] += time.process_time() - begun
         self.handled[kind] += 1
         return effects
 
     def hear(self, sender: HostId, message: Message) -> list:
         """Let a message of a peer arrive."""
-        return self.do(PeerReceived(sender, message))
+        return self.do(PeerMessageReceived(sender, message))
 
     def tick(self) -> list:
         """Let the time of one tick pass."""
--- a/jackdawspur/slopes/_http.py
+++ b/jackdawspur/slopes/_http.py
@@ -7,11 +7,11 @@
 from circuits.core.pollers import EPoll
 from result import Result
 
-from jackdawspur.adapters import Call, Deadlines, HttpClient, WebServer, WebService
+from jackdawspur.adapters import Call, HttpClient, TimerQueue, WebServer, WebService
 from jackdawspur.callers import (
-    Standing,
+    JobClassSettings,
+    answer_response,
     read_job_body,
-    reply_answer,
     to_request,
 )
 from jackdawspur.model import Answer, JobState
@@ -24,7 +24,7 @@
 OPENING_PASSES = 10
 MICRO = 1e6
 TIMEOUT_S = 5.0
-STANDING = Standing(5000.0, 360, True)
+JOB_CLASS_SETTINGS = JobClassSettings(5000.0, 360, True)
 OK = 200
 
 
@@ -37,13 +37,13 @@
 
     server: WebServer
 
-    def called(self, call: Call) -> None:
-        request = to_request(read_job_body(call.body), "team-001", STANDING)
+    def handle_call(self, call: Call) -> None:
+        request = to_request(read_job_body(call.body), "team-001", JOB_CLASS_SETTINGS)
         outputs = tuple(task.payload for task in request.tasks)
         answer = Answer(JobState.COMPLETE, None, outputs)
-        self.server.reply(call.number, reply_answer(answer))
+        self.server.reply(call.call_id, answer_response(answer))
 
-    def closed(self, number: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Nothing is kept of a call."""
 
 
@@ -55,7 +55,7 @@
         # Only a running manager polls; here the measurement itself makes the passes.
         self._root._running = True
         EPoll().register(self._root)
-        deadlines = Deadlines().register(self._root)
+        timer_queue = TimerQueue().register(self._root)
         service = _Parsing()
         service.server = WebServer("127.0.0.1:0", service).register(self._root)
         # The poller may wait without a limit, also for what this process itself does.
@@ -63,7 +63,7 @@
         for _ in range(OPENING_PASSES):
             self._root.tick()
         where = ("127.0.0.1", service.server.port)
-        self._client = HttpClient(where, deadlines).register(self._root)
+        self._client = HttpClient(where, timer_queue).register(self._root)
 
     def ask(self, body: bytes) -> None:
         """Make one request and see that it was answered well."""
--- a/jackdawspur/slopes/_memory.py
+++ b/jackdawspur/slopes/_memory.py
@@ -4,9 +4,9 @@
 import tracemalloc
 from collections.abc import Callable, Iterator
 
-from jackdawspur.metrics import ClassName, Histograms
+from jackdawspur.metrics import HistogramKey, Histograms
 from jackdawspur.model import SubmissionId
-from jackdawspur.ownership import ClaimTable
+from jackdawspur.ownership import IdempotencyKeyTable
 from jackdawspur.slopes._fit import Slope, fit
 from jackdawspur.slopes._host import DrivenHost, Sizes, peer_of
 from jackdawspur.slopes._mesh import Mesh
@@ -76,11 +76,11 @@
 
 
 def _claims(count: int) -> float:
-    def make() -> ClaimTable:
-        table = ClaimTable()
+    def make() -> IdempotencyKeyTable:
+        table = IdempotencyKeyTable()
         for number in range(count):
             submission = SubmissionId(peer_of(0, 0), number)
-            table.fold("team-001", f"{number:032x}", submission, 0.0)
+            table.apply_claim("team-001", f"{number:032x}", submission, 0.0)
         return table
 
     return _held(make)
@@ -109,7 +109,7 @@
     def make() -> Histograms:
         histograms = Histograms()
         for number in range(count):
-            histograms.record(ClassName(f"team-{number}", "class-1"), 200.0)
+            histograms.record(HistogramKey(f"team-{number}", "class-1"), 200.0)
         return histograms
 
     return _held(make)
--- a/jackdawspur/slopes/_mesh.py
+++ b/jackdawspur/slopes/_mesh.py
@@ -2,13 +2,13 @@
 
 from dataclasses import replace
 
-from jackdawspur.dispatch import SendPeer
+from jackdawspur.dispatch import SendPeerMessage
 from jackdawspur.messages import (
     CustomerUsage,
     Heartbeat,
-    PeerSeen,
+    LivePeer,
     Pulse,
-    ZoneVersion,
+    ZoneStatus,
 )
 from jackdawspur.model import HostId
 from jackdawspur.slopes._host import DrivenHost, peer_of
@@ -42,7 +42,7 @@
         until = self._host.now + seconds
         while self._host.now < until:
             for effect in self._host.tick():
-                if isinstance(effect, SendPeer):
+                if isinstance(effect, SendPeerMessage):
                     self._echo(effect)
 
     def hear_sibling(self, full: bool) -> None:
@@ -53,7 +53,7 @@
         pulse = Pulse(self._sequence, 10, 0, 0.0)
         self._host.hear(peer, beat if full else pulse)
 
-    def _echo(self, effect: SendPeer) -> None:
+    def _echo(self, effect: SendPeerMessage) -> None:
         message = effect.message
         if isinstance(message, Pulse):
             self._sequence += 1
@@ -84,12 +84,11 @@
         hosts = self._host.sizes.hosts
         usage = self._usage(USAGE_REPORTED) if full else ()
         summaries = tuple(
-            ZoneVersion(peer_of(zone, 0).zone, 1, 100, 0, hosts, usage)
-            for zone in zones
+            ZoneStatus(peer_of(zone, 0).zone, 1, 100, 0, hosts, usage) for zone in zones
         )
         if not full:
             return replace(beat, zones=summaries)
-        seen = tuple(PeerSeen(peer_of(z, h)) for z in zones for h in range(hosts))
+        seen = tuple(LivePeer(peer_of(z, h)) for z in zones for h in range(hosts))
         return replace(beat, zones=summaries, seen=seen, reports_usage=True)
 
     def _usage(self, limit: int) -> tuple[CustomerUsage, ...]:
--- a/jackdawspur/slopes/_messages.py
+++ b/jackdawspur/slopes/_messages.py
@@ -3,26 +3,26 @@
 from collections.abc import Iterator
 
 from jackdawspur.links import Envelope, encode
-from jackdawspur.membership import pace_of, traffic
+from jackdawspur.membership import heartbeat_bandwidth, heartbeat_intervals
 from jackdawspur.messages import (
     CustomerUsage,
     Delegate,
     Forward,
     Heartbeat,
+    LivePeer,
     Message,
-    PeerSeen,
     Pulse,
     SlotGrant,
-    SlotsOfUpstream,
-    ZoneVersion,
+    UpstreamSlots,
+    ZoneStatus,
 )
 from jackdawspur.model import (
+    ClusterSpec,
     HostId,
     JobRequest,
     SubmissionId,
     TaskSpec,
     UpstreamId,
-    World,
 )
 from jackdawspur.slopes._fit import Slope, fit
 from jackdawspur.slopes._host import Sizes, world_of_size
@@ -53,18 +53,18 @@
 def pace_lines() -> Iterator[str]:
     """Yield the bytes a second and the intervals that the pace formula gives."""
     for zones, hosts in MESHES:
-        cost = traffic(zones, hosts, CUSTOMERS)
-        pace = pace_of(_world(zones, hosts))
+        cost = heartbeat_bandwidth(zones, hosts, CUSTOMERS)
+        pace = heartbeat_intervals(_world(zones, hosts))
         yield (
             f"control traffic, {zones} zones of {hosts} hosts, {CUSTOMERS} customers: "
             f"{cost.sent:.0f} B/s sent, {cost.received:.0f} B/s received; a sibling "
-            f"is missed after {pace.sibling_silence:.1f} s, a linked host of another "
-            f"zone after {pace.link_silence:.1f} s, a zone that siblings tell of "
-            f"after {pace.relay_silence:.1f} s"
+            f"is missed after {pace.sibling_timeout:.1f} s, a linked host of another "
+            f"zone after {pace.link_timeout:.1f} s, a zone that siblings tell of "
+            f"after {pace.relay_timeout:.1f} s"
         )
 
 
-def _world(zones: int, hosts: int) -> World:
+def _world(zones: int, hosts: int) -> ClusterSpec:
     return world_of_size(Sizes(0, hosts, zones, CUSTOMERS))
 
 
@@ -78,11 +78,11 @@
 
 
 def _seen(count: int) -> float:
-    return _beat(seen=(PeerSeen(HOST),) * count)
+    return _beat(seen=(LivePeer(HOST),) * count)
 
 
 def _zones(count: int) -> float:
-    return _beat(zones=(ZoneVersion(HOST.zone, 100_000, 100, 1000, 10),) * count)
+    return _beat(zones=(ZoneStatus(HOST.zone, 100_000, 100, 1000, 10),) * count)
 
 
 def _usage(count: int) -> float:
@@ -108,5 +108,5 @@
 
 
 def _grant(upstreams: int) -> float:
-    lent = (SlotsOfUpstream(UpstreamId(HOST.zone, "w1000"), 1),) * upstreams
+    lent = (UpstreamSlots(UpstreamId(HOST.zone, "w1000"), 1),) * upstreams
     return _size(SlotGrant(1000, 1000.0, lent, 1000))
--- a/jackdawspur/soak/__init__.py
+++ b/jackdawspur/soak/__init__.py
@@ -1,9 +1,15 @@
 """Real processes under faults: a deployment, its faults, and what must still hold."""
 
 from jackdawspur.soak._checks import Findings, check
-from jackdawspur.soak._deployment import Answer, Deployment, answers, stop, wait_until
+from jackdawspur.soak._deployment import (
+    Answer,
+    Deployment,
+    stop_host,
+    wait_for_answers,
+    wait_until,
+)
 from jackdawspur.soak._plan import Fault, FaultKind, Layout, layout_of, plan_faults
-from jackdawspur.soak._proxy import Passage, Proxy
+from jackdawspur.soak._proxy import Proxy, ProxyMode
 from jackdawspur.soak._soak import SoakResult, run_seed
 
 __all__ = [
@@ -13,14 +19,14 @@
     "FaultKind",
     "Findings",
     "Layout",
-    "Passage",
     "Proxy",
+    "ProxyMode",
     "SoakResult",
-    "answers",
     "check",
     "layout_of",
     "plan_faults",
     "run_seed",
-    "stop",
+    "stop_host",
+    "wait_for_answers",
     "wait_until",
 ]
--- a/jackdawspur/soak/__main__.py
+++ b/jackdawspur/soak/__main__.py
@@ -13,7 +13,7 @@
 import msgspec
 from absl import flags
 
-from jackdawspur.soak._plan import KEPT_SEEDS
+from jackdawspur.soak._plan import REGRESSION_SEEDS
 from jackdawspur.soak._soak import SoakResult, run_seed
 
 __all__ = ["main"]
@@ -33,7 +33,7 @@
     # The processes of a deployment end with its seed, also when that is broken off.
     signal(SIGTERM, lambda _signo, _frame: sys.exit(1))
     drawn = range(FLAGS.first, FLAGS.first + FLAGS.seeds)
-    seeds = [*(KEPT_SEEDS if FLAGS.kept else ()), *drawn]
+    seeds = [*(REGRESSION_SEEDS if FLAGS.kept else ()), *drawn]
     wrong = [seed for seed in seeds if not _run(seed, FLAGS.seconds)]
     print(f"{len(seeds)} seeds, wrong: {wrong or 'none'}")  # noqa: T201
     return 1 if wrong else 0
--- a/jackdawspur/soak/_deployment.py
+++ b/jackdawspur/soak/_deployment.py
@@ -19,7 +19,7 @@
     PLATFORM_HEADERS,
     PLATFORM_ROUTE,
     PlatformReport,
-    platform_job,
+    platform_job_body,
 )
 
 __all__ = ["Answer", "Deployment", "wait_until"]
@@ -67,9 +67,9 @@
         callers, ready, link, announced, metrics, passage = ports.take(6)
         self.name = name
         self.zone = zone
-        self.to_link = LinkProxy(announced, link)
-        self.to_store = Proxy(passage, store_port)
-        self.callers, self.ready, self.metrics = callers, ready, metrics
+        self.link_proxy = LinkProxy(announced, link)
+        self.store_proxy = Proxy(passage, store_port)
+        self.callers_port, self.ready_port, self.metrics_port = callers, ready, metrics
         self._file = folder / f"{name}.json"
         self._log = folder / f"{name}.log"
         settings = {
@@ -95,25 +95,25 @@
 
     def call(self, method: str, path: str, body=None, port: int | None = None):
         """Ask the host and return its answer."""
-        return _call(port or self.callers, method, path, body)
+        return _call(port or self.callers_port, method, path, body)
 
     def is_ready(self) -> bool:
         """Tell whether the host wants connections."""
-        return self.call("GET", "/ready", port=self.ready).status == 200
+        return self.call("GET", "/ready", port=self.ready_port).status == 200
 
     def leader(self) -> str | None:
         """Return the name of the host that this one follows, its own if it leads."""
-        return self.call("GET", "/status", port=self.metrics).body.get("leader")
+        return self.call("GET", "/status", port=self.metrics_port).body.get("leader")
 
     def leads(self) -> bool:
         """Tell whether the host leads."""
         return self.leader() == self.name
 
-    def names(self, job: str) -> bool:
+    def log_mentions(self, job: str) -> bool:
         """Tell whether a line of the log names a job."""
         return job in self._log.read_text()
 
-    def lines(self) -> list[dict]:
+    def log_lines(self) -> list[dict]:
         """Return the log so far."""
         return [json.loads(line) for line in self._log.read_text().splitlines()]
 
@@ -157,7 +157,7 @@
         store, *ports = self._ports.take(2 * workers + 1)
         self._store_port = store
         listening, announced = ports[:workers], ports[workers:]
-        self.to_workers = [
+        self.worker_proxies = [
             Proxy(*pair) for pair in zip(announced, listening, strict=True)
         ]
         settings = {
@@ -172,7 +172,7 @@
         words = ["standin", f"--settings={file}", "platform"]
         self._platform = _run(words, folder / "platform.log")
 
-    def next_job(self) -> str:
+    def next_job_id(self) -> str:
         """Return the id of a job not sent yet."""
         self._next_job += 1
         return f"{self._next_job:016x}"
@@ -186,8 +186,8 @@
         fails: bool = False,
     ) -> Future:
         """Send a job from a thread and return its future answer."""
-        job = job or self.next_job()
-        body = platform_job(run_ms, tasks, fails)
+        job = job or self.next_job_id()
+        body = platform_job_body(run_ms, tasks, fails)
         return CALLERS.submit(host.call, "POST", f"/q/{job}", body)
 
     def leader(self) -> Host:
@@ -220,8 +220,8 @@
         for process in [*(h.process for h in self.hosts), self._platform]:
             process.kill()
             process.wait()
-        proxies = [proxy for h in self.hosts for proxy in (h.to_store, h.to_link)]
-        for proxy in [*proxies, *self.to_workers]:
+        proxies = [proxy for h in self.hosts for proxy in (h.store_proxy, h.link_proxy)]
+        for proxy in [*proxies, *self.worker_proxies]:
             proxy.close()
         self._ports.close()
 
@@ -232,13 +232,13 @@
         return names.pop() or None if len(names) == 1 else None
 
 
-def stop(host: Host, seconds: float = 8.0) -> int:
+def stop_host(host: Host, seconds: float = 8.0) -> int:
     """Ask a host to stop and return its exit status."""
     host.process.send_signal(SIGTERM)
     return host.process.wait(seconds)
 
 
-def answers(futures: list[Future]) -> list[Answer]:
+def wait_for_answers(futures: list[Future]) -> list[Answer]:
     """Return the answers, once all are there."""
     return [future.result(WAIT_S) for future in futures]
 
--- a/jackdawspur/soak/_fault_injector.py
+++ b/jackdawspur/soak/_fault_injector.py
@@ -7,20 +7,20 @@
 
 from jackdawspur.soak._deployment import Deployment, Host, wait_until
 from jackdawspur.soak._plan import OF_LIST, Fault, FaultKind
-from jackdawspur.soak._proxy import Passage
+from jackdawspur.soak._proxy import ProxyMode
 
-__all__ = ["Strikes"]
+__all__ = ["FaultInjector"]
 
 # By then an interpreter runs its program, which can ignore signals from there on.
 BEGUN_S = 0.1
 # At most so many workers are off the list for one fault.
 MOST_UNLISTED = 4
 
-PASSAGES = {
-    FaultKind.STORE_SILENT_FOR_HOST: Passage.SILENT,
-    FaultKind.STORE_RESETS_HOST: Passage.RESET,
-    FaultKind.WORKER_SILENT: Passage.SILENT,
-    FaultKind.WORKER_RESETS: Passage.RESET,
+PROXY_MODES = {
+    FaultKind.STORE_SILENT_FOR_HOST: ProxyMode.SILENT,
+    FaultKind.STORE_RESETS_HOST: ProxyMode.RESET,
+    FaultKind.WORKER_SILENT: ProxyMode.SILENT,
+    FaultKind.WORKER_RESETS: ProxyMode.RESET,
 }
 OF_WORKERS = (FaultKind.WORKER_SILENT, FaultKind.WORKER_RESETS)
 OF_PLATFORM = (FaultKind.STORE_DOWN, *OF_LIST)
@@ -41,7 +41,7 @@
     process: Popen
 
 
-class Strikes:
+class FaultInjector:
     """Carry faults out, and take them back when their time is over."""
 
     def __init__(self, deployment: Deployment) -> None:
@@ -49,7 +49,7 @@
         self._undo: list[_Undo] = []
         self.kills: dict[str, int] = {host.name: 0 for host in deployment.hosts}
 
-    def strike(self, fault: Fault, now_s: float) -> None:
+    def inject(self, fault: Fault, now_s: float) -> None:
         """Begin a fault; one whose target is struck already by the same does nothing.
 
         A host that is down or stands still takes no signal, and none to reload while
@@ -58,7 +58,7 @@
         if any(_same(undo.fault, fault) for undo in self._undo):
             return
         host = self._host(fault)
-        on_host = fault.kind not in (*PASSAGES, *OF_PLATFORM, *OF_LINKS)
+        on_host = fault.kind not in (*PROXY_MODES, *OF_PLATFORM, *OF_LINKS)
         if fault.kind is FaultKind.STORE_FORGETS:
             self._set_platform(forget=True)
             return
@@ -72,19 +72,19 @@
         else:
             self._put_in_force(fault)
 
-    def take_back(self, now_s: float) -> None:
+    def revert_due(self, now_s: float) -> None:
         """End what has lasted long enough, and start hosts again that are down."""
         for undo in [one for one in self._undo if one.at_s <= now_s]:
             if self._may_end(undo):
                 self._undo.remove(undo)
                 self._end(undo)
 
-    def take_back_all(self, seconds: float) -> None:
+    def revert_all(self, seconds: float) -> None:
         """End all faults, and wait for hosts that are still stopping."""
         wait_until(self._none_left, "end of all faults", seconds)
 
     def _none_left(self) -> bool:
-        self.take_back(float("inf"))
+        self.revert_due(float("inf"))
         return not self._undo
 
     def _signal(self, fault: Fault, host: Host) -> None:
@@ -106,7 +106,7 @@
 
     def _end(self, undo: _Undo) -> None:
         fault, host = undo.fault, self._host(undo.fault)
-        if fault.kind in (*PASSAGES, *OF_PLATFORM, *OF_LINKS):
+        if fault.kind in (*PROXY_MODES, *OF_PLATFORM, *OF_LINKS):
             self._put_in_force(fault)
         elif fault.kind is FaultKind.FREEZE_HOST:
             undo.process.send_signal(SIGCONT)
@@ -135,7 +135,7 @@
         """Return the workers that a fault takes off the list."""
         if fault.kind not in OF_LIST:
             return set()
-        workers = len(self._deployment.to_workers)
+        workers = len(self._deployment.worker_proxies)
         count = workers // 2
         if fault.kind is FaultKind.LIST_SHORT:
             count = 1 + fault.target // len(self._deployment.hosts) % MOST_UNLISTED
@@ -143,24 +143,24 @@
 
     def _set_passage(self, fault: Fault) -> None:
         of_workers = fault.kind in OF_WORKERS
-        proxies = self._deployment.to_workers
+        proxies = self._deployment.worker_proxies
         if not of_workers:
-            proxies = [host.to_store for host in self._deployment.hosts]
+            proxies = [host.store_proxy for host in self._deployment.hosts]
         number = fault.target % len(proxies)
         lasting = [
-            PASSAGES[undo.fault.kind]
+            PROXY_MODES[undo.fault.kind]
             for undo in self._undo
-            if undo.fault.kind in PASSAGES
+            if undo.fault.kind in PROXY_MODES
             and (undo.fault.kind in OF_WORKERS) == of_workers
             and undo.fault.target % len(proxies) == number
         ]
-        proxies[number].passage = lasting[-1] if lasting else Passage.OPEN
+        proxies[number].mode = lasting[-1] if lasting else ProxyMode.OPEN
 
     def _cut_links(self) -> None:
         hosts = self._deployment.hosts
         cuts = [u.fault for u in self._undo if u.fault.kind in OF_LINKS]
         for to, host in enumerate(hosts):
-            host.to_link.cut = frozenset(
+            host.link_proxy.blocked_senders = frozenset(
                 other.name
                 for sender, other in enumerate(hosts)
                 if any(self._is_cut(cut, sender, to) for cut in cuts)
--- a/jackdawspur/soak/_link_proxy.py
+++ b/jackdawspur/soak/_link_proxy.py
@@ -24,12 +24,12 @@
         super().__init__(port, target)
 
     @property
-    def cut(self) -> frozenset[str]:
+    def blocked_senders(self) -> frozenset[str]:
         """Return the hosts whose messages are kept back; these stay connected."""
         return self._cut
 
-    @cut.setter
-    def cut(self, names: frozenset[str]) -> None:
+    @blocked_senders.setter
+    def blocked_senders(self, names: frozenset[str]) -> None:
         self._cut = names
 
     def _before_wait(self) -> None:
--- a/jackdawspur/soak/_plan.py
+++ b/jackdawspur/soak/_plan.py
@@ -8,15 +8,15 @@
 __all__ = [
     "Fault",
     "FaultKind",
-    "KEPT_SEEDS",
     "Layout",
     "OF_LIST",
+    "REGRESSION_SEEDS",
     "layout_of",
     "plan_faults",
 ]
 
 # Seeds that have shown a fault of the product.
-KEPT_SEEDS = (203, 224, 1016)
+REGRESSION_SEEDS = (203, 224, 1016)
 
 # Pauses between two faults, in seconds: at the least, several are in force at a time.
 LEAST_GAP_S = 0.1
--- a/jackdawspur/soak/_proxy.py
+++ b/jackdawspur/soak/_proxy.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from threading import Thread
 
-__all__ = ["Passage", "Proxy"]
+__all__ = ["Proxy", "ProxyMode"]
 
 CHUNK_BYTES = 65_536
 # How soon a change of the passage is seen.
@@ -16,7 +16,7 @@
 SEND_S = 1.0
 
 
-class Passage(Enum):
+class ProxyMode(Enum):
     """Say what becomes of bytes; a silent proxy keeps connections open."""
 
     OPEN = "open"
@@ -29,7 +29,7 @@
 
     def __init__(self, port: int, target: int) -> None:
         self._target = target
-        self._passage = Passage.OPEN
+        self._passage = ProxyMode.OPEN
         self._pairs: dict[socket.socket, socket.socket] = {}
         self._selector = selectors.DefaultSelector()
         self._listener = socket.create_server(("127.0.0.1", port))
@@ -44,12 +44,12 @@
         return self._listener.getsockname()[1]
 
     @property
-    def passage(self) -> Passage:
+    def mode(self) -> ProxyMode:
         """Return what becomes of bytes now."""
         return self._passage
 
-    @passage.setter
-    def passage(self, passage: Passage) -> None:
+    @mode.setter
+    def mode(self, passage: ProxyMode) -> None:
         self._passage = passage
 
     def close(self) -> None:
@@ -59,9 +59,9 @@
 
     def _run(self) -> None:
         while not self._closing:
-            if self._passage is Passage.RESET:
+            if self._passage is ProxyMode.RESET:
                 self._drop_all()
-            if self._passage is Passage.SILENT:
+            if self._passage is ProxyMode.SILENT:
                 # The kernel goes on accepting and buffering; nobody reads or answers.
                 time.sleep(POLL_S)
                 continue
--- a/jackdawspur/soak/_soak.py
+++ b/jackdawspur/soak/_soak.py
@@ -8,7 +8,7 @@
 
 from jackdawspur.soak._checks import Findings, Sent, check
 from jackdawspur.soak._deployment import Answer, Deployment, Host, wait_until
-from jackdawspur.soak._fault_injector import Strikes
+from jackdawspur.soak._fault_injector import FaultInjector
 from jackdawspur.soak._plan import Fault, Layout, layout_of, plan_faults
 
 __all__ = ["SoakResult", "run_seed"]
@@ -66,9 +66,9 @@
         layout.processors,
     )
     try:
-        faults = Strikes(deployment)
+        faults = FaultInjector(deployment)
         opened = _load(deployment, faults, plan, seed, seconds)
-        faults.take_back_all(RECOVERED_S)
+        faults.revert_all(RECOVERED_S)
         sent = [_ended(one, faults) for one in opened]
         findings = check(sent, deployment.report())
         _check_recovered(deployment, findings)
@@ -79,7 +79,7 @@
 
 def _load(
     deployment: Deployment,
-    faults: Strikes,
+    faults: FaultInjector,
     plan: tuple[Fault, ...],
     seed: int,
     seconds: float,
@@ -89,9 +89,9 @@
     to_come, opened = list(plan), []
     job_at_s = 0.0
     while (now_s := time.monotonic() - began) < seconds:
-        faults.take_back(now_s)
+        faults.revert_due(now_s)
         while to_come and to_come[0].at_s <= now_s:
-            faults.strike(to_come.pop(0), now_s)
+            faults.inject(to_come.pop(0), now_s)
         if now_s >= job_at_s:
             job_at_s = now_s + JOB_EVERY_S
             opened.append(_submit(deployment, faults, draw))
@@ -99,12 +99,14 @@
     return opened
 
 
-def _submit(deployment: Deployment, faults: Strikes, draw: random.Random) -> _Open:
+def _submit(
+    deployment: Deployment, faults: FaultInjector, draw: random.Random
+) -> _Open:
     host = _choose_host(deployment, draw)
     run_ms = draw.uniform(LEAST_RUN_MS, MOST_RUN_MS)
     tasks = draw.randint(1, MOST_TASKS)
     fails = draw.random() < FAILING_SHARE
-    job = deployment.next_job()
+    job = deployment.next_job_id()
     kills = faults.kills[host.name]
     answer = deployment.submit(host, run_ms, tasks, job, fails)
     return _Open(job, tasks, fails, host, kills, answer)
@@ -119,10 +121,10 @@
     return fresh[int(drawn / FRESH_SHARE * len(fresh))]
 
 
-def _ended(one: _Open, faults: Strikes) -> Sent:
+def _ended(one: _Open, faults: FaultInjector) -> Sent:
     answer: Answer = one.answer.result(ANSWERS_S)
     killed = faults.kills[one.host.name] > one.kills
-    unread = answer.status == 0 and not one.host.names(one.job)
+    unread = answer.status == 0 and not one.host.log_mentions(one.job)
     return Sent(one.job, one.tasks, one.fails, answer, killed, unread)
 
 
--- a/jackdawspur/soak/tests/test_link_proxy.py
+++ b/jackdawspur/soak/tests/test_link_proxy.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from jackdawspur.group import HostAddress, HostBeat, encode_message
+from jackdawspur.group import HostAddress, HostHeartbeat, encode_message
 from jackdawspur.soak._link_proxy import GREETING, LinkProxy
 
 SHORT_S = 0.2
@@ -30,7 +30,7 @@
     known = (HostAddress("h9", "z1", "127.0.0.1:9", 1),)
     host = HostAddress(name, "z1", "127.0.0.1:1", 1)
     return encode_message(
-        HostBeat(host, 0.0, False, 0, True, False, False, 1, 0.0, known)
+        HostHeartbeat(host, 0.0, False, 0, True, False, False, 1, 0.0, known)
     )
 
 
@@ -58,14 +58,14 @@
 
 def test_only_the_cut_host_is_kept_back_until_the_cut_ends(proxy, listener):
     links = {name: connect(proxy, listener) for name in ("h1", "h2")}
-    proxy.cut = frozenset({"h1"})
+    proxy.blocked_senders = frozenset({"h1"})
     for name, (near, _far) in links.items():
         near.sendall(beat(name))
     size = len(beat("h1"))
     assert read(links["h2"][1], size, LONG_S) == beat("h2")
     assert read(links["h1"][1], size, SHORT_S) == b""
     links["h1"][0].sendall(b"later")
-    proxy.cut = frozenset()
+    proxy.blocked_senders = frozenset()
     assert read(links["h1"][1], size + 5, LONG_S) == beat("h1") + b"later"
 
 
@@ -73,16 +73,16 @@
     near, far = connect(proxy, listener)
     near.sendall(beat("h1"))
     assert read(far, len(beat("h1")), LONG_S) == beat("h1")
-    proxy.cut = frozenset({"h1"})
+    proxy.blocked_senders = frozenset({"h1"})
     near.sendall(b"more")
     assert read(far, 4, SHORT_S) == b""
     near.close()
-    proxy.cut = frozenset()
+    proxy.blocked_senders = frozenset()
     assert read(far, 5, LONG_S) == b"more"
 
 
 def test_a_link_on_which_nobody_was_named_waits_while_any_is_cut(proxy, listener):
-    proxy.cut = frozenset({"h1"})
+    proxy.blocked_senders = frozenset({"h1"})
     near, far = connect(proxy, listener)
     near.sendall(b"unknown")
     assert read(far, 7, SHORT_S) == b""
--- a/jackdawspur/soak/tests/test_proxy.py
+++ b/jackdawspur/soak/tests/test_proxy.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from jackdawspur.soak import Passage, Proxy
+from jackdawspur.soak import Proxy, ProxyMode
 from jackdawspur.soak._ports import PortBlock
 
 SHORT_S = 0.3
@@ -46,12 +46,12 @@
 
 def test_a_silent_proxy_answers_once_it_is_open_again(proxy: Proxy):
     with _connect(proxy) as caller:
-        proxy.passage = Passage.SILENT
+        proxy.mode = ProxyMode.SILENT
         caller.settimeout(SHORT_S)
         caller.sendall(b"hello")
         with pytest.raises(TimeoutError):
             caller.recv(100)
-        proxy.passage = Passage.OPEN
+        proxy.mode = ProxyMode.OPEN
         caller.settimeout(5.0)
         assert caller.recv(100) == b"hello"
 
@@ -60,7 +60,7 @@
     with _connect(proxy) as caller:
         caller.sendall(b"hello")
         assert caller.recv(100) == b"hello"
-        proxy.passage = Passage.RESET
+        proxy.mode = ProxyMode.RESET
         assert caller.recv(100) == b""
 
 
--- a/jackdawspur/soak/tests/test_strikes.py
+++ b/jackdawspur/soak/tests/test_strikes.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from jackdawspur.soak import Deployment, Fault, FaultKind, Passage, wait_until
-from jackdawspur.soak._fault_injector import Strikes
+from jackdawspur.soak import Deployment, Fault, FaultKind, ProxyMode, wait_until
+from jackdawspur.soak._fault_injector import FaultInjector
 
 NAMES = ("h0", "h1", "h2", "h3")
 
@@ -22,12 +22,12 @@
             SimpleNamespace(
                 name=name,
                 process=SimpleNamespace(poll=lambda: None),
-                to_link=SimpleNamespace(cut=frozenset()),
-                to_store=SimpleNamespace(passage=Passage.OPEN),
+                link_proxy=SimpleNamespace(blocked_senders=frozenset()),
+                store_proxy=SimpleNamespace(mode=ProxyMode.OPEN),
             )
             for name in NAMES
         ]
-        self.to_workers = [SimpleNamespace(passage=Passage.OPEN) for _ in range(6)]
+        self.worker_proxies = [SimpleNamespace(mode=ProxyMode.OPEN) for _ in range(6)]
         self.platform: dict = {}
 
     def set_faults(self, **faults) -> None:
@@ -36,7 +36,7 @@
 
     def cuts(self) -> list[set[str]]:
         """Return whom each host does not hear."""
-        return [set(host.to_link.cut) for host in self.hosts]
+        return [set(host.link_proxy.blocked_senders) for host in self.hosts]
 
 
 @pytest.fixture
@@ -64,48 +64,48 @@
     ],
 )
 def test_a_cut_is_one_way_or_both(fake: FakeDeployment, kind, unheard):
-    strikes = Strikes(fake)
-    strikes.strike(Fault(0.0, kind, 5, 1.0), 0.0)
+    strikes = FaultInjector(fake)
+    strikes.inject(Fault(0.0, kind, 5, 1.0), 0.0)
     # A host may hear itself or not: it sends itself nothing.
     got = [cut - {name} for cut, name in zip(fake.cuts(), NAMES, strict=True)]
     assert got == unheard
-    strikes.take_back(1.0)
+    strikes.revert_due(1.0)
     assert fake.cuts() == [set()] * 4
 
 
 def test_what_is_left_of_two_faults_stays_in_force(fake: FakeDeployment):
-    strikes = Strikes(fake)
-    strikes.strike(Fault(0.0, FaultKind.STORE_DOWN, 1, 2.0), 0.0)
-    strikes.strike(Fault(0.0, FaultKind.LIST_SHORT, 9, 1.0), 0.0)
-    strikes.strike(Fault(0.0, FaultKind.LIST_SHORT, 4, 2.0), 0.0)
-    strikes.strike(Fault(0.0, FaultKind.STORE_FORGETS, 4, 2.0), 0.0)
+    strikes = FaultInjector(fake)
+    strikes.inject(Fault(0.0, FaultKind.STORE_DOWN, 1, 2.0), 0.0)
+    strikes.inject(Fault(0.0, FaultKind.LIST_SHORT, 9, 1.0), 0.0)
+    strikes.inject(Fault(0.0, FaultKind.LIST_SHORT, 4, 2.0), 0.0)
+    strikes.inject(Fault(0.0, FaultKind.STORE_FORGETS, 4, 2.0), 0.0)
     assert fake.platform == {"store_down": True, "unlisted": [3, 4, 5], "forget": True}
-    strikes.take_back(1.0)
+    strikes.revert_due(1.0)
     assert fake.platform == {"store_down": True, "unlisted": [4, 5], "forget": False}
-    strikes.take_back(2.0)
+    strikes.revert_due(2.0)
     assert fake.platform == {"store_down": False, "unlisted": [], "forget": False}
 
 
 def test_a_store_that_resets_and_is_silent_for_a_host_does_one_after_the_other(fake):
-    strikes = Strikes(fake)
-    strikes.strike(Fault(0.0, FaultKind.STORE_SILENT_FOR_HOST, 2, 2.0), 0.0)
-    strikes.strike(Fault(0.0, FaultKind.STORE_RESETS_HOST, 2, 1.0), 0.0)
-    assert fake.hosts[2].to_store.passage is Passage.RESET
-    assert fake.to_workers[2].passage is Passage.OPEN
-    strikes.take_back(1.0)
-    assert fake.hosts[2].to_store.passage is Passage.SILENT
-    strikes.take_back(2.0)
-    assert fake.hosts[2].to_store.passage is Passage.OPEN
+    strikes = FaultInjector(fake)
+    strikes.inject(Fault(0.0, FaultKind.STORE_SILENT_FOR_HOST, 2, 2.0), 0.0)
+    strikes.inject(Fault(0.0, FaultKind.STORE_RESETS_HOST, 2, 1.0), 0.0)
+    assert fake.hosts[2].store_proxy.mode is ProxyMode.RESET
+    assert fake.worker_proxies[2].mode is ProxyMode.OPEN
+    strikes.revert_due(1.0)
+    assert fake.hosts[2].store_proxy.mode is ProxyMode.SILENT
+    strikes.revert_due(2.0)
+    assert fake.hosts[2].store_proxy.mode is ProxyMode.OPEN
 
 
 def test_hosts_that_are_cut_off_from_each_other_both_lead(two_hosts: Deployment):
     # A host that announced the address at which it listens would be reached past the
     # proxy, and a seed with cuts would show nothing that one without them does not.
     two_hosts.leader()
-    strikes = Strikes(two_hosts)
-    strikes.strike(Fault(0.0, FaultKind.HOST_CUT_OFF, 0, 1.0), 0.0)
+    strikes = FaultInjector(two_hosts)
+    strikes.inject(Fault(0.0, FaultKind.HOST_CUT_OFF, 0, 1.0), 0.0)
     wait_until(lambda: all(h.leads() for h in two_hosts.hosts), "two leading hosts")
-    strikes.take_back(1.0)
+    strikes.revert_due(1.0)
     assert two_hosts.leader() in two_hosts.hosts
 
 
@@ -115,14 +115,14 @@
     def held() -> int:
         # On a busy machine the lead may change meanwhile.
         leader = two_hosts.leader()
-        status = leader.call("GET", "/status", port=leader.metrics)
+        status = leader.call("GET", "/status", port=leader.metrics_port)
         return len(status.body["upstreams"])
 
     wait_until(lambda: held() == 2, "two workers held")
-    strikes = Strikes(two_hosts)
-    strikes.strike(Fault(0.0, FaultKind.LIST_SHORT, 1, 1.0), 0.0)
+    strikes = FaultInjector(two_hosts)
+    strikes.inject(Fault(0.0, FaultKind.LIST_SHORT, 1, 1.0), 0.0)
     wait_until(lambda: held() == 1, "worker that left the list")
-    strikes.take_back(1.0)
+    strikes.revert_due(1.0)
     wait_until(lambda: held() == 2, "worker back on the list")
 
 
@@ -133,5 +133,5 @@
     sent = []
     fake.hosts[0].process.send_signal = sent.append
     fake.hosts[0].started_at = time.monotonic() - up_s
-    Strikes(fake).strike(Fault(0.0, FaultKind.RELOAD_HOST, 0, 1.0), 0.0)
+    FaultInjector(fake).inject(Fault(0.0, FaultKind.RELOAD_HOST, 0, 1.0), 0.0)
     assert sent == signals
--- a/jackdawspur/standins/__init__.py
+++ b/jackdawspur/standins/__init__.py
@@ -11,7 +11,7 @@
 from jackdawspur.standins._platform_caller import (
     PLATFORM_HEADERS,
     PLATFORM_ROUTE,
-    platform_job,
+    platform_job_body,
 )
 from jackdawspur.standins._platform_service import (
     PlatformReport,
@@ -21,19 +21,19 @@
 )
 from jackdawspur.standins._start_costs import (
     BatchCost,
-    StartSlopes,
-    measure_start_slopes,
+    StartCosts,
+    measure_start_costs,
 )
 from jackdawspur.standins._worker import Worker
 from jackdawspur.standins._worker_service import (
     WorkerService,
-    make_rack,
+    make_worker_pool,
     run_worker,
 )
 from jackdawspur.standins._worker_types import (
-    RackSettings,
     WorkerCounters,
     WorkerFaults,
+    WorkerPoolSettings,
     WorkerSettings,
 )
 
@@ -49,8 +49,8 @@
     "PLATFORM_ROUTE",
     "PlatformReport",
     "PlatformSettings",
-    "RackSettings",
-    "StartSlopes",
+    "WorkerPoolSettings",
+    "StartCosts",
     "Worker",
     "WorkerCounters",
     "WorkerFaults",
@@ -59,9 +59,9 @@
     "make_hostlist",
     "make_log",
     "make_platform",
-    "platform_job",
-    "make_rack",
-    "measure_start_slopes",
+    "platform_job_body",
+    "make_worker_pool",
+    "measure_start_costs",
     "run_hostlist",
     "run_log",
     "run_platform",
--- a/jackdawspur/standins/_fenced_worker.py
+++ b/jackdawspur/standins/_fenced_worker.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-__all__ = ["FencedTask", "FencedWorker", "WorkerTally"]
+__all__ = ["FencedTask", "FencedWorker", "FencedWorkerCounters"]
 
 MS_PER_S = 1000.0
 DEFAULT_RUN_MS = 100.0
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class WorkerTally:
+class FencedWorkerCounters:
     """Count, over all workers, what must never happen, and runs whose lease ended.
 
     `running` has every task that was ever started, `done` those that ended so, `twice`
@@ -51,7 +51,11 @@
     """Run what the highest fence asks for, as long as its lease lasts."""
 
     def __init__(
-        self, name: str, cpu: int, tally: WorkerTally, clock: Callable[[], float]
+        self,
+        name: str,
+        cpu: int,
+        tally: FencedWorkerCounters,
+        clock: Callable[[], float],
     ) -> None:
         self.name = name
         self.cpu = cpu
--- a/jackdawspur/standins/_hostlist_service.py
+++ b/jackdawspur/standins/_hostlist_service.py
@@ -5,7 +5,7 @@
 import msgspec
 from circuits import Manager
 
-from jackdawspur.adapters import Deadlines, split_address
+from jackdawspur.adapters import TimerQueue, split_address
 from jackdawspur.standins._hostlist import (
     HostListFaults,
     HostListSettings,
@@ -30,10 +30,10 @@
 class HostListService(HttpService):
     """Put one list behind HTTP: GET shows it late, POST sets the truth."""
 
-    def __init__(self, settings: HostListSettings, deadlines: Deadlines) -> None:
+    def __init__(self, settings: HostListSettings, timer_queue: TimerQueue) -> None:
         super().__init__(split_address(settings.address), channel="hostlist")
-        self._list = LaggingList(settings, deadlines.now)
-        self._deadlines = deadlines
+        self._list = LaggingList(settings, timer_queue.now)
+        self._timer_queue = timer_queue
         self._to_lose = 0
 
     def serve(self, exchange: Exchange) -> None:
@@ -44,7 +44,7 @@
             self._show(exchange)
         elif exchange.path == HOSTS:
             hosts = msgspec.json.decode(exchange.body, type=HostsBody)
-            self._list.replace(hosts, self._deadlines.now)
+            self._list.replace(hosts, self._timer_queue.now)
             exchange.reply(hosts)
         elif exchange.path == HOST:
             self._change(exchange)
@@ -54,9 +54,9 @@
     def _change(self, exchange: Exchange) -> None:
         host = msgspec.json.decode(exchange.body, type=HostBody)
         if exchange.method == HTTPMethod.DELETE:
-            self._list.remove(host, self._deadlines.now)
+            self._list.remove(host, self._timer_queue.now)
         else:
-            self._list.change(host, self._deadlines.now)
+            self._list.change(host, self._timer_queue.now)
         exchange.reply(host)
 
     def _show(self, exchange: Exchange) -> None:
@@ -67,7 +67,7 @@
             self._to_lose -= 1
             exchange.drop()
         else:
-            exchange.reply(self._list.shown(self._deadlines.now))
+            exchange.reply(self._list.shown(self._timer_queue.now))
 
     def _set_faults(self, exchange: Exchange) -> None:
         faults = msgspec.json.decode(exchange.body, type=HostListFaults)
@@ -77,14 +77,14 @@
 
 
 def make_hostlist(
-    settings: HostListSettings, root: Manager, deadlines: Deadlines
+    settings: HostListSettings, root: Manager, timer_queue: TimerQueue
 ) -> HostListService:
     """Register a host list at a loop."""
-    return HostListService(settings, deadlines).register(root)
+    return HostListService(settings, timer_queue).register(root)
 
 
 def run_hostlist(settings: HostListSettings) -> None:
     """Serve the host list until the process is told to stop."""
     serve_until_stopped(
-        lambda root, deadlines: make_hostlist(settings, root, deadlines)
+        lambda root, timer_queue: make_hostlist(settings, root, timer_queue)
     )
--- a/jackdawspur/standins/_http_service.py
+++ b/jackdawspur/standins/_http_service.py
@@ -8,8 +8,8 @@
 from circuits import BaseComponent, Manager, handler
 from circuits.core.pollers import EPoll
 
-from jackdawspur.adapters import Call, Deadlines, WebServer, WebService
-from jackdawspur.callers import HttpReply
+from jackdawspur.adapters import Call, TimerQueue, WebServer, WebService
+from jackdawspur.callers import HttpResponse
 from jackdawspur.exceptions import JackdawspurError
 
 __all__ = [
@@ -40,7 +40,7 @@
     __slots__ = ("_query", "_service", "body", "call", "method", "path")
 
     def __init__(self, service: "HttpService", call: Call) -> None:
-        self.call = call.number
+        self.call = call.call_id
         self.method = call.method
         self.path = call.path
         self.body = call.body
@@ -54,7 +54,7 @@
             raise BadQuery(f"missing query parameter: {name}")
         return values[0]
 
-    def number(self, name: str) -> float:
+    def call_id(self, name: str) -> float:
         """Return a query parameter as a number; raise `BadQuery`."""
         try:
             return float(self.text(name))
@@ -70,12 +70,12 @@
 
     def reply(self, body, status: int = HTTPStatus.OK) -> None:
         """Send a reply, encoded as JSON, if the connection still stands."""
-        encoded = HttpReply(int(status), msgspec.json.encode(body))
+        encoded = HttpResponse(int(status), msgspec.json.encode(body))
         self._service.web.reply(self.call, encoded)
 
     def reply_bytes(self, data: bytes) -> None:
         """Send a reply of raw bytes, if the connection still stands."""
-        encoded = HttpReply(
+        encoded = HttpResponse(
             int(HTTPStatus.OK), data, content_type="application/octet-stream"
         )
         self._service.web.reply(self.call, encoded)
@@ -89,7 +89,7 @@
 
     def drop(self) -> None:
         """Close the connection without a reply."""
-        self._service.web.drop(self.call)
+        self._service.web.abort_call(self.call)
 
 
 Answer = Callable[[Exchange], None]
@@ -121,16 +121,16 @@
         """Answer a request, now or later."""
         raise NotImplementedError
 
-    def gone(self, number: int) -> None:
+    def gone(self, call_id: int) -> None:
         """Take note that the caller of an open exchange left."""
 
-    def called(self, call: Call) -> None:
+    def handle_call(self, call: Call) -> None:
         """Hand a call on as an exchange."""
         Exchange(self, call).guard(self.serve)
 
-    def closed(self, number: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Pass on that the caller of an open call left."""
-        self.gone(number)
+        self.gone(call_id)
 
     @handler("signal", channel="*")
     def _on_signal(self, *_signal) -> None:
@@ -143,12 +143,12 @@
     exchange.reply(ErrorBody(f"nothing at {exchange.path}"), HTTPStatus.NOT_FOUND)
 
 
-def serve_until_stopped(make: Callable[[Manager, Deadlines], object]) -> None:
+def serve_until_stopped(make: Callable[[Manager, TimerQueue], object]) -> None:
     """Run a loop with what `make` registers at it.
 
     circuits' default poller is select, which fails beyond 1,024 connections.
     """
     root = Manager()
     EPoll().register(root)
-    make(root, Deadlines().register(root))
+    make(root, TimerQueue().register(root))
     root.run()
--- a/jackdawspur/standins/_log_service.py
+++ b/jackdawspur/standins/_log_service.py
@@ -7,7 +7,7 @@
 import msgspec
 from circuits import Manager
 
-from jackdawspur.adapters import Deadline, Deadlines, split_address
+from jackdawspur.adapters import TimerHandle, TimerQueue, split_address
 from jackdawspur.standins._http_service import (
     BadQuery,
     ErrorBody,
@@ -35,16 +35,16 @@
         self.exchange = exchange
         self.stream = stream
         self.offset = offset
-        self.deadline: Deadline | None = None
+        self.deadline: TimerHandle | None = None
 
 
 class LogService(HttpService):
     """Put one log behind HTTP and misbehave as told."""
 
-    def __init__(self, store: LogStore, deadlines: Deadlines) -> None:
+    def __init__(self, store: LogStore, timer_queue: TimerQueue) -> None:
         super().__init__(split_address(store.settings.address), channel="log")
         self._store = store
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._polls: list[_Poll] = []
         self._to_lose: Counter[HTTPMethod] = Counter()
 
@@ -64,28 +64,28 @@
         else:
             self._read(exchange, unquote(exchange.path[len(STREAMS) :]))
 
-    def gone(self, number: int) -> None:
+    def gone(self, call_id: int) -> None:
         """Forget the reads of a closed connection."""
-        for poll in [each for each in self._polls if each.exchange.call == number]:
+        for poll in [each for each in self._polls if each.exchange.call == call_id]:
             self._drop_poll(poll)
 
     def _append(self, exchange: Exchange, stream: str) -> None:
         if len(exchange.body) > self._store.settings.record_bytes:
             body = ErrorBody("the record is too large")
             exchange.reply(body, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-        elif not self._store.admit(stream, self._deadlines.now):
+        elif not self._store.admit(stream, self._timer_queue.now):
             body = ErrorBody("too many appends, or too many streams")
             exchange.reply(body, HTTPStatus.TOO_MANY_REQUESTS)
         else:
             delay_ms = self._store.settings.append_delay_ms
             delay_s = delay_ms * self._store.faults.slow_factor / MS
             text = _text(exchange.body)
-            self._deadlines.call_after(
+            self._timer_queue.call_later(
                 delay_s, lambda: self._appended(exchange, stream, text)
             )
 
     def _appended(self, exchange: Exchange, stream: str, text: str) -> None:
-        offset = self._store.append(stream, text, self._deadlines.now)
+        offset = self._store.append(stream, text, self._timer_queue.now)
         self._reply(exchange, AppendReply(offset))
         for poll in [each for each in self._polls if each.stream == stream]:
             self._drop_poll(poll)
@@ -93,10 +93,10 @@
 
     def _read(self, exchange: Exchange, stream: str) -> None:
         poll = _Poll(exchange, stream, exchange.whole("from"))
-        wait_ms = exchange.number("wait_ms")
+        wait_ms = exchange.call_id("wait_ms")
         if not self._answer(poll, final=wait_ms <= 0):
             self._polls.append(poll)
-            poll.deadline = self._deadlines.call_after(
+            poll.deadline = self._timer_queue.call_later(
                 wait_ms / MS, lambda: self._late(poll)
             )
 
@@ -109,7 +109,7 @@
         poll.deadline.cancel()
 
     def _answer(self, poll: _Poll, final: bool) -> bool:
-        now = self._deadlines.now
+        now = self._timer_queue.now
         first = self._store.first(poll.stream, now)
         if poll.offset < first:
             poll.exchange.reply(TrimmedReply(first), HTTPStatus.GONE)
@@ -135,14 +135,16 @@
         exchange.reply(faults)
 
 
-def make_log(settings: LogSettings, root: Manager, deadlines: Deadlines) -> LogService:
+def make_log(
+    settings: LogSettings, root: Manager, timer_queue: TimerQueue
+) -> LogService:
     """Register a log at a loop."""
-    return LogService(LogStore(settings), deadlines).register(root)
+    return LogService(LogStore(settings), timer_queue).register(root)
 
 
 def run_log(settings: LogSettings) -> None:
     """Serve the log until the process is told to stop."""
-    serve_until_stopped(lambda root, deadlines: make_log(settings, root, deadlines))
+    serve_until_stopped(lambda root, timer_queue: make_log(settings, root, timer_queue))
 
 
 def _text(body: bytes) -> str:
--- a/jackdawspur/standins/_platform_caller.py
+++ b/jackdawspur/standins/_platform_caller.py
@@ -2,7 +2,7 @@
 
 import json
 
-__all__ = ["PLATFORM_HEADERS", "PLATFORM_ROUTE", "platform_job"]
+__all__ = ["PLATFORM_HEADERS", "PLATFORM_ROUTE", "platform_job_body"]
 
 # The route of the jobs below, as the platform's configuration names it.
 PLATFORM_ROUTE = {
@@ -22,7 +22,7 @@
 TASK_MEMORY_MB = 64
 
 
-def platform_job(run_ms: float, tasks: int, fails: bool) -> dict:
+def platform_job_body(run_ms: float, tasks: int, fails: bool) -> dict:
     """Return the body of a job of one step, for the workers of this stand-in."""
     step = {
         "count": tasks,
--- a/jackdawspur/standins/_platform_service.py
+++ b/jackdawspur/standins/_platform_service.py
@@ -8,8 +8,8 @@
 import msgspec
 from circuits import Manager
 
-from jackdawspur.adapters import Deadlines, split_address
-from jackdawspur.standins._fenced_worker import FencedWorker, WorkerTally
+from jackdawspur.adapters import TimerQueue, split_address
+from jackdawspur.standins._fenced_worker import FencedWorker, FencedWorkerCounters
 from jackdawspur.standins._http_service import (
     ErrorBody,
     Exchange,
@@ -98,13 +98,15 @@
     until: float
 
 
-class WorkerService(HttpService):
+class FencedWorkerService(HttpService):
     """Put one worker behind HTTP; each task takes the same share of it."""
 
-    def __init__(self, address: str, worker: FencedWorker, deadlines, cpu: int) -> None:
+    def __init__(
+        self, address: str, worker: FencedWorker, timer_queue, cpu: int
+    ) -> None:
         super().__init__(split_address(address), channel=f"worker-{worker.name}")
         self.worker = worker
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._task_cpu = cpu
         self._born_ms = int(time.time() * MS_PER_S)
         self._waiting: list[_Waiting] = []
@@ -142,12 +144,12 @@
         if reason:
             self._reply(exchange, reason)
             return
-        until = self._deadlines.now + asked.wait_ms / MS_PER_S
+        until = self._timer_queue.now + asked.wait_ms / MS_PER_S
         self._waiting.append(_Waiting(exchange, until))
         self._answer_waiting()
 
     def _answer_waiting(self) -> None:
-        now = self._deadlines.now
+        now = self._timer_queue.now
         for waiting in list(self._waiting):
             if self.worker.unseen or now >= waiting.until:
                 self._waiting.remove(waiting)
@@ -166,17 +168,17 @@
         self.worker.tick()
         if not self.worker.silent:
             self._answer_waiting()
-        self._deadlines.call_after(TICK_S, self._tick)
+        self._timer_queue.call_later(TICK_S, self._tick)
 
 
 class StoreService(HttpService):
     """Put the store behind HTTP, and set faults and report there too."""
 
-    def __init__(self, settings: PlatformSettings, deadlines: Deadlines) -> None:
+    def __init__(self, settings: PlatformSettings, timer_queue: TimerQueue) -> None:
         super().__init__(split_address(settings.store), channel="platform-store")
         self._store = KeyedStore()
-        self._deadlines = deadlines
-        self._tally = WorkerTally()
+        self._timer_queue = timer_queue
+        self._tally = FencedWorkerCounters()
         self._faults = _Faults()
         self._waiting: list[tuple[_Waiting, str, int]] = []
         document = msgspec.json.encode(settings.configuration)
@@ -196,7 +198,7 @@
         }
         self._entries.append(msgspec.json.encode(entry))
         self._store.append(SERVERS, name, self._entries[number])
-        clock = lambda: self._deadlines.now  # noqa: E731
+        clock = lambda: self._timer_queue.now  # noqa: E731
         return FencedWorker(name, settings.cpu, self._tally, clock)
 
     def serve(self, exchange: Exchange) -> None:
@@ -257,14 +259,14 @@
         exchange.reply({"items": items, "more": False, "end": end})
 
     def _read(self, exchange: Exchange) -> None:
-        until = self._deadlines.now + exchange.number("wait_ms") / MS_PER_S
+        until = self._timer_queue.now + exchange.call_id("wait_ms") / MS_PER_S
         waiting = _Waiting(exchange, until)
         entry = (waiting, exchange.text("topic"), exchange.whole("from"))
         self._waiting.append(entry)
         self._answer_readers()
 
     def _answer_readers(self) -> None:
-        now = self._deadlines.now
+        now = self._timer_queue.now
         for entry in list(self._waiting):
             waiting, topic, offset = entry
             found = self._store.read(topic, offset)
@@ -279,21 +281,23 @@
 
     def _tick(self) -> None:
         self._answer_readers()
-        self._deadlines.call_after(10 * TICK_S, self._tick)
+        self._timer_queue.call_later(10 * TICK_S, self._tick)
 
 
 def make_platform(
-    settings: PlatformSettings, root: Manager, deadlines: Deadlines
+    settings: PlatformSettings, root: Manager, timer_queue: TimerQueue
 ) -> StoreService:
     """Register a store and its workers at a loop."""
-    store = StoreService(settings, deadlines).register(root)
+    store = StoreService(settings, timer_queue).register(root)
     for address, worker in zip(settings.workers, store.workers, strict=True):
-        WorkerService(address, worker, deadlines, settings.cpu // 2).register(root)
+        FencedWorkerService(address, worker, timer_queue, settings.cpu // 2).register(
+            root
+        )
     return store
 
 
 def run_platform(settings: PlatformSettings) -> None:
     """Serve the stand-in until the process is told to stop."""
     serve_until_stopped(
-        lambda root, deadlines: make_platform(settings, root, deadlines)
+        lambda root, timer_queue: make_platform(settings, root, timer_queue)
     )
--- a/jackdawspur/standins/_start_costs.py
+++ b/jackdawspur/standins/_start_costs.py
@@ -10,12 +10,17 @@
 from circuits.core.pollers import EPoll
 from result import Result
 
-from jackdawspur.adapters import Deadlines, HttpClient, HttpUpstream, split_address
+from jackdawspur.adapters import (
+    HttpClient,
+    HttpUpstreamClient,
+    TimerQueue,
+    split_address,
+)
 from jackdawspur.external import PlatformError, TaskStart
 from jackdawspur.model import HostId, SubmissionId, TaskId, UpstreamId
 from jackdawspur.standins._worker_types import WorkerCounters
 
-__all__ = ["BatchCost", "StartSlopes", "measure_start_slopes"]
+__all__ = ["BatchCost", "StartCosts", "measure_start_costs"]
 
 HOLDER = HostId("slopes", "client", 1)
 UPSTREAM = UpstreamId("slopes", "worker")
@@ -38,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartSlopes:
+class StartCosts:
     """Report the processor time, in microseconds, of a request and of each task."""
 
     client_request_us: float
@@ -59,11 +64,11 @@
         # Only a running manager polls; here the bench itself gives it its ticks.
         self._root._running = True
         EPoll().register(self._root)
-        deadlines = Deadlines().register(self._root)
+        timer_queue = TimerQueue().register(self._root)
         where = split_address(address)
-        self._client = HttpClient(where, deadlines).register(self._root)
-        polls = HttpClient(where, deadlines).register(self._root)
-        self._upstream = HttpUpstream(UPSTREAM, HOLDER, self._client, polls)
+        self._client = HttpClient(where, timer_queue).register(self._root)
+        polls = HttpClient(where, timer_queue).register(self._root)
+        self._upstream = HttpUpstreamClient(UPSTREAM, HOLDER, self._client, polls)
         self._sequence = time.time_ns()
 
     def close(self) -> None:
@@ -123,9 +128,9 @@
         return results[0]
 
 
-def measure_start_slopes(
+def measure_start_costs(
     address: str, tasks: int = 64, requests: int = 1000
-) -> StartSlopes:
+) -> StartCosts:
     """Measure batches of one and of `tasks` at a running worker with slots enough."""
     bench = _Bench(address)
     small = bench.measure(1, requests)
@@ -133,7 +138,7 @@
     bench.close()
     client_task_us = (large.client_us - small.client_us) / (tasks - 1)
     worker_task_us = (large.worker_us - small.worker_us) / (tasks - 1)
-    return StartSlopes(
+    return StartCosts(
         client_request_us=small.client_us - client_task_us,
         client_task_us=client_task_us,
         worker_request_us=small.worker_us - worker_task_us,
--- a/jackdawspur/standins/_worker_service.py
+++ b/jackdawspur/standins/_worker_service.py
@@ -7,7 +7,7 @@
 import msgspec
 from circuits import Manager
 
-from jackdawspur.adapters import Deadline, Deadlines, split_address
+from jackdawspur.adapters import TimerHandle, TimerQueue, split_address
 from jackdawspur.standins._http_service import (
     Exchange,
     HttpService,
@@ -16,14 +16,14 @@
 )
 from jackdawspur.standins._worker import Worker
 from jackdawspur.standins._worker_types import (
-    RackSettings,
     WorkerCounters,
     WorkerFaults,
+    WorkerPoolSettings,
     WorkerSettings,
 )
 from jackdawspur.wire import StartsRequest, StatusRequest, StopRequest
 
-__all__ = ["WorkerService", "make_rack", "run_worker"]
+__all__ = ["WorkerService", "make_worker_pool", "run_worker"]
 
 MS = 1000.0
 STARTS = "/v1/starts"
@@ -44,20 +44,24 @@
         self.exchange = exchange
         self.holder = holder
         self.after = after
-        self.deadline: Deadline | None = None
+        self.deadline: TimerHandle | None = None
 
 
 class WorkerService(HttpService):
     """Put one worker behind HTTP and misbehave as told."""
 
     def __init__(
-        self, worker: Worker, address: tuple[str, int], deadlines: Deadlines, name: str
+        self,
+        worker: Worker,
+        address: tuple[str, int],
+        timer_queue: TimerQueue,
+        name: str,
     ) -> None:
         super().__init__(address, channel=f"worker-{name}")
         self._worker = worker
-        self._deadlines = deadlines
+        self._timer_queue = timer_queue
         self._polls: list[_Poll] = []
-        self._wake: Deadline | None = None
+        self._wake: TimerHandle | None = None
         self._wake_at: float | None = None
         self._frozen_until = 0.0
         self._after_thaw: deque[Callable[[], None]] = deque()
@@ -88,9 +92,9 @@
             answer = self._answers.get(exchange.path, not_found)
             self._unless_frozen(lambda: exchange.guard(answer))
 
-    def gone(self, number: int) -> None:
+    def gone(self, call_id: int) -> None:
         """Forget the poll of a caller that left."""
-        for poll in [each for each in self._polls if each.exchange.call == number]:
+        for poll in [each for each in self._polls if each.exchange.call == call_id]:
             poll.deadline.cancel()
             self._polls.remove(poll)
 
@@ -102,7 +106,7 @@
         )
 
     def _unless_frozen(self, act: Callable[[], None]) -> None:
-        if self._deadlines.now < self._frozen_until:
+        if self._timer_queue.now < self._frozen_until:
             self._after_thaw.append(act)
             return
         act()
@@ -112,29 +116,29 @@
 
     def _starts(self, exchange: Exchange) -> None:
         request = msgspec.json.decode(exchange.body, type=StartsRequest)
-        self._reply(exchange, self._worker.start(request, self._deadlines.now))
+        self._reply(exchange, self._worker.start(request, self._timer_queue.now))
 
     def _results(self, exchange: Exchange) -> None:
         poll = _Poll(exchange, exchange.text("holder"), exchange.whole("after"))
-        wait_ms = exchange.number("wait_ms")
+        wait_ms = exchange.call_id("wait_ms")
         if not self._answer_poll(poll, final=wait_ms <= 0):
             self._polls.append(poll)
-            poll.deadline = self._deadlines.call_after(
+            poll.deadline = self._timer_queue.call_later(
                 wait_ms / MS,
                 lambda: self._unless_frozen(lambda: self._poll_late(poll)),
             )
 
     def _status(self, exchange: Exchange) -> None:
         request = msgspec.json.decode(exchange.body, type=StatusRequest)
-        now = self._deadlines.now
+        now = self._timer_queue.now
         self._reply(exchange, self._worker.status(request.tasks, request.seal, now))
 
     def _stop(self, exchange: Exchange) -> None:
         request = msgspec.json.decode(exchange.body, type=StopRequest)
-        self._reply(exchange, self._worker.stop(request.tasks, self._deadlines.now))
+        self._reply(exchange, self._worker.stop(request.tasks, self._timer_queue.now))
 
     def _usage(self, exchange: Exchange) -> None:
-        self._reply(exchange, self._worker.usage(self._deadlines.now))
+        self._reply(exchange, self._worker.usage(self._timer_queue.now))
 
     def _poll_late(self, poll: _Poll) -> None:
         if poll in self._polls:
@@ -148,7 +152,7 @@
                 self._polls.remove(poll)
 
     def _answer_poll(self, poll: _Poll, final: bool) -> bool:
-        reply = self._worker.results(poll.holder, poll.after, self._deadlines.now)
+        reply = self._worker.results(poll.holder, poll.after, self._timer_queue.now)
         if reply.outcomes or final:
             self._reply(poll.exchange, reply)
             return True
@@ -165,20 +169,20 @@
 
     def _set_faults(self, exchange: Exchange) -> None:
         faults = msgspec.json.decode(exchange.body, type=WorkerFaults)
-        now = self._deadlines.now
+        now = self._timer_queue.now
         self._worker.set_faults(faults, now)
         self._to_lose[STARTS] = faults.lose_starts
         self._to_lose[RESULTS] = faults.lose_results
         self._to_lose[STATUS] = faults.lose_status
         self._to_lose[STOP] = faults.lose_stops
         self._frozen_until = now + faults.frozen_ms / MS
-        self._deadlines.call_after(faults.frozen_ms / MS, self._thaw)
+        self._timer_queue.call_later(faults.frozen_ms / MS, self._thaw)
         while self._held and not faults.hold_replies:
             self._held.popleft()()
         exchange.reply(faults)
 
     def _thaw(self) -> None:
-        if self._deadlines.now < self._frozen_until:
+        if self._timer_queue.now < self._frozen_until:
             return
         self._advance()
         while self._after_thaw:
@@ -186,9 +190,9 @@
 
     def _advance(self) -> None:
         self._wake_at = None
-        if self._deadlines.now < self._frozen_until:
+        if self._timer_queue.now < self._frozen_until:
             return
-        self._worker.advance(self._deadlines.now)
+        self._worker.advance(self._timer_queue.now)
         self._answer_polls()
         self._set_wake()
 
@@ -199,33 +203,35 @@
         if self._wake is not None:
             self._wake.cancel()
         self._wake_at = change
-        delay = max(0.0, change - self._deadlines.now)
-        self._wake = self._deadlines.call_after(delay, self._advance)
+        delay = max(0.0, change - self._timer_queue.now)
+        self._wake = self._timer_queue.call_later(delay, self._advance)
 
 
-def make_rack(
-    settings: RackSettings, root: Manager, deadlines: Deadlines
+def make_worker_pool(
+    settings: WorkerPoolSettings, root: Manager, timer_queue: TimerQueue
 ) -> tuple[WorkerService, ...]:
     """Register the workers of one process at its loop."""
     incarnation = int(time.time() * MS)
     return tuple(
-        _make_service(settings, place, text, deadlines, incarnation).register(root)
+        _make_service(settings, place, text, timer_queue, incarnation).register(root)
         for place, text in enumerate(settings.addresses)
     )
 
 
-def run_worker(settings: RackSettings) -> None:
+def run_worker(settings: WorkerPoolSettings) -> None:
     """Serve the workers until the process is told to stop."""
-    serve_until_stopped(lambda root, deadlines: make_rack(settings, root, deadlines))
+    serve_until_stopped(
+        lambda root, timer_queue: make_worker_pool(settings, root, timer_queue)
+    )
 
 
 def _make_service(
-    settings: RackSettings,
+    settings: WorkerPoolSettings,
     place: int,
     address: str,
-    deadlines: Deadlines,
+    timer_queue: TimerQueue,
     incarnation: int,
 ) -> WorkerService:
     sizes: WorkerSettings = settings.worker
     worker = Worker(sizes, incarnation, settings.seed + place)
-    return WorkerService(worker, split_address(address), deadlines, str(place))
+    return WorkerService(worker, split_address(address), timer_queue, str(place))
--- a/jackdawspur/standins/_worker_types.py
+++ b/jackdawspur/standins/_worker_types.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-__all__ = ["RackSettings", "WorkerCounters", "WorkerFaults", "WorkerSettings"]
+__all__ = ["WorkerCounters", "WorkerFaults", "WorkerPoolSettings", "WorkerSettings"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RackSettings:
+class WorkerPoolSettings:
     """Say where a process serves its workers, one on each address ``IP:port``."""
 
     addresses: tuple[str, ...]
--- a/jackdawspur/tests/test_documents.py
+++ b/jackdawspur/tests/test_documents.py
@@ -8,9 +8,9 @@
 import pytest
 from absl import flags
 
-from jackdawspur.callers._replies import PAGE_OF_CODE
+from jackdawspur.callers._replies import DOC_PAGE_BY_CODE
 from jackdawspur.cli._main import COMMANDS
-from jackdawspur.configuration import DeskCode
+from jackdawspur.configuration import OperatorReplyCode
 from jackdawspur.model import FailureCode
 from jackdawspur.tests.conftest import ROOT, read_documents
 
@@ -40,8 +40,8 @@
 
 
 def test_every_failure_code_has_its_page():
-    assert set(PAGE_OF_CODE) == set(FailureCode)
-    for code, name in PAGE_OF_CODE.items():
+    assert set(DOC_PAGE_BY_CODE) == set(FailureCode)
+    for code, name in DOC_PAGE_BY_CODE.items():
         page = ROOT / "docs" / "operators" / f"{name}.md"
         assert page.exists(), page
         words = page.read_text().lower()
@@ -50,7 +50,11 @@
 
 def test_every_desk_code_has_its_section():
     anchors = anchors_of(ROOT / "docs" / "operators" / "configuration.md")
-    codes = {code.replace("_", "-") for code in DeskCode if code is not DeskCode.OK}
+    codes = {
+        code.replace("_", "-")
+        for code in OperatorReplyCode
+        if code is not OperatorReplyCode.OK
+    }
     assert codes <= anchors
 
 
