--- a/jackdawspur/entry/_routes.py
+++ b/jackdawspur/entry/_routes.py
@@ -194,8 +194,10 @@
             return
         try:
             body = read_job_body(call.body)
-            standing = _job_class_settings(customer, body.job_class)
-            request = to_request(body, customer.name, standing, key, submission)
+            job_class_settings = _job_class_settings(customer, body.job_class)
+            request = to_request(
+                body, customer.name, job_class_settings, key, submission
+            )
             _check_keyed(request)
         except BodyError as error:
             self._refuse(call, FailureCode.INVALID, str(error))
