--- a/jackdawspur/leases/_leased_upstream.py
+++ b/jackdawspur/leases/_leased_upstream.py
@@ -62,8 +62,8 @@
         self._entry = entry
         self.fence = fence
         self.lease_id = number
-        # None until a report names it; then the number of the last poll sent before
-        # that.
+        # None until a report names it; `_incarnation_poll` is the last poll that was
+        # sent before that.
         self.incarnation: int | None = None
         self._incarnation_poll = 0
         self.runs: dict[RunId, Run] = {}
@@ -71,8 +71,8 @@
         self.last_reply_at = now
         self.polled_since = now
         self.polls_sent = 0
-        # When each pending poll is overdue, by number; then the overdue polls whose
-        # calls are still open.
+        # Maps the number of each pending poll to when it is overdue; then the overdue
+        # polls whose calls are still open.
         self.pending_polls: dict[int, float] = {}
         self.overdue_polls: set[int] = set()
         # No poll is overdue before this time.
--- a/jackdawspur/leases/tests/test_leased_upstream.py
+++ b/jackdawspur/leases/tests/test_leased_upstream.py
@@ -1,4 +1,4 @@
-"""What is kept of one upstream."""
+"""State of one leased upstream."""
 
 import pytest
 
@@ -24,9 +24,9 @@
     return LeasedUpstream(entry, 1, 1, NOW)
 
 
-def test_each_look_that_is_overdue_is_found_when_it_is(upstream: LeasedUpstream):
-    # An upstream that turned silent gets tasks: the look that would show it was passed
-    # over, since one that was sent beside it had been answered.
+def test_each_overdue_poll_is_found_in_time(upstream: LeasedUpstream):
+    # An unresponsive upstream kept getting tasks: the poll that would have shown it was
+    # skipped, because a poll sent beside it had been answered.
     first = upstream.register_poll(NOW + 0.3)
     second = upstream.register_poll(NOW + 0.1)
     third = upstream.register_poll(NOW + 0.2)
@@ -40,14 +40,14 @@
     assert upstream.overdue_at == float("inf")
 
 
-def test_nothing_is_overdue_while_no_look_is_open(upstream: LeasedUpstream):
+def test_nothing_is_overdue_without_pending_polls(upstream: LeasedUpstream):
     assert upstream.overdue_at == float("inf")
     upstream.complete_poll(upstream.register_poll(NOW + 0.1))
     assert upstream.pop_overdue_polls(NOW + 1.0) == []
     assert upstream.overdue_at == float("inf")
 
 
-def test_an_upstream_rests_only_while_all_is_known_of_it(upstream: LeasedUpstream):
+def test_polls_are_skipped_only_for_idle_confirmed_upstreams(upstream: LeasedUpstream):
     upstream.acquired, upstream.idle_until = True, NOW + 1.0
     assert upstream.can_skip_poll(NOW)
     assert not upstream.can_skip_poll(NOW + 1.0)
--- a/jackdawspur/runs/_polls.py
+++ b/jackdawspur/runs/_polls.py
@@ -18,8 +18,8 @@
 
 __all__ = ["Polls"]
 
-# Where replies are lost all the time, a lost poll must be noticed sooner: it hides
-# ended runs, whose capacity stays unused.
+# Where replies are often lost, a lost poll must be noticed sooner: it hides ended runs,
+# whose capacity stays unused.
 LOSSY_POLL_WAIT_MS = 80
 # Time from a failed poll to the next one, for unresponsive upstreams and for others: a
 # connection that was reset is established again within a few milliseconds.
--- a/jackdawspur/runs/_pool.py
+++ b/jackdawspur/runs/_pool.py
@@ -218,7 +218,7 @@
     def _is_unconfirmed(self, upstream: LeasedUpstream) -> bool:
         """Return whether a start there would probably be lost.
 
-        Where replies are lost all the time, a single loss says little of its upstream:
+        Where replies are often lost, a single loss says little about its upstream:
         closing it until a poll is answered would close half the capacity.
         """
         if self.replies.lossy:
--- a/jackdawspur/runs/_replies.py
+++ b/jackdawspur/runs/_replies.py
@@ -10,7 +10,7 @@
 # A reply takes a round trip of a millisecond or two and a pass of the loop at each end,
 # which may be paused for about this long.
 MIN_OVERDUE_S = 0.02
-# Where replies are lost all the time, an unnecessary poll costs less than waiting.
+# Where replies are often lost, an unnecessary poll costs less than waiting.
 MIN_LOSSY_OVERDUE_S = 0.01
 MAX_TIMEOUT_S = 0.25
 # A call ends after this many times the time that makes its reply overdue: until then it
@@ -48,7 +48,7 @@
 
     @property
     def lossy(self) -> bool:
-        """Return whether replies are lost all the time."""
+        """Return whether replies are often lost."""
         return self._lost_fraction >= LOSSY_FRACTION
 
     def check_all_read(self, now: float) -> bool:
--- a/jackdawspur/runs/tests/__init__.py
+++ b/jackdawspur/runs/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the leading host's decisions."""
+"""Tests of the leader's scheduling decisions."""
--- a/jackdawspur/runs/tests/test_crashes.py
+++ b/jackdawspur/runs/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""A task that crashes upstreams is given up; what ran beside it goes on."""
+"""A job whose task crashes upstreams is given up; tasks beside it continue."""
 
 import pytest
 
@@ -6,12 +6,12 @@
 from jackdawspur.model import UpstreamId
 from jackdawspur.runs import JobEnd, Progress, TaskFailureCounts
 from jackdawspur.runs._crashes import LOSS_TTL_S, Crashes
-from jackdawspur.runs.tests.conftest import PATIENT, Leading
+from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, Leader
 
-PLACES = [UpstreamId("z1", f"u{n}") for n in range(8)]
+UPSTREAM_IDS = [UpstreamId("z1", f"u{n}") for n in range(8)]
 BAD, GOOD, OTHER = "bad.0.0.0", "good.0.0.0", "good.0.0.1"
-# Longer than a lease, and the looks that go before.
-SILENT_S = 1.2
+# Longer than a lease and the polls before it expires.
+EXPIRY_S = 1.2
 
 
 @pytest.fixture
@@ -20,110 +20,110 @@
 
 
 def gives_up(crashes: Crashes, *tasks: str) -> bool:
-    """Tell whether the job of some tasks is given up."""
+    """Return whether the job of these tasks is given up."""
     job = tasks[0].split(".", 1)[0]
     return crashes.reason_to_give_up(job, tasks) is not None
 
 
 def test_a_task_is_given_up_after_two_crashes(crashes: Crashes):
-    crashes.crashed(PLACES[0], {BAD, GOOD}, 1.0)
+    crashes.crashed(UPSTREAM_IDS[0], {BAD, GOOD}, 1.0)
     assert not gives_up(crashes, BAD)
-    crashes.crashed(PLACES[1], {BAD, OTHER}, 9.0)
+    crashes.crashed(UPSTREAM_IDS[1], {BAD, OTHER}, 9.0)
     assert gives_up(crashes, BAD)
     assert not gives_up(crashes, GOOD, OTHER)
 
 
 def test_two_crashes_of_one_upstream_count_twice(crashes: Crashes):
-    # Guards against a task that crashes the same upstream again and again.
-    for at in (1.0, 9.0):
-        crashes.crashed(PLACES[0], {BAD}, at)
+    # Guards against a task that crashes the same upstream repeatedly.
+    for time_s in (1.0, 9.0):
+        crashes.crashed(UPSTREAM_IDS[0], {BAD}, time_s)
     assert gives_up(crashes, BAD)
 
 
-def test_an_upstream_that_answers_again_did_not_crash(crashes: Crashes):
-    # Guards against failing a job for crashes before its starts came.
+def test_an_upstream_that_replies_again_did_not_crash(crashes: Crashes):
+    # Guards against failing a job for crashes that happened before its starts arrived.
     for number in range(3):
-        crashes.lost(PLACES[number], {GOOD}, 5.0 * number)
-        crashes.answered(PLACES[number])
+        crashes.lost(UPSTREAM_IDS[number], {GOOD}, 5.0 * number)
+        crashes.answered(UPSTREAM_IDS[number])
     assert not gives_up(crashes, GOOD)
     assert not crashes.must_wait(GOOD)
 
 
-def test_an_upstream_that_is_silent_is_a_crash_once_another_boot_is_seen(
+def test_an_unresponsive_upstream_crashed_if_its_incarnation_changes(
     crashes: Crashes,
 ):
-    crashes.lost(PLACES[0], {BAD}, 1.0)
-    crashes.lost(PLACES[1], {BAD}, 3.0)
+    crashes.lost(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.lost(UPSTREAM_IDS[1], {BAD}, 3.0)
     assert not gives_up(crashes, BAD)
     assert crashes.must_wait(BAD)
-    for place in PLACES[:2]:
-        crashes.crashed(place, (), 6.0)
+    for upstream_id in UPSTREAM_IDS[:2]:
+        crashes.crashed(upstream_id, (), 6.0)
     assert gives_up(crashes, BAD)
 
 
-def test_a_rack_that_is_lost_blames_no_task(crashes: Crashes):
-    # Guards against failing the jobs that lost two upstreams with a rack.
-    for number, place in enumerate(PLACES[:4]):
+def test_a_lost_rack_is_attributed_to_no_task(crashes: Crashes):
+    # Guards against failing jobs that lost two upstreams together with a rack.
+    for number, upstream_id in enumerate(UPSTREAM_IDS[:4]):
         tasks = {f"j{number}.0.0.0", *([GOOD] if number % 2 else [])}
-        crashes.crashed(place, tasks, 1.0 + 0.2 * number)
+        crashes.crashed(upstream_id, tasks, 1.0 + 0.2 * number)
     assert not gives_up(crashes, GOOD)
 
 
 def test_a_job_that_crashes_many_upstreams_at_once_is_given_up(crashes: Crashes):
-    for number, place in enumerate(PLACES):
-        crashes.crashed(place, {f"bad.0.0.{number}", f"j{number}.0.0.0"}, 1.0)
+    for number, upstream_id in enumerate(UPSTREAM_IDS):
+        crashes.crashed(upstream_id, {f"bad.0.0.{number}", f"j{number}.0.0.0"}, 1.0)
     assert gives_up(crashes, *(f"bad.0.0.{number}" for number in range(8)))
     assert not gives_up(crashes, "j0.0.0.0")
 
 
-def test_crashes_are_forgotten_after_a_while(crashes: Crashes):
-    crashes.crashed(PLACES[0], {BAD}, 1.0)
+def test_old_crashes_are_removed(crashes: Crashes):
+    crashes.crashed(UPSTREAM_IDS[0], {BAD}, 1.0)
     crashes.forget_old(1.0 + LOSS_TTL_S)
     assert not crashes.is_suspect(BAD)
 
 
-def test_an_upstream_lost_long_ago_may_answer(crashes: Crashes):
-    crashes.lost(PLACES[0], {BAD}, 1.0)
+def test_an_upstream_lost_long_ago_may_reply(crashes: Crashes):
+    crashes.lost(UPSTREAM_IDS[0], {BAD}, 1.0)
     crashes.forget_old(1.0 + LOSS_TTL_S)
-    crashes.answered(PLACES[0])
-    crashes.lost(PLACES[0], {BAD}, 2.0 + LOSS_TTL_S)
+    crashes.answered(UPSTREAM_IDS[0])
+    crashes.lost(UPSTREAM_IDS[0], {BAD}, 2.0 + LOSS_TTL_S)
     assert crashes.is_suspect(BAD)
 
 
-def test_upstreams_that_never_answer_again_are_forgotten(crashes: Crashes):
+def test_upstreams_that_never_reply_again_are_removed(crashes: Crashes):
     # Guards against state that grows with each upstream that is replaced.
-    crashes.lost(PLACES[0], {BAD}, 1.0)
-    assert crashes.may_have_crashed(PLACES[0])
+    crashes.lost(UPSTREAM_IDS[0], {BAD}, 1.0)
+    assert crashes.may_have_crashed(UPSTREAM_IDS[0])
     crashes.forget_old(1.0 + LOSS_TTL_S)
-    assert not crashes.may_have_crashed(PLACES[0])
+    assert not crashes.may_have_crashed(UPSTREAM_IDS[0])
 
 
-def crash(leading: Leading, task: str) -> None:
-    """Let another boot answer in the place of the upstream of a task."""
-    (place,) = leading.running()[task]
-    leading.upstreams[place].running.clear()
-    look = next(one for one in leading.looks if one.upstream == place)
-    leading.looks.remove(look)
-    leading.dispatcher.poll_replied(look, CallOutcome.GONE, leading.now)
+def crash(leader: Leader, task: str) -> None:
+    """Let another incarnation reply in place of a task's upstream."""
+    (upstream_id,) = leader.running()[task]
+    leader.upstreams[upstream_id].running.clear()
+    poll = next(poll for poll in leader.polls if poll.upstream == upstream_id)
+    leader.polls.remove(poll)
+    leader.dispatcher.poll_replied(poll, CallOutcome.GONE, leader.now)
 
 
 @pytest.fixture
-def crashed_twice() -> Leading:
-    """Return a host that leads, of whose upstreams two crashed under one task."""
-    leading = Leading(upstreams=4)
-    leading.lead()
-    leading.offer("bad", route=PATIENT, deadline=leading.now + 20.0)
-    leading.settle()
+def crashed_twice() -> Leader:
+    """Return a leader on which two upstreams crashed under the same task."""
+    leader = Leader(upstreams=4)
+    leader.lead()
+    leader.offer("bad", route=LONG_TIMEOUT, deadline=leader.now + 20.0)
+    leader.settle()
     for _ in range(2):
-        crash(leading, BAD)
-        leading.advance(0.05)
-    return leading
+        crash(leader, BAD)
+        leader.advance(0.05)
+    return leader
 
 
-def test_a_job_whose_task_crashes_upstreams_fails_after_the_second(
-    crashed_twice: Leading,
+def test_a_job_fails_after_the_second_crash_under_its_task(
+    crashed_twice: Leader,
 ):
-    # Guards against one task that takes down one upstream after the other.
+    # Guards against a task that crashes one upstream after the other.
     (answer,) = crashed_twice.answers
     assert answer.outcome.end is JobEnd.FAILED
     assert not answer.outcome.not_run
@@ -131,99 +131,107 @@
     assert not crashed_twice.running()
 
 
-def test_a_job_that_is_asked_for_again_fails_at_once(crashed_twice: Leading):
+def test_a_retried_crashing_job_fails_at_once(crashed_twice: Leader):
     crashed_twice.offer("bad", call=2, host="h3")
     crashed_twice.advance(0.05)
-    ends = [one.outcome.end for one in crashed_twice.answers]
+    ends = [answer.outcome.end for answer in crashed_twice.answers]
     assert ends == [JobEnd.FAILED] * 2
     assert not crashed_twice.running()
 
 
 def test_two_suspects_are_not_placed_together():
-    # Guards against a healthy task that is blamed for a second crash beside the first.
-    leading = Leading(upstreams=3)
-    leading.lead()
+    # Guards against attributing a second crash to a healthy task that ran beside the
+    # one that caused the first.
+    leader = Leader(upstreams=3)
+    leader.lead()
     for job in ("bad", "good"):
-        leading.offer(job, route=PATIENT, deadline=leading.now + 20.0)
-        leading.settle()
-    assert leading.running()[BAD] == leading.running()[GOOD]
-    crash(leading, BAD)
-    leading.settle()
-    leading.advance(0.05)
-    assert leading.running()[BAD] != leading.running()[GOOD]
-
-
-def test_failures_of_a_task_count_on_after_a_hand_over():
-    # Guards against attempts without end while hosts are restarted in turn.
-    leading = Leading(upstreams=1)
-    leading.lead()
+        leader.offer(job, route=LONG_TIMEOUT, deadline=leader.now + 20.0)
+        leader.settle()
+    assert leader.running()[BAD] == leader.running()[GOOD]
+    crash(leader, BAD)
+    leader.settle()
+    leader.advance(0.05)
+    assert leader.running()[BAD] != leader.running()[GOOD]
+
+
+def test_failures_of_a_task_are_kept_on_handover():
+    # Guards against an unlimited number of attempts while hosts are restarted in turn.
+    leader = Leader(upstreams=1)
+    leader.lead()
     troubles = (TaskFailureCounts("aa.0.0.0", 2, 0),)
-    leading.offer("aa", handovers=1, progress=Progress((), troubles))
-    leading.settle()
-    leading.upstreams[PLACES[0]].end("aa.0.0.0", RunResult.FAILED)
-    leading.settle()
-    (answer,) = leading.answers
+    leader.offer("aa", handovers=1, progress=Progress((), troubles))
+    leader.settle()
+    leader.upstreams[UPSTREAM_IDS[0]].end("aa.0.0.0", RunResult.FAILED)
+    leader.settle()
+    (answer,) = leader.answers
     assert answer.outcome.end is JobEnd.FAILED
 
 
-def test_crashes_under_a_task_count_on_after_a_hand_over():
-    leading = Leading(upstreams=2)
-    leading.lead()
+def test_crashes_under_a_task_are_kept_on_handover():
+    leader = Leader(upstreams=2)
+    leader.lead()
     troubles = (TaskFailureCounts(BAD, 0, 1),)
-    deadline = leading.now + 20.0
-    leading.offer("bad", 1, PATIENT, handovers=1, deadline=deadline)
-    leading.settle()
-    leading.offer(
+    deadline = leader.now + 20.0
+    leader.offer("bad", 1, LONG_TIMEOUT, handovers=1, deadline=deadline)
+    leader.settle()
+    leader.offer(
         "bad",
         1,
-        PATIENT,
+        LONG_TIMEOUT,
         handovers=1,
         deadline=deadline,
         progress=Progress((), troubles),
     )
-    crash(leading, BAD)
-    leading.advance(0.05)
-    (answer,) = leading.answers
+    crash(leader, BAD)
+    leader.advance(0.05)
+    (answer,) = leader.answers
     assert answer.outcome.end is JobEnd.FAILED
 
 
-def test_the_next_leading_host_is_told_of_failures():
-    leading = Leading(upstreams=1)
-    leading.lead()
-    leading.offer("aa")
-    leading.settle()
-    leading.upstreams[PLACES[0]].end("aa.0.0.0", RunResult.FAILED)
-    leading.settle()
-    jobs = leading.dispatcher.open_jobs
-    told = jobs.progress_by_host(leading.dispatcher.upstream_pool.crashes)
-    assert told["h2"]["aa"].troubles == (TaskFailureCounts("aa.0.0.0", 1, 0),)
-
-
-def test_tasks_lost_with_one_silent_upstream_start_again_at_once():
-    # Guards against a healthy job that is late since its tasks run one after the other.
-    leading = Leading(upstreams=3)
-    leading.lead()
-    leading.offer("aa", 2, PATIENT, deadline=leading.now + 20.0)
-    leading.settle()
-    (lost,) = {place for places in leading.running().values() for place in places}
-    leading.silent.add(lost)
-    leading.upstreams[lost].running.clear()
-    leading.advance(SILENT_S)
-    assert set(leading.running()) == {"aa.0.0.0", "aa.0.0.1"}
-
-
-def test_starts_that_all_reached_other_boots_blame_no_task():
-    # Guards against failing a healthy job none of whose tasks has ever run: upstreams
-    # had crashed before its starts came, and each refusal blames the other starts.
-    leading = Leading(3)
-    leading.lead()
-    leading.offer("good", tasks=2, route=PATIENT, deadline=leading.now + 5.0)
+def test_failures_are_reported_to_the_next_leader():
+    leader = Leader(upstreams=1)
+    leader.lead()
+    leader.offer("aa")
+    leader.settle()
+    leader.upstreams[UPSTREAM_IDS[0]].end("aa.0.0.0", RunResult.FAILED)
+    leader.settle()
+    jobs = leader.dispatcher.open_jobs
+    progress_by_host = jobs.progress_by_host(leader.dispatcher.upstream_pool.crashes)
+    assert progress_by_host["h2"]["aa"].troubles == (
+        TaskFailureCounts("aa.0.0.0", 1, 0),
+    )
+
+
+def test_tasks_lost_with_one_upstream_restart_together():
+    # Guards against delaying a healthy job by running its tasks one after the other.
+    leader = Leader(upstreams=3)
+    leader.lead()
+    leader.offer("aa", 2, LONG_TIMEOUT, deadline=leader.now + 20.0)
+    leader.settle()
+    (lost,) = {
+        upstream_id
+        for upstream_ids in leader.running().values()
+        for upstream_id in upstream_ids
+    }
+    leader.unresponsive.add(lost)
+    leader.upstreams[lost].running.clear()
+    leader.advance(EXPIRY_S)
+    assert set(leader.running()) == {"aa.0.0.0", "aa.0.0.1"}
+
+
+def test_starts_that_reached_another_incarnation_count_as_no_crash():
+    # Guards against failing a healthy job none of whose tasks has run: the upstreams
+    # had crashed before its starts arrived, and each refusal counted against the other
+    # starts.
+    leader = Leader(3)
+    leader.lead()
+    leader.offer("good", tasks=2, route=LONG_TIMEOUT, deadline=leader.now + 5.0)
     for _ in range(2):
-        leading.collect()
-        orders, leading.starts = leading.starts, []
-        assert len({order.upstream for order in orders}) == 1
-        for order in orders:
-            leading.dispatcher.start_replied(order, CallOutcome.GONE, leading.now)
-    leading.advance(0.1)
-    assert not [one for one in leading.answers if one.outcome.end is JobEnd.FAILED]
-    assert set(leading.running()) == {GOOD, OTHER}
+        leader.collect()
+        effects, leader.starts = leader.starts, []
+        assert len({effect.upstream for effect in effects}) == 1
+        for effect in effects:
+            leader.dispatcher.start_replied(effect, CallOutcome.GONE, leader.now)
+    leader.advance(0.1)
+    assert not [a for a in leader.answers if a.outcome.end is JobEnd.FAILED]
+    assert set(leader.running()) == {GOOD, OTHER}
--- a/jackdawspur/runs/tests/test_flapping.py
+++ b/jackdawspur/runs/tests/test_flapping.py
@@ -1,88 +1,88 @@
-"""Upstreams that go down and up by turns, each time for more than a second."""
+"""Upstreams that go down and up repeatedly, each time for more than a second."""
 
 from jackdawspur.leases import LeasedUpstream
 from jackdawspur.model import UpstreamId
 from jackdawspur.runs import PollUpstream
 from jackdawspur.runs._replies import LOSSY_FRACTION
-from jackdawspur.runs.tests.conftest import PATIENT, Leading
+from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, Leader
 
-FLAPPING, SOUND = UpstreamId("z1", "u0"), UpstreamId("z1", "u1")
+FLAPPING, HEALTHY = UpstreamId("z1", "u0"), UpstreamId("z1", "u1")
 STEP_S = 0.01
 DOWN_S = 1.6
-SOON_S = 0.5
-# Calls are reset at once, and three in a row make an upstream silent; a look waits
-# longer for its reply.
-SILENT_S = 0.1
-
-
-def held(leading: Leading, upstream: UpstreamId) -> LeasedUpstream:
-    """Return what the leading host keeps of an upstream."""
-    all_leased = leading.dispatcher.upstream_pool.upstreams
-    return next(one for one in all_leased if one.entry.id == upstream)
-
-
-def go_down(leading: Leading) -> None:
-    """Let a job begin on the first upstream, which goes down for a while then."""
-    leading.offer("aa", route=PATIENT, deadline=leading.now + 5.0)
-    leading.settle()
-    assert leading.running()["aa.0.0.0"] == [FLAPPING]
-    leading.silent.add(FLAPPING)
-
-
-def fall_silent(leading: Leading) -> PollUpstream:
-    """Let an upstream lose a start and the next looks; return one sent before."""
-    leading.advance(SOON_S, STEP_S)
-    go_down(leading)
-    early = [one for one in leading.looks if one.upstream == FLAPPING][-1]
-    leading.looks.remove(early)
-    leading.offer("bb", call=2)
-    leading.collect()
-    assert leading.lose_start(carried_out=False).upstream == FLAPPING
-    leading.advance(SILENT_S, STEP_S)
-    assert not held(leading, FLAPPING).responsive
-    return early
-
-
-def reply_late(leading: Leading, early: PollUpstream) -> None:
-    """Let the reply to a look come after later ones were lost."""
-    report = leading.upstreams[FLAPPING].report(early.last_seen)
-    leading.dispatcher.poll_replied(early, report, leading.now)
-
-
-def test_an_upstream_that_was_down_just_now_is_taken_last(leading: Leading):
-    # Guards against tasks on an upstream that is about to go down again.
-    go_down(leading)
-    leading.advance(DOWN_S, STEP_S)
-    leading.upstreams[FLAPPING].running.clear()
-    leading.silent.clear()
-    leading.advance(SOON_S, STEP_S)
-    assert held(leading, FLAPPING).responsive
-    leading.upstreams[SOUND].end("aa.0.0.0")
-    leading.settle()
-    leading.offer("bb", tasks=3, call=2)
-    leading.settle()
-    where = [places[0] for places in leading.running().values()]
-    assert sorted(where) == [FLAPPING, SOUND, SOUND]
-
-
-def test_a_reply_to_a_look_from_before_the_silence_prolongs_no_lease(
-    leading: Leading,
+SHORT_S = 0.5
+# Calls are reset at once, and three in a row make an upstream unresponsive; a poll
+# waits longer for its reply.
+FAILURE_S = 0.1
+
+
+def find_upstream(leader: Leader, upstream: UpstreamId) -> LeasedUpstream:
+    """Return the leader's state of an upstream."""
+    upstreams = leader.dispatcher.upstream_pool.upstreams
+    return next(u for u in upstreams if u.entry.id == upstream)
+
+
+def go_down(leader: Leader) -> None:
+    """Start a job on the first upstream, which then goes down for a while."""
+    leader.offer("aa", route=LONG_TIMEOUT, deadline=leader.now + 5.0)
+    leader.settle()
+    assert leader.running()["aa.0.0.0"] == [FLAPPING]
+    leader.unresponsive.add(FLAPPING)
+
+
+def become_unresponsive(leader: Leader) -> PollUpstream:
+    """Let an upstream lose a start and the next polls; return an earlier poll."""
+    leader.advance(SHORT_S, STEP_S)
+    go_down(leader)
+    early_poll = [poll for poll in leader.polls if poll.upstream == FLAPPING][-1]
+    leader.polls.remove(early_poll)
+    leader.offer("bb", call=2)
+    leader.collect()
+    assert leader.lose_start(carried_out=False).upstream == FLAPPING
+    leader.advance(FAILURE_S, STEP_S)
+    assert not find_upstream(leader, FLAPPING).responsive
+    return early_poll
+
+
+def reply_late(leader: Leader, early_poll: PollUpstream) -> None:
+    """Deliver the reply to a poll after later polls were lost."""
+    report = leader.upstreams[FLAPPING].report(early_poll.last_seen)
+    leader.dispatcher.poll_replied(early_poll, report, leader.now)
+
+
+def test_a_flapping_upstream_is_chosen_last(leader: Leader):
+    # Guards against starting tasks on an upstream that is about to go down again.
+    go_down(leader)
+    leader.advance(DOWN_S, STEP_S)
+    leader.upstreams[FLAPPING].running.clear()
+    leader.unresponsive.clear()
+    leader.advance(SHORT_S, STEP_S)
+    assert find_upstream(leader, FLAPPING).responsive
+    leader.upstreams[HEALTHY].end("aa.0.0.0")
+    leader.settle()
+    leader.offer("bb", tasks=3, call=2)
+    leader.settle()
+    locations = [upstream_ids[0] for upstream_ids in leader.running().values()]
+    assert sorted(locations) == [FLAPPING, HEALTHY, HEALTHY]
+
+
+def test_a_reply_to_a_poll_before_the_failure_extends_no_lease(
+    leader: Leader,
 ):
-    # Guards against waiting longer than needed for the end of a lease.
-    early = fall_silent(leading)
-    reply_late(leading, early)
-    leading.collect()
-    assert [one for one in leading.looks if one.upstream == FLAPPING]
-    for look in leading.looks:
-        assert look.upstream == SOUND or look.lease_until_ms is None
+    # Guards against waiting longer than necessary for a lease to expire.
+    early_poll = become_unresponsive(leader)
+    reply_late(leader, early_poll)
+    leader.collect()
+    assert [poll for poll in leader.polls if poll.upstream == FLAPPING]
+    for poll in leader.polls:
+        assert poll.upstream == HEALTHY or poll.lease_until_ms is None
 
 
-def test_a_reply_to_a_look_from_before_the_silence_opens_no_room(leading: Leading):
+def test_a_reply_to_a_poll_before_the_failure_frees_no_capacity(leader: Leader):
     # Guards against a start on an upstream that is down.
-    leading.dispatcher._replies._lost_fraction = 2 * LOSSY_FRACTION
-    early = fall_silent(leading)
-    leading.upstreams[FLAPPING].end("aa.0.0.0")
-    reply_late(leading, early)
-    leading.offer("cc", call=3)
-    leading.collect()
-    assert [order.upstream for order in leading.starts] == [SOUND]
+    leader.dispatcher._replies._lost_fraction = 2 * LOSSY_FRACTION
+    early_poll = become_unresponsive(leader)
+    leader.upstreams[FLAPPING].end("aa.0.0.0")
+    reply_late(leader, early_poll)
+    leader.offer("cc", call=3)
+    leader.collect()
+    assert [effect.upstream for effect in leader.starts] == [HEALTHY]
--- a/jackdawspur/runs/tests/test_learned_stats.py
+++ b/jackdawspur/runs/tests/test_learned_stats.py
@@ -1,4 +1,4 @@
-"""What one leading host learned is known to the next."""
+"""What one leader has learned is known to the next leader."""
 
 import math
 import random
@@ -15,76 +15,82 @@
 from jackdawspur.runs._job import Job
 from jackdawspur.runs._learned import LearnedSlowdown
 from jackdawspur.runs._update_sender import MAX_BYTES, UpdateSender
-from jackdawspur.runs.tests.conftest import FENCE, ROUTE, TASK, Leading
+from jackdawspur.runs.tests.conftest import FENCE, ROUTE, TASK, Leader
 
 SLOW, FIRST = UpstreamId("z1", "u0"), UpstreamId("z1", "u1")
-BEAT_S = 0.5
-# By then all is told again that did not change.
-TO_ALL_AGAIN = 24
-# Headers of what is told.
-AROUND_BYTES = 4
+HEARTBEAT_S = 0.5
+# After this many heartbeats all unchanged values have been sent again.
+RESEND_HEARTBEATS = 24
+# Headers of the encoded values.
+HEADER_BYTES = 4
 STEPS = (JobStep(1, TASK, 200.0),)
 
 
 class Host:
-    """Learn on one host from tasks that end as a test says."""
+    """A host that learns from tasks whose ends a test decides."""
 
-    def __init__(self, name: str, upstreams: int, boots: dict | None = None) -> None:
+    def __init__(
+        self, name: str, upstreams: int, incarnations: dict | None = None
+    ) -> None:
         self.now = 100.0
         self.estimates = Estimates(HostId("z1", name, 1))
         self.upstreams = [UpstreamId("z1", f"u{n}") for n in range(upstreams)]
         entries = [
-            UpstreamEntry(one, "roster", "127.0.0.1:1", Resources(), (), False)
-            for one in self.upstreams
+            UpstreamEntry(upstream, "roster", "127.0.0.1:1", Resources(), (), False)
+            for upstream in self.upstreams
         ]
         self.estimates.set_upstreams(entries)
-        self._boots = boots or {}
+        self._incarnations = incarnations or {}
 
     def lead(self) -> None:
         self.estimates.start_leading(self.now)
-        for one in self.upstreams:
-            self.estimates.incarnation_seen(one, self._boots.get(one, 0))
+        for upstream in self.upstreams:
+            self.estimates.incarnation_seen(
+                upstream, self._incarnations.get(upstream, 0)
+            )
 
     def run_job(self, took_ms: dict[UpstreamId, float], route: str = "r") -> None:
-        """End a job that had one task on each of some upstreams."""
+        """End a job that had one task on each of the given upstreams."""
         step = JobStep(len(took_ms), TASK, 200.0)
         request = JobRequest("j", "", (step,), replace(ROUTE, name=route))
         offer = Offer(request, "h", 1, self.now, self.now + 1.5)
         job = Job(offer, (200.0,), self.now)
-        for task, (one, ms) in zip(job.tasks, took_ms.items(), strict=True):
-            task.upstream = one
+        for task, (upstream, ms) in zip(job.tasks, took_ms.items(), strict=True):
+            task.upstream = upstream
             since = self.now - ms / 1000
-            self.estimates.ended(job, task, one, RunResult.DONE, since, self.now)
+            self.estimates.ended(job, task, upstream, RunResult.DONE, since, self.now)
         self.estimates.learn_slowdowns(job)
 
     def run_jobs(self, jobs: int = 12, slow_ms: float = 1800.0) -> None:
-        """Let the first upstream take longer, and all longer than declared."""
+        """Make the first upstream slower, and all tasks longer than declared."""
         for _ in range(jobs):
-            took = {one: 600.0 for one in self.upstreams} | {SLOW: slow_ms}
+            took = {upstream: 600.0 for upstream in self.upstreams} | {SLOW: slow_ms}
             self.run_job(took)
 
     def expected_ms(self) -> float:
         return self.estimates.expected_ms(ROUTE, STEPS)[0]
 
 
-def tell(teller: Host, hearer: Host, beats: int = 8) -> list[LearnedStats]:
-    """Let one host hear what another tells with its heartbeats."""
-    heard = []
-    for _ in range(beats):
-        teller.now += BEAT_S
-        hearer.now = teller.now
-        learned = teller.estimates.next_update(teller.now)
+def send_updates(
+    sender: Host, receiver: Host, heartbeats: int = 8
+) -> list[LearnedStats]:
+    """Let one host receive the updates in another one's heartbeats."""
+    received = []
+    for _ in range(heartbeats):
+        sender.now += HEARTBEAT_S
+        receiver.now = sender.now
+        learned = sender.estimates.next_update(sender.now)
         if learned is not None:
-            heard.append(learned)
+            received.append(learned)
             data = msgspec.msgpack.encode(learned)
-            again = msgspec.msgpack.decode(data, type=LearnedStats)
-            hearer.estimates.merge_update(again, hearer.now)
-    return heard
+            decoded = msgspec.msgpack.decode(data, type=LearnedStats)
+            receiver.estimates.merge_update(decoded, receiver.now)
+    return received
 
 
 @pytest.fixture
 def former() -> Host:
-    """Return a host that leads and has learned."""
+    """Return a leader that has learned."""
     host = Host("a", 4)
     host.lead()
     host.run_jobs()
@@ -92,128 +98,129 @@
 
 
 @pytest.fixture
-def following() -> Host:
+def follower() -> Host:
     return Host("b", 4)
 
 
-def test_a_new_leading_host_avoids_an_upstream_known_to_be_slow():
-    # Guards against long jobs that are late on slow upstreams after a change of lead.
-    leads, follows = Leading(), Leading()
-    leads.lead()
+def test_a_new_leader_avoids_an_upstream_known_to_be_slow():
+    # Guards against long jobs that are late on slow upstreams after a change of leader.
+    earlier, later = Leader(), Leader()
+    earlier.lead()
     for number in range(12):
-        leads.offer(f"j{number}", tasks=2, each=1)
-        leads.settle()
-        fast, slow = leads.upstreams[FIRST], leads.upstreams[SLOW]
+        earlier.offer(f"j{number}", tasks=2, max_per_upstream=1)
+        earlier.settle()
+        fast, slow = earlier.upstreams[FIRST], earlier.upstreams[SLOW]
         for upstream, seconds in ((fast, 0.2), (slow, 0.4)):
-            leads.advance(seconds)
+            earlier.advance(seconds)
             for task in list(upstream.running):
                 upstream.end(task)
-        leads.advance(0.1)
+        earlier.advance(0.1)
     for _ in range(4):
-        leads.now += BEAT_S
-        learned = leads.dispatcher.estimates.next_update(leads.now)
+        earlier.now += HEARTBEAT_S
+        learned = earlier.dispatcher.estimates.next_update(earlier.now)
         if learned:
-            follows.dispatcher.estimates.merge_update(learned, leads.now)
-    follows.now = leads.now
-    follows.lead(2 * FENCE)
-    pace = follows.dispatcher.estimates.slowdown
-    assert pace(SLOW) > 1.5 * pace(FIRST)
-    follows.offer("long")
-    follows.settle()
-    assert follows.running() == {"long.0.0.0": [FIRST]}
-
-
-def test_a_new_leading_host_knows_the_run_times_of_routes(former, following):
-    # Guards against jobs that a new leading host takes for as short as they declare.
-    assert following.expected_ms() == pytest.approx(200.0)
-    tell(former, following)
-    following.lead()
-    assert following.expected_ms() == pytest.approx(former.expected_ms(), rel=0.1)
-
-
-def test_what_was_told_counts_for_as_many_tasks_as_were_seen():
-    # Guards against a pace of one task that is believed like one of dozens.
-    moved = []
+            later.dispatcher.estimates.merge_update(learned, earlier.now)
+    later.now = earlier.now
+    later.lead(2 * FENCE)
+    slowdown = later.dispatcher.estimates.slowdown
+    assert slowdown(SLOW) > 1.5 * slowdown(FIRST)
+    later.offer("long")
+    later.settle()
+    assert later.running() == {"long.0.0.0": [FIRST]}
+
+
+def test_a_new_leader_knows_the_run_times_of_routes(former, follower):
+    # Guards against a new leader that expects jobs to be as short as they declare.
+    assert follower.expected_ms() == pytest.approx(200.0)
+    send_updates(former, follower)
+    follower.lead()
+    assert follower.expected_ms() == pytest.approx(former.expected_ms(), rel=0.1)
+
+
+def test_received_slowdowns_count_for_their_number_of_tasks():
+    # Guards against giving a slowdown from one task the weight of dozens.
+    changes = []
     for jobs in (1, 12):
-        former, following = Host("a", 4), Host("b", 4)
+        former, follower = Host("a", 4), Host("b", 4)
         former.lead()
         former.run_jobs(jobs, slow_ms=850.0)
-        tell(former, following)
-        following.lead()
-        before = math.log(following.estimates.slowdown(SLOW))
-        following.run_job(dict.fromkeys(following.upstreams, 600.0))
-        moved.append(1.0 - math.log(following.estimates.slowdown(SLOW)) / before)
-    assert moved[0] > 0.25
-    assert moved[1] < 0.15
-
-
-def test_what_was_told_long_ago_counts_for_less(former):
-    # Guards against upstreams that count as slow for a past that nobody remembers.
-    shown_ms = 1100.0
-    off = []
+        send_updates(former, follower)
+        follower.lead()
+        before = math.log(follower.estimates.slowdown(SLOW))
+        follower.run_job(dict.fromkeys(follower.upstreams, 600.0))
+        changes.append(1.0 - math.log(follower.estimates.slowdown(SLOW)) / before)
+    assert changes[0] > 0.25
+    assert changes[1] < 0.15
+
+
+def test_old_received_values_count_for_less(former):
+    # Guards against upstreams that count as slow because of outdated values.
+    observed_ms = 1100.0
+    errors = []
     for age_s in (0.0, 100.0):
-        hearer = Host("b", 4)
-        tell(former, hearer, TO_ALL_AGAIN)
-        hearer.now += age_s
-        hearer.lead()
-        hearer.run_job(dict.fromkeys(hearer.upstreams, 600.0) | {SLOW: shown_ms})
-        shown = math.log(shown_ms / 600.0)
-        off.append(abs(math.log(hearer.estimates.slowdown(SLOW)) - shown))
-    assert off[1] < off[0]
-    forgotten = Host("b", 4)
-    tell(former, forgotten, TO_ALL_AGAIN)
-    forgotten.now += 600.0
-    forgotten.lead()
-    assert forgotten.estimates.slowdown(SLOW) == 1.0
-    assert forgotten.expected_ms() == pytest.approx(200.0)
-
-
-def test_an_upstream_that_started_again_is_not_judged_by_its_past(former):
-    # Guards against a repaired upstream that stays empty after a change of the lead.
-    hearer = Host("b", 4, boots={SLOW: 7})
-    tell(former, hearer)
-    hearer.lead()
-    assert hearer.estimates.slowdown(SLOW) == 1.0
-    assert hearer.expected_ms() > 400.0
-
-
-def test_what_an_upstream_did_before_it_started_again_is_not_told(former, following):
-    # Guards against the pace of an earlier boot that is told as the present one's.
+        receiver = Host("b", 4)
+        send_updates(former, receiver, RESEND_HEARTBEATS)
+        receiver.now += age_s
+        receiver.lead()
+        receiver.run_job(dict.fromkeys(receiver.upstreams, 600.0) | {SLOW: observed_ms})
+        observed = math.log(observed_ms / 600.0)
+        errors.append(abs(math.log(receiver.estimates.slowdown(SLOW)) - observed))
+    assert errors[1] < errors[0]
+    late_receiver = Host("b", 4)
+    send_updates(former, late_receiver, RESEND_HEARTBEATS)
+    late_receiver.now += 600.0
+    late_receiver.lead()
+    assert late_receiver.estimates.slowdown(SLOW) == 1.0
+    assert late_receiver.expected_ms() == pytest.approx(200.0)
+
+
+def test_a_restarted_upstream_has_no_received_slowdown(former):
+    # Guards against a repaired upstream that gets no tasks after a change of leader.
+    receiver = Host("b", 4, incarnations={SLOW: 7})
+    send_updates(former, receiver)
+    receiver.lead()
+    assert receiver.estimates.slowdown(SLOW) == 1.0
+    assert receiver.expected_ms() > 400.0
+
+
+def test_slowdowns_of_earlier_incarnations_are_not_sent(former, follower):
+    # Guards against sending the slowdown of an earlier incarnation as the current
+    # one's.
     former.estimates.incarnation_seen(SLOW, 9)
-    following._boots[SLOW] = 9
-    tell(former, following)
-    following.lead()
-    assert following.estimates.slowdown(SLOW) == 1.0
+    follower._incarnations[SLOW] = 9
+    send_updates(former, follower)
+    follower.lead()
+    assert follower.estimates.slowdown(SLOW) == 1.0
 
 
-def test_a_host_that_led_lately_keeps_what_rests_on_more_tasks(former):
-    # Guards against a short lead of another host that wipes out what was known.
+def test_a_recent_leader_keeps_values_with_more_tasks(former):
+    # Guards against a short term of another host that overwrites better values.
     former.estimates.stop_leading(former.now)
     other = Host("c", 4)
     other.lead()
     other.run_job(dict.fromkeys(other.upstreams, 300.0))
-    tell(other, former)
+    send_updates(other, former)
     former.lead()
     assert former.estimates.slowdown(SLOW) > 2.0
     assert former.expected_ms() > 400.0
 
 
-def test_a_leading_host_keeps_its_own_view(former, following):
-    # Guards against two hosts that both lead for a moment and mix what they see.
-    following.lead()
-    tell(former, following)
-    following.estimates.start_leading(following.now)
-    assert following.estimates.slowdown(SLOW) == 1.0
+def test_a_leader_ignores_received_updates(former, follower):
+    # Guards against two hosts that both lead for a moment and mix their observations.
+    follower.lead()
+    send_updates(former, follower)
+    follower.estimates.start_leading(follower.now)
+    assert follower.estimates.slowdown(SLOW) == 1.0
 
 
-def test_the_first_leading_host_begins_as_ever(following):
-    # Guards against beliefs without a source.
-    assert following.estimates.next_update(following.now) is None
-    following.lead()
-    assert following.estimates.next_update(following.now) is None
-    assert [following.estimates.slowdown(one) for one in following.upstreams] == [
-        1.0
-    ] * 4
+def test_the_first_leader_starts_without_estimates(follower):
+    # Guards against estimates without a source.
+    assert follower.estimates.next_update(follower.now) is None
+    follower.lead()
+    assert follower.estimates.next_update(follower.now) is None
+    assert [
+        follower.estimates.slowdown(upstream) for upstream in follower.upstreams
+    ] == [1.0] * 4
 
 
 def moments(*values: float) -> bytes:
@@ -221,108 +228,115 @@
 
 
 NAN, INF = float("nan"), float("inf")
-SANE = (6.0, 5.3, 0.1, 0.0, 0.1)
-ABSURD_ROUTES = [
-    LearnedRoute("roster", "r", 20, moments(*SANE[:at], bad, *SANE[at + 1 :]))
+VALID = (6.0, 5.3, 0.1, 0.0, 0.1)
+INVALID_ROUTES = [
+    LearnedRoute("roster", "r", 20, moments(*VALID[:at], invalid, *VALID[at + 1 :]))
     for at in range(5)
-    for bad in (NAN, INF, -INF, 60_000.0, -60_000.0)
+    for invalid in (NAN, INF, -INF, 60_000.0, -60_000.0)
 ] + [
-    LearnedRoute("roster", "r", 0, moments(*SANE)),
-    LearnedRoute("roster", "r", -5, moments(*SANE)),
-    LearnedRoute("roster", "r", 1 << 40, moments(*SANE)),
-    LearnedRoute("roster", "r", 20, moments(*SANE)[:-1]),
+    LearnedRoute("roster", "r", 0, moments(*VALID)),
+    LearnedRoute("roster", "r", -5, moments(*VALID)),
+    LearnedRoute("roster", "r", 1 << 40, moments(*VALID)),
+    LearnedRoute("roster", "r", 20, moments(*VALID)[:-1]),
     LearnedRoute("roster", "r", 20, b""),
-    LearnedRoute("x" * 5000, "r", 20, moments(*SANE)),
-    LearnedRoute("", "", 20, moments(*SANE)),
+    LearnedRoute("x" * 5000, "r", 20, moments(*VALID)),
+    LearnedRoute("", "", 20, moments(*VALID)),
 ]
 
 
-@pytest.mark.parametrize("route", ABSURD_ROUTES)
-def test_absurd_run_times_are_not_believed(following, route):
-    # Guards against one broken value that makes every job of a route hopeless.
-    following.estimates.merge_update(LearnedStats(b"", (route,)), following.now)
-    following.lead()
-    assert following.expected_ms() == pytest.approx(200.0)
+@pytest.mark.parametrize("route", INVALID_ROUTES)
+def test_invalid_run_times_are_ignored(follower, route):
+    # Guards against one invalid value that makes every job of a route hopeless.
+    follower.estimates.merge_update(LearnedStats(b"", (route,)), follower.now)
+    follower.lead()
+    assert follower.expected_ms() == pytest.approx(200.0)
 
 
 @pytest.mark.parametrize("size", [1, 5, 7, 60, 61, 6000])
-def test_foreign_paces_are_not_believed(following, size):
-    # Guards against bytes of strangers that slow upstreams down or stop the decisions.
+def test_invalid_slowdowns_are_ignored(follower, size):
+    # Guards against malformed bytes that make upstreams count as slow or raise an error
+    # in the core logic.
     rng = random.Random(size)
     for _ in range(20):
-        following.estimates.merge_update(
-            LearnedStats(rng.randbytes(size)), following.now
-        )
-    following.lead()
-    assert [following.estimates.slowdown(one) for one in following.upstreams] == [
-        1.0
-    ] * 4
-    following.run_jobs()
-    assert following.estimates.slowdown(SLOW) > 2.0
-
-
-def test_any_level_that_is_told_is_a_possible_pace(former, following):
-    # Guards against a pace out of bounds, by which all work of an upstream is judged.
-    for told in tell(former, Host("c", 4)):
+        follower.estimates.merge_update(LearnedStats(rng.randbytes(size)), follower.now)
+    follower.lead()
+    assert [
+        follower.estimates.slowdown(upstream) for upstream in follower.upstreams
+    ] == [1.0] * 4
+    follower.run_jobs()
+    assert follower.estimates.slowdown(SLOW) > 2.0
+
+
+def test_any_received_level_is_a_valid_slowdown(former, follower):
+    # Guards against a slowdown out of bounds, by which all work of an upstream is
+    # judged.
+    for update in send_updates(former, Host("c", 4)):
         for level in (0, 255):
-            paces = bytearray(told.paces)
-            paces[4::6] = bytes([level]) * (len(paces) // 6)
-            following.estimates.merge_update(LearnedStats(bytes(paces)), following.now)
-    following.lead()
-    assert all(
-        0.49 < following.estimates.slowdown(u) < 20.1 for u in following.upstreams
-    )
+            slowdowns = bytearray(update.paces)
+            slowdowns[4::6] = bytes([level]) * (len(slowdowns) // 6)
+            follower.estimates.merge_update(
+                LearnedStats(bytes(slowdowns)), follower.now
+            )
+    follower.lead()
+    assert all(0.49 < follower.estimates.slowdown(u) < 20.1 for u in follower.upstreams)
 
 
-def test_what_is_told_is_bounded_in_bytes_and_comes_round():
+def test_updates_are_limited_in_bytes_and_cover_everything():
     # Guards against heartbeats that grow with the number of upstreams.
-    former, following = Host("a", 350), Host("b", 350)
+    former, follower = Host("a", 350), Host("b", 350)
     former.lead()
     for number in range(20):
         former.run_job(dict.fromkeys(former.upstreams, 600.0), f"route{number}")
         former.run_job(dict.fromkeys(former.upstreams, 600.0) | {SLOW: 1800.0})
-    heard = tell(former, following, beats=50)
-    sizes = [len(msgspec.msgpack.encode(learned)) for learned in heard]
-    assert max(sizes) <= MAX_BYTES + AROUND_BYTES
-    assert len({key for one in heard for key in _keys(one)}) == 350
-    assert len({route.route for one in heard for route in one.routes}) == 22
-
-
-def test_what_does_not_change_is_told_again_among_much_that_does():
-    # Guards against a host that starts late and never hears of a steady upstream.
-    telling, times = UpdateSender(), 0
-    routes = [LearnedRoute("s" * 40, "r" * 40, 20, moments(*SANE))]
-    routes_told = 0
-    for beat in range(200):
-        level = 50 + 100 * (beat % 2)
-        paces = [LearnedSlowdown(key, level if key else 80, 8) for key in range(350)]
-        told = telling.next(paces, routes, beat * BEAT_S)
-        times += bytes(4) in _keys(told)
-        routes_told += len(told.routes)
-    assert times >= 3
-    assert routes_told >= 8
+    received = send_updates(former, follower, heartbeats=50)
+    sizes = [len(msgspec.msgpack.encode(learned)) for learned in received]
+    assert max(sizes) <= MAX_BYTES + HEADER_BYTES
+    assert len({key for update in received for key in _keys(update)}) == 350
+    assert len({route.route for update in received for route in update.routes}) == 22
+
+
+def test_unchanged_values_are_sent_again_among_changing_ones():
+    # Guards against a host that starts late and never receives a constant slowdown.
+    update_sender, times_sent = UpdateSender(), 0
+    routes = [LearnedRoute("s" * 40, "r" * 40, 20, moments(*VALID))]
+    routes_sent = 0
+    for heartbeat in range(200):
+        level = 50 + 100 * (heartbeat % 2)
+        slowdowns = [
+            LearnedSlowdown(key, level if key else 80, 8) for key in range(350)
+        ]
+        update = update_sender.next(slowdowns, routes, heartbeat * HEARTBEAT_S)
+        times_sent += bytes(4) in _keys(update)
+        routes_sent += len(update.routes)
+    assert times_sent >= 3
+    assert routes_sent >= 8
 
 
 def _keys(learned: LearnedStats) -> list[bytes]:
     return [learned.paces[at : at + 4] for at in range(0, len(learned.paces), 6)]
 
 
-def test_what_is_told_all_the_time_takes_few_bytes():
-    # Guards against a host's control that spends its 9 KB/s on what it learned.
-    former, following, rng = Host("a", 35), Host("b", 35), random.Random(3)
+def test_updates_use_few_bytes_over_time():
+    # Guards against learned values that use a host's control bandwidth of 9 KB/s.
+    former, follower, rng = Host("a", 35), Host("b", 35), random.Random(3)
     former.lead()
     sizes = []
     for _ in range(240):
         for _ in range(10):
             chosen = rng.sample(former.upstreams, 4)
             work_ms = rng.lognormvariate(5.5, 0.5)
-            took = {one: work_ms * max(0.3, rng.gauss(1.0, 0.15)) for one in chosen}
+            took = {
+                upstream: work_ms * max(0.3, rng.gauss(1.0, 0.15))
+                for upstream in chosen
+            }
             former.run_job(took, f"route{rng.randrange(6)}")
-        heard = tell(former, following, beats=1)
-        sizes += [len(msgspec.msgpack.encode(learned)) for learned in heard]
-    a_second = sum(sizes) / (240 * BEAT_S)
-    assert a_second < 320
-    following.lead()
-    for one in former.upstreams:
-        ratio = following.estimates.slowdown(one) / former.estimates.slowdown(one)
+        received = send_updates(former, follower, heartbeats=1)
+        sizes += [len(msgspec.msgpack.encode(learned)) for learned in received]
+    bytes_per_s = sum(sizes) / (240 * HEARTBEAT_S)
+    assert bytes_per_s < 320
+    follower.lead()
+    for upstream in former.upstreams:
+        ratio = follower.estimates.slowdown(upstream) / former.estimates.slowdown(
+            upstream
+        )
         assert 0.7 < ratio < 1.4
--- a/jackdawspur/runs/tests/test_new_leader.py
+++ b/jackdawspur/runs/tests/test_new_leader.py
@@ -1,21 +1,21 @@
-"""A host that has just taken the lead has heard no upstream yet."""
+"""A new leader, to which no upstream has replied yet."""
 
-from jackdawspur.runs.tests.conftest import FENCE, Leading
+from jackdawspur.runs.tests.conftest import FENCE, Leader
 
 TICK_S = 0.025
 JOBS = 3
 
 
-def test_no_job_is_refused_before_upstreams_have_answered():
-    # Guards against refusing callers who come back after a loss of power.
-    leading = Leading()
-    leading.dispatcher.start_leading(FENCE, leading.now)
+def test_no_job_is_refused_before_upstreams_have_replied():
+    # Guards against refusing callers that come back after a power failure.
+    leader = Leader()
+    leader.dispatcher.start_leading(FENCE, leader.now)
     for number in range(JOBS):
-        leading.offer(f"{number:02x}", call=number)
-    leading.dispatcher.tick(leading.now)
-    leading.collect()
-    leading.now += TICK_S
-    leading.dispatcher.tick(leading.now)
-    leading.settle()
-    assert not leading.answers
-    assert len(leading.running()) == JOBS
+        leader.offer(f"{number:02x}", call=number)
+    leader.dispatcher.tick(leader.now)
+    leader.collect()
+    leader.now += TICK_S
+    leader.dispatcher.tick(leader.now)
+    leader.settle()
+    assert not leader.answers
+    assert len(leader.running()) == JOBS
--- a/jackdawspur/runs/tests/test_placer.py
+++ b/jackdawspur/runs/tests/test_placer.py
@@ -1,13 +1,13 @@
-"""Waiting jobs are gone through only when one of them may get room."""
+"""Waiting jobs are examined only when one of them may get capacity."""
 
 import pytest
 
 from jackdawspur.runs import Job, Placer
-from jackdawspur.runs.tests.conftest import PATIENT, Leading
+from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, Leader
 
 
 class CountingPlacer(Placer):
-    """Count the passes over the waiting jobs."""
+    """Placer that counts its passes over the waiting jobs."""
 
     passes = 0
 
@@ -17,65 +17,65 @@
 
 
 @pytest.fixture
-def placer(leading: Leading) -> CountingPlacer:
-    dispatcher = leading.dispatcher
-    one = CountingPlacer(
+def placer(leader: Leader) -> CountingPlacer:
+    dispatcher = leader.dispatcher
+    counting_placer = CountingPlacer(
         dispatcher.upstream_pool,
         dispatcher._starts,
         dispatcher.estimates,
         dispatcher._started_jobs,
         dispatcher._redirector,
     )
-    dispatcher._placer = one
-    return one
+    dispatcher._placer = counting_placer
+    return counting_placer
 
 
-def fill(leading: Leading) -> None:
-    """Take all room but that of one task, and let jobs of two tasks wait."""
-    leading.offer("aa", tasks=3)
-    leading.settle()
+def use_all_capacity_but_one(leader: Leader) -> None:
+    """Use all capacity except that of one task, and let jobs of two tasks wait."""
+    leader.offer("aa", tasks=3)
+    leader.settle()
     for number in range(5):
-        leading.offer(f"b{number}", tasks=2, route=PATIENT, call=2 + number)
-    leading.settle()
+        leader.offer(f"b{number}", tasks=2, route=LONG_TIMEOUT, call=2 + number)
+    leader.settle()
 
 
-def test_replies_that_free_no_room_cause_no_pass(leading: Leading, placer):
-    # Jobs wait longer the more of them wait: the leading host went through all of them
-    # with every reply, and under load had no time for anything else.
-    fill(leading)
+def test_replies_that_free_no_capacity_cause_no_pass(leader: Leader, placer):
+    # Jobs waited longer the more of them there were: the leader examined all of them
+    # with every reply, and had no time for anything else under load.
+    use_all_capacity_but_one(leader)
     before = placer.passes
-    leading.now += 0.001
-    leading.settle(passes=10)
+    leader.now += 0.001
+    leader.settle(passes=10)
     assert placer.passes == before
 
 
-def test_an_end_and_a_tick_cause_a_pass(leading: Leading, placer):
-    fill(leading)
+def test_an_end_and_a_tick_cause_a_pass(leader: Leader, placer):
+    use_all_capacity_but_one(leader)
     before = placer.passes
-    leading.advance(0.05)
+    leader.advance(0.05)
     assert placer.passes > before
     before = placer.passes
-    name, (place,) = next(iter(leading.running().items()))
-    leading.upstreams[place].end(name)
-    leading.settle()
+    name, (upstream_id,) = next(iter(leader.running().items()))
+    leader.upstreams[upstream_id].end(name)
+    leader.settle()
     assert placer.passes > before
-    assert sum(len(u.running) for u in leading.upstreams.values()) == 4
+    assert sum(len(u.running) for u in leader.upstreams.values()) == 4
 
 
-def test_upstreams_are_asked_for_room_only_for_a_job_that_waits(
-    leading: Leading, placer, monkeypatch: pytest.MonkeyPatch
+def test_free_capacity_is_computed_only_for_waiting_jobs(
+    leader: Leader, placer, monkeypatch: pytest.MonkeyPatch
 ):
-    # A host that leads many upstreams is busy though no job comes: with each tick it
-    # asked all of them for room.
-    asked = []
-    with_free_capacity = leading.dispatcher.upstream_pool.with_free_capacity
+    # A leader of many upstreams was busy without any jobs: it computed the free
+    # capacity of all upstreams with each tick.
+    calls = []
+    with_free_capacity = leader.dispatcher.upstream_pool.with_free_capacity
     monkeypatch.setattr(
-        leading.dispatcher.upstream_pool,
+        leader.dispatcher.upstream_pool,
         "with_free_capacity",
-        lambda now: asked.append(now) or with_free_capacity(now),
+        lambda now: calls.append(now) or with_free_capacity(now),
     )
-    leading.advance(0.5)
-    assert not asked
-    leading.offer("aa")
-    leading.settle()
-    assert asked and leading.running()
+    leader.advance(0.5)
+    assert not calls
+    leader.offer("aa")
+    leader.settle()
+    assert calls and leader.running()
--- a/jackdawspur/runs/tests/test_progress.py
+++ b/jackdawspur/runs/tests/test_progress.py
@@ -1,100 +1,100 @@
-"""Runs that can't end in time are restarted elsewhere or end their job."""
+"""Runs that can't end in time are restarted elsewhere, or their job is given up."""
 
 from jackdawspur.runs import JobEnd, JobStep
-from jackdawspur.runs.tests.conftest import ROUTE, TASK, Leading
+from jackdawspur.runs.tests.conftest import ROUTE, TASK, Leader
 
 
-def progress(leading: Leading, task: str, percent: float) -> None:
-    """Let the upstream of a task report its progress."""
-    (place,) = leading.running()[task]
-    leading.upstreams[place].percent[task] = percent
+def set_progress(leader: Leader, task: str, percent: float) -> None:
+    """Set the progress that the upstream of a task reports."""
+    (upstream_id,) = leader.running()[task]
+    leader.upstreams[upstream_id].percent[task] = percent
 
 
-def test_a_task_on_an_upstream_that_turned_slow_starts_again_elsewhere(
-    leading: Leading,
+def test_a_task_restarts_elsewhere_if_its_upstream_becomes_slow(
+    leader: Leader,
 ):
-    # A crew's confirmation comes after the guard has locked it out: its task was given
-    # to an upstream that had just become six times slower, and stayed there.
-    leading.offer("aa")
-    leading.settle()
-    (slow,) = leading.running()["aa.0.0.0"]
-    progress(leading, "aa.0.0.0", 10.0)
-    leading.advance(0.2)
-    (other,) = leading.running()["aa.0.0.0"]
-    assert other != slow
-    assert not leading.answers
+    # An answer was too late for its caller: the task was started on an upstream that
+    # had just become six times slower, and stayed there.
+    leader.offer("aa")
+    leader.settle()
+    (slow_upstream,) = leader.running()["aa.0.0.0"]
+    set_progress(leader, "aa.0.0.0", 10.0)
+    leader.advance(0.2)
+    (other,) = leader.running()["aa.0.0.0"]
+    assert other != slow_upstream
+    assert not leader.answers
 
 
-def test_a_task_without_any_progress_starts_again_elsewhere(leading: Leading):
-    # A client waits in vain: its task hangs on an upstream that looks healthy.
-    leading.offer("aa")
-    leading.settle()
-    (hung,) = leading.running()["aa.0.0.0"]
-    progress(leading, "aa.0.0.0", 0.0)
-    leading.advance(0.4)
-    (other,) = leading.running()["aa.0.0.0"]
-    assert other != hung
+def test_a_task_without_any_progress_restarts_elsewhere(leader: Leader):
+    # A client got no answer: its task hung on an upstream that seemed healthy.
+    leader.offer("aa")
+    leader.settle()
+    (hung_upstream,) = leader.running()["aa.0.0.0"]
+    set_progress(leader, "aa.0.0.0", 0.0)
+    leader.advance(0.4)
+    (other,) = leader.running()["aa.0.0.0"]
+    assert other != hung_upstream
 
 
-def test_a_job_that_cannot_end_in_time_is_given_up_at_once(leading: Leading):
-    # A caller waits to its limit for a job that its host knows is far too long, and the
-    # room it takes makes others late.
-    leading.offer("aa", deadline=leading.now + 0.9)
-    leading.settle()
-    leading.dispatcher.job_of("aa.0.0.0").by_name["aa.0.0.0"].restarts = 1
-    progress(leading, "aa.0.0.0", 10.0)
-    leading.advance(0.25)
-    (answer,) = leading.answers
+def test_a_job_that_cannot_end_in_time_is_given_up_at_once(leader: Leader):
+    # A caller waited to its limit for a job that was known to be far too long, and the
+    # capacity that the job used made others late.
+    leader.offer("aa", deadline=leader.now + 0.9)
+    leader.settle()
+    leader.dispatcher.job_of("aa.0.0.0").by_name["aa.0.0.0"].restarts = 1
+    set_progress(leader, "aa.0.0.0", 10.0)
+    leader.advance(0.25)
+    (answer,) = leader.answers
     assert answer.outcome.end is JobEnd.OUT_OF_TIME
     assert not answer.outcome.not_run
-    leading.settle()
-    assert not leading.running()
+    leader.settle()
+    assert not leader.running()
 
 
-def test_a_task_that_makes_steady_progress_goes_on(leading: Leading):
-    leading.offer("aa")
-    leading.settle()
-    (place,) = leading.running()["aa.0.0.0"]
+def test_a_task_with_steady_progress_continues(leader: Leader):
+    leader.offer("aa")
+    leader.settle()
+    (upstream_id,) = leader.running()["aa.0.0.0"]
     for percent in (25.0, 50.0, 75.0):
-        progress(leading, "aa.0.0.0", percent)
-        leading.advance(0.05)
-    assert leading.running()["aa.0.0.0"] == [place]
-    assert not leading.answers
+        set_progress(leader, "aa.0.0.0", percent)
+        leader.advance(0.05)
+    assert leader.running()["aa.0.0.0"] == [upstream_id]
+    assert not leader.answers
 
 
-def test_jobs_given_up_do_not_make_the_next_ones_seem_short(leading: Leading):
-    # The share of jobs given up grows until hardly one is served: only short ones were
-    # learned from, and each of the next was measured against what those had taken.
+def test_jobs_given_up_do_not_make_the_next_ones_seem_short(leader: Leader):
+    # The fraction of jobs given up grew until hardly one was served: only short ones
+    # were learned from, and each later job was compared with their run times.
     for number in range(60):
         job = f"{number:02x}"
-        leading.offer(job)
-        leading.settle()
+        leader.offer(job)
+        leader.settle()
         name = f"{job}.0.0.0"
-        (place,) = leading.running()[name]
-        leading.advance(0.1 if number % 2 else 0.6)
+        (upstream_id,) = leader.running()[name]
+        leader.advance(0.1 if number % 2 else 0.6)
         if number % 2:
-            leading.upstreams[place].end(name)
-        leading.settle()
-        leading.dispatcher.drop("h2", job, 1, leading.now)
-        leading.settle()
+            leader.upstreams[upstream_id].end(name)
+        leader.settle()
+        leader.dispatcher.drop("h2", job, 1, leader.now)
+        leader.settle()
     step = JobStep(1, TASK, 200.0)
-    (expected,) = leading.dispatcher.estimates.expected_ms(ROUTE, (step,))
+    (expected,) = leader.dispatcher.estimates.expected_ms(ROUTE, (step,))
     assert expected > 90.0
 
 
-def test_a_run_that_was_taken_over_is_judged_from_then_on():
-    # Callers get errors for jobs that were nearly done: the next leading host counted
-    # all the progress of a run as made since it found it, and took its job for a tiny
+def test_an_adopted_run_is_judged_from_its_discovery():
+    # Callers got errors for jobs that were nearly done: the next leader counted all
+    # progress of a run as made since it found the run, and so took its job for a tiny
     # one that was long overdue.
-    leading = Leading()
-    upstream = next(iter(leading.upstreams.values()))
+    leader = Leader()
+    upstream = next(iter(leader.upstreams.values()))
     upstream.running["aa.0.0.0"] = 1
     upstream.percent["aa.0.0.0"] = 60.0
-    leading.lead()
-    leading.offer("aa", handovers=1)
-    leading.settle()
+    leader.lead()
+    leader.offer("aa", handovers=1)
+    leader.settle()
     for percent in (70.0, 80.0, 90.0):
         upstream.percent["aa.0.0.0"] = percent
-        leading.advance(0.05)
-    assert not leading.answers
-    assert leading.running() == {"aa.0.0.0": [upstream.id]}
+        leader.advance(0.05)
+    assert not leader.answers
+    assert leader.running() == {"aa.0.0.0": [upstream.id]}
--- a/jackdawspur/runs/tests/test_restarts.py
+++ b/jackdawspur/runs/tests/test_restarts.py
@@ -1,29 +1,29 @@
-"""A run is stopped for a new one elsewhere only if its upstream is shown to be slow."""
+"""A run is restarted elsewhere only if its upstream is shown to be slow."""
 
 from jackdawspur.runs import JobRequest, JobStep, Offer
-from jackdawspur.runs.tests.conftest import ROUTE, TASK, Leading
+from jackdawspur.runs.tests.conftest import ROUTE, TASK, Leader
 
 STEP_S = 0.025
-# Looks wait for 0.2 s, so that tasks of one job tell of themselves at different times.
-FIRST_TOLD_S = 0.125
+# Polls wait for 0.2 s, so tasks of one job report at different times.
+FIRST_REPORT_S = 0.125
 FIRST_PERCENT = 14.0
 
 
-def test_no_run_is_stopped_before_the_others_of_its_job_have_told(leading: Leading):
-    # Guards against stopping a run by an estimate that others soon correct.
+def test_no_run_is_stopped_before_the_others_have_reported(leader: Leader):
+    # Guards against stopping a run by an estimate that other reports soon correct.
     step = JobStep(2, TASK, 100.0, most_per_upstream=1)
     request = JobRequest("aa", "spec", (step,), ROUTE)
-    offer = Offer(request, "h2", 1, leading.now, leading.now + 1.545)
-    leading.dispatcher.offer(offer, leading.now)
-    leading.settle()
-    (place,) = leading.running()["aa.0.0.0"]
-    (look,) = [one for one in leading.looks if one.upstream == place]
-    leading.looks.clear()
-    leading.advance(FIRST_TOLD_S, STEP_S)
-    leading.upstreams[place].percent["aa.0.0.0"] = FIRST_PERCENT
-    report = leading.upstreams[place].report(look.last_seen)
-    leading.dispatcher.poll_replied(look, report, leading.now)
-    leading.dispatcher.tick(leading.now)
-    leading.collect()
-    assert not leading.stops
-    assert not leading.answers
+    offer = Offer(request, "h2", 1, leader.now, leader.now + 1.545)
+    leader.dispatcher.offer(offer, leader.now)
+    leader.settle()
+    (upstream_id,) = leader.running()["aa.0.0.0"]
+    (poll,) = [p for p in leader.polls if p.upstream == upstream_id]
+    leader.polls.clear()
+    leader.advance(FIRST_REPORT_S, STEP_S)
+    leader.upstreams[upstream_id].percent["aa.0.0.0"] = FIRST_PERCENT
+    report = leader.upstreams[upstream_id].report(poll.last_seen)
+    leader.dispatcher.poll_replied(poll, report, leader.now)
+    leader.dispatcher.tick(leader.now)
+    leader.collect()
+    assert not leader.stops
+    assert not leader.answers
--- a/jackdawspur/runs/tests/test_slowdowns.py
+++ b/jackdawspur/runs/tests/test_slowdowns.py
@@ -1,4 +1,4 @@
-"""Upstreams' speeds are learned from tasks that ran side by side."""
+"""Slowdowns of upstreams are learned from tasks that ran side by side."""
 
 import random
 
@@ -8,13 +8,18 @@
 FAST, EVEN, SLOW = (UpstreamId("z1", name) for name in ("fast", "even", "slow"))
 
 
-def test_speeds_are_told_apart_though_jobs_differ_by_far():
+def test_speeds_are_distinguished_although_jobs_differ_widely():
     slowdowns, rng = Slowdowns(), random.Random(4)
     slowdowns.set_upstreams([FAST, EVEN, SLOW])
     for _ in range(60):
-        work = rng.lognormvariate(6.0, 0.4)
-        took = [(FAST, 0.8), (EVEN, 1.0), (SLOW, 1.25)]
-        slowdowns.learn([(one, work * f * rng.uniform(0.85, 1.15)) for one, f in took])
+        work_ms = rng.lognormvariate(6.0, 0.4)
+        factors = [(FAST, 0.8), (EVEN, 1.0), (SLOW, 1.25)]
+        slowdowns.learn(
+            [
+                (upstream, work_ms * f * rng.uniform(0.85, 1.15))
+                for upstream, f in factors
+            ]
+        )
     assert (
         slowdowns.factor(FAST)
         < 0.9
@@ -24,9 +29,9 @@
     )
 
 
-def test_an_upstream_that_turns_slow_is_believed_at_once():
-    # Jobs are late one after the other: an upstream takes six times as long all of a
-    # sudden, and the average over its past hides that for a dozen jobs.
+def test_an_upstream_that_becomes_slow_counts_as_slow_at_once():
+    # Jobs were late one after the other: an upstream suddenly took six times as long,
+    # and the average over its past hid that for a dozen jobs.
     slowdowns = Slowdowns()
     slowdowns.set_upstreams([FAST, EVEN, SLOW])
     for _ in range(2):
@@ -35,23 +40,24 @@
     assert slowdowns.factor(EVEN) < 1.2
 
 
-def test_paces_do_not_drift_together():
-    # Hardly a job is served any more: all upstreams came to count as slow, what jobs
-    # take was corrected by that, and jobs of 200 ms were expected to take 11 ms.
+def test_slowdowns_do_not_drift_together():
+    # Hardly any job was served: all upstreams came to count as slow, the learned run
+    # times were corrected by that, and jobs of 200 ms were expected to take 11 ms.
     slowdowns, rng = Slowdowns(), random.Random(5)
     upstreams = [UpstreamId("z1", f"u{n}") for n in range(9)]
     slowdowns.set_upstreams(upstreams)
     for _ in range(500):
-        one, other = rng.sample(upstreams, 2)
+        first, second = rng.sample(upstreams, 2)
         stalled = rng.choice([1.0, 1.0, 1.0, 8.0])
-        slowdowns.learn([(one, 100.0), (other, 100.0 * stalled)])
-    middle = sorted(slowdowns.factor(one) for one in upstreams)[4]
-    assert 0.8 < middle < 1.25
+        slowdowns.learn([(first, 100.0), (second, 100.0 * stalled)])
+    median = sorted(slowdowns.factor(upstream) for upstream in upstreams)[4]
+    assert 0.8 < median < 1.25
 
 
-def test_a_job_that_ends_when_all_upstreams_left_the_list_teaches_nothing():
-    # A host's decisions stop with an error: its last upstreams had left the list while
-    # the last job's tasks ended there, and there was no median of no slowdowns.
+def test_nothing_is_learned_after_all_upstreams_left_the_list():
+    # The core logic of a host stopped with an error: its last upstreams had left the
+    # list while the last job's tasks ended there, and the median of no slowdowns does
+    # not exist.
     slowdowns = Slowdowns()
     slowdowns.set_upstreams([])
     gone = UpstreamId("z1", "gone")
@@ -59,16 +65,19 @@
     assert slowdowns.factor(gone) == 1.0
 
 
-def test_a_few_jobs_tell_an_upstream_that_is_slower_by_a_third():
-    # Guards against learning slow upstreams over a dozen jobs each.
-    rng, off = random.Random(6), []
+def test_a_few_jobs_reveal_an_upstream_that_is_a_third_slower():
+    # Guards against a dozen jobs on each slow upstream before its slowdown is known.
+    rng, ratios = random.Random(6), []
     for _ in range(40):
         slowdowns = Slowdowns()
         slowdowns.set_upstreams([FAST, EVEN, SLOW])
         for _ in range(5):
-            took = [(FAST, 1.0), (EVEN, 1.0), (SLOW, 1.3)]
+            factors = [(FAST, 1.0), (EVEN, 1.0), (SLOW, 1.3)]
             slowdowns.learn(
-                [(one, 900.0 * f * rng.gauss(1.0, 0.15)) for one, f in took]
+                [
+                    (upstream, 900.0 * f * rng.gauss(1.0, 0.15))
+                    for upstream, f in factors
+                ]
             )
-        off.append(slowdowns.factor(SLOW) / slowdowns.factor(FAST))
-    assert sum(off) / len(off) > 1.15
+        ratios.append(slowdowns.factor(SLOW) / slowdowns.factor(FAST))
+    assert sum(ratios) / len(ratios) > 1.15
--- a/jackdawspur/runs/tests/test_steps.py
+++ b/jackdawspur/runs/tests/test_steps.py
@@ -1,60 +1,60 @@
-"""Steps, labels and bounds decide when and where tasks start."""
+"""Steps, labels and limits determine when and where tasks start."""
 
 from dataclasses import replace
 
 from jackdawspur.leases import UpstreamEntry
 from jackdawspur.runs import JobRequest, JobStep, Offer
-from jackdawspur.runs.tests.conftest import PATIENT, TASK, Leading
+from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, TASK, Leader
 
 
-def offer(leading: Leading, *steps: JobStep) -> None:
-    request = JobRequest("aa", "spec", steps, PATIENT)
-    offered = Offer(request, "h2", 1, leading.now, leading.now + 5.0)
-    leading.dispatcher.offer(offered, leading.now)
-    leading.settle()
+def offer(leader: Leader, *steps: JobStep) -> None:
+    request = JobRequest("aa", "spec", steps, LONG_TIMEOUT)
+    offered = Offer(request, "h2", 1, leader.now, leader.now + 5.0)
+    leader.dispatcher.offer(offered, leader.now)
+    leader.settle()
 
 
-def label(leading: Leading, *labels: str) -> None:
-    """Give the upstreams these labels, in their order."""
+def set_labels(leader: Leader, *labels: str) -> None:
+    """Set the labels of the upstreams, in their order."""
     entries: list[UpstreamEntry] = []
-    for one, text in zip(leading.upstreams, labels, strict=True):
-        entries.append(replace(leading.entry(one), labels=(text,)))
-    leading.dispatcher.set_upstreams(entries, leading.now)
+    for upstream, text in zip(leader.upstreams, labels, strict=True):
+        entries.append(replace(leader.entry(upstream), labels=(text,)))
+    leader.dispatcher.set_upstreams(entries, leader.now)
 
 
-def test_a_step_waits_for_the_steps_before_it(leading: Leading):
-    # A clean is confirmed before its crew was assigned: a later step began while a task
-    # of an earlier one still ran.
-    offer(leading, JobStep(2, TASK, 200.0), JobStep(1, TASK, 200.0, after=(0,)))
-    assert set(leading.running()) == {"aa.0.0.0", "aa.0.0.1"}
+def test_a_step_waits_for_the_steps_before_it(leader: Leader):
+    # A result was confirmed before the work that it depends on was done: a later step
+    # started while a task of an earlier one still ran.
+    offer(leader, JobStep(2, TASK, 200.0), JobStep(1, TASK, 200.0, after=(0,)))
+    assert set(leader.running()) == {"aa.0.0.0", "aa.0.0.1"}
     for name in ("aa.0.0.0", "aa.0.0.1"):
-        assert "aa.0.1.0" not in leading.running()
-        (place,) = leading.running()[name]
-        leading.upstreams[place].end(name)
-        leading.settle()
-    assert set(leading.running()) == {"aa.0.1.0"}
+        assert "aa.0.1.0" not in leader.running()
+        (upstream_id,) = leader.running()[name]
+        leader.upstreams[upstream_id].end(name)
+        leader.settle()
+    assert set(leader.running()) == {"aa.0.1.0"}
 
 
-def test_a_needed_label_is_obeyed_though_the_other_upstream_is_free(leading: Leading):
-    label(leading, "a", "b")
-    offer(leading, JobStep(4, TASK, 200.0, label="b"))
-    assert [len(u.running) for u in leading.upstreams.values()] == [0, 2]
+def test_a_required_label_is_respected(leader: Leader):
+    set_labels(leader, "a", "b")
+    offer(leader, JobStep(4, TASK, 200.0, label="b"))
+    assert [len(u.running) for u in leader.upstreams.values()] == [0, 2]
 
 
-def test_a_near_rack_is_preferred_and_not_needed(leading: Leading):
-    label(leading, "r1", "r2")
-    offer(leading, JobStep(3, TASK, 200.0, near="r2"))
-    assert [len(u.running) for u in leading.upstreams.values()] == [1, 2]
+def test_a_near_rack_is_preferred_but_not_required(leader: Leader):
+    set_labels(leader, "r1", "r2")
+    offer(leader, JobStep(3, TASK, 200.0, near="r2"))
+    assert [len(u.running) for u in leader.upstreams.values()] == [1, 2]
 
 
-def test_an_upstream_gets_no_more_tasks_of_a_step_than_allowed(leading: Leading):
-    offer(leading, JobStep(4, TASK, 200.0, most_per_upstream=1))
-    assert [len(u.running) for u in leading.upstreams.values()] == [1, 1]
+def test_an_upstream_gets_no_more_tasks_of_a_step_than_allowed(leader: Leader):
+    offer(leader, JobStep(4, TASK, 200.0, most_per_upstream=1))
+    assert [len(u.running) for u in leader.upstreams.values()] == [1, 1]
 
 
-def test_a_draining_upstream_gets_no_task(leading: Leading):
-    first, second = leading.upstreams
-    entries = [leading.entry(first, draining=True), leading.entry(second)]
-    leading.dispatcher.set_upstreams(entries, leading.now)
-    offer(leading, JobStep(4, TASK, 200.0))
-    assert [len(u.running) for u in leading.upstreams.values()] == [0, 2]
+def test_a_draining_upstream_gets_no_task(leader: Leader):
+    first, second = leader.upstreams
+    entries = [leader.entry(first, draining=True), leader.entry(second)]
+    leader.dispatcher.set_upstreams(entries, leader.now)
+    offer(leader, JobStep(4, TASK, 200.0))
+    assert [len(u.running) for u in leader.upstreams.values()] == [0, 2]
--- a/jackdawspur/runs/tests/test_tight_deadlines.py
+++ b/jackdawspur/runs/tests/test_tight_deadlines.py
@@ -1,124 +1,135 @@
-"""Jobs that take nearly all of their callers' time are not refused or kept waiting.
+"""Jobs that need nearly all of their callers' time are not refused or delayed.
 
-Tasks are expected to take 0.2 s; each of two upstreams has room for two.
+Tasks are expected to take 0.2 s; each of two upstreams has capacity for two.
 """
 
 from jackdawspur.model import UpstreamId
 from jackdawspur.runs import JobEnd, RemoteLeader, SpareCapacity
-from jackdawspur.runs.tests.conftest import FENCE, PATIENT, Leading
+from jackdawspur.runs.tests.conftest import FENCE, LONG_TIMEOUT, Leader
 
-PLACE = RemoteLeader("far", FENCE * 2)
-# Less than a task may well take, and more than it does if all goes well.
-LITTLE_S = 0.21
+REMOTE_LEADER = RemoteLeader("far", FENCE * 2)
+# Less than a task may well take, and more than it usually takes.
+TIGHT_DEADLINE_S = 0.21
 
 
-def refused(leading: Leading) -> list[str]:
-    return [a.job for a in leading.answers if a.outcome.end is JobEnd.REFUSED]
+def refused(leader: Leader) -> list[str]:
+    return [a.job for a in leader.answers if a.outcome.end is JobEnd.REFUSED]
 
 
-def offer_room(leading: Leading, fast: int = 0, slow: int = 0) -> None:
-    """Let another group offer room for so many tasks."""
-    room = SpareCapacity((14_000,) * fast, (14_000,) * slow)
-    leading.dispatcher.update_offered_capacity(PLACE, {"roster": room}, leading.now)
+def offer_capacity(leader: Leader, fast: int = 0, slow: int = 0) -> None:
+    """Let another group offer capacity for this many tasks."""
+    capacity = SpareCapacity((14_000,) * fast, (14_000,) * slow)
+    leader.dispatcher.update_offered_capacity(
+        REMOTE_LEADER, {"roster": capacity}, leader.now
+    )
 
 
-# Guards against refusing a job beside idle upstreams when it comes just before a tick.
-def test_a_job_is_placed_before_it_is_judged(leading: Leading):
-    leading.offer("aa", deadline=leading.now + LITTLE_S)
-    leading.dispatcher.tick(leading.now)
-    leading.settle()
-    assert leading.running()
-    assert not leading.answers
+# Guards against refusing a job that arrives just before a tick while upstreams are
+# idle.
+def test_a_job_is_placed_before_it_is_judged(leader: Leader):
+    leader.offer("aa", deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.dispatcher.tick(leader.now)
+    leader.settle()
+    assert leader.running()
+    assert not leader.answers
 
 
-# Guards against refusing a job for an estimate when room comes free in time.
-def test_a_job_that_may_be_shorter_than_expected_waits_for_room(leading: Leading):
-    leading.offer("aa", tasks=4)
-    leading.settle()
-    leading.offer("bb", deadline=leading.now + LITTLE_S)
-    leading.advance(0.025, step_s=0.025)
-    assert not refused(leading)
-    upstream = next(iter(leading.upstreams.values()))
+# Guards against refusing a job by its estimate when capacity becomes free in time.
+def test_a_job_that_may_be_shorter_than_expected_waits(leader: Leader):
+    leader.offer("aa", tasks=4)
+    leader.settle()
+    leader.offer("bb", deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.advance(0.025, step_s=0.025)
+    assert not refused(leader)
+    upstream = next(iter(leader.upstreams.values()))
     upstream.end(next(iter(upstream.running)))
-    leading.settle()
-    assert "bb.0.0.0" in leading.running()
-
-
-# Guards against keeping a caller that will get no answer.
-def test_a_job_that_is_too_late_even_if_short_is_refused(leading: Leading):
-    leading.offer("aa", tasks=4)
-    leading.settle()
-    leading.offer("bb", deadline=leading.now + LITTLE_S)
-    leading.advance(0.1, step_s=0.025)
-    assert refused(leading) == ["bb"]
-
-
-# Guards against waiting for room of the own group until too little time is left.
-def test_a_job_without_time_to_wait_is_passed_on_at_once(leading: Leading):
-    leading.offer("aa", tasks=4)
-    leading.settle()
-    offer_room(leading, fast=2)
-    leading.offer("bb", deadline=leading.now + LITTLE_S)
-    leading.offer("cc", route=PATIENT, call=7, deadline=leading.now + 5.0)
-    leading.collect()
-    assert [order.job for order in leading.passed_on] == ["bb"]
-    leading.advance(0.025, step_s=0.025)
-    assert [order.job for order in leading.passed_on] == ["bb", "cc"]
-
-
-# Guards against beginning some tasks here when all could begin at once elsewhere.
-def test_a_job_without_time_to_wait_goes_where_all_its_tasks_start(leading: Leading):
-    leading.offer("aa", tasks=3)
-    leading.settle()
-    offer_room(leading, fast=2)
-    leading.offer("bb", tasks=2, deadline=leading.now + LITTLE_S)
-    leading.collect()
-    assert [order.job for order in leading.passed_on] == ["bb"]
-
-
-# Guards against sending a long job from slow room to slow room.
-def test_a_job_without_time_to_wait_goes_to_fast_room_only(leading: Leading):
-    leading.offer("aa", tasks=4)
-    leading.settle()
-    offer_room(leading, slow=2)
-    leading.offer("bb", deadline=leading.now + LITTLE_S)
-    leading.collect()
-    assert not leading.passed_on
-    offer_room(leading, fast=1, slow=2)
-    leading.offer("cc", route=PATIENT, call=7, deadline=leading.now + 5.0)
-    leading.advance(0.025, step_s=0.025)
-    assert {order.job for order in leading.passed_on} == {"bb", "cc"}
-
-
-# Guards against long tasks on slow upstreams while these are not yet known well.
-def test_a_few_tasks_tell_a_slow_upstream(leading: Leading):
-    estimates = leading.dispatcher.estimates
-    slow, other = leading.upstreams
+    leader.settle()
+    assert "bb.0.0.0" in leader.running()
+
+
+# Guards against letting a caller wait that will get no answer.
+def test_a_job_that_is_too_late_even_if_short_is_refused(leader: Leader):
+    leader.offer("aa", tasks=4)
+    leader.settle()
+    leader.offer("bb", deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.advance(0.1, step_s=0.025)
+    assert refused(leader) == ["bb"]
+
+
+# Guards against waiting for the own group's capacity until too little time is left.
+def test_a_job_without_time_to_wait_is_redirected_at_once(leader: Leader):
+    leader.offer("aa", tasks=4)
+    leader.settle()
+    offer_capacity(leader, fast=2)
+    leader.offer("bb", deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.offer("cc", route=LONG_TIMEOUT, call=7, deadline=leader.now + 5.0)
+    leader.collect()
+    assert [effect.job for effect in leader.redirects] == ["bb"]
+    leader.advance(0.025, step_s=0.025)
+    assert [effect.job for effect in leader.redirects] == ["bb", "cc"]
+
+
+# Guards against starting some tasks here when all could start at once in another group.
+def test_a_job_without_time_to_wait_is_not_split(leader: Leader):
+    leader.offer("aa", tasks=3)
+    leader.settle()
+    offer_capacity(leader, fast=2)
+    leader.offer("bb", tasks=2, deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.collect()
+    assert [effect.job for effect in leader.redirects] == ["bb"]
+
+
+# Guards against redirecting a long job from slow upstreams to other slow upstreams.
+def test_a_job_without_time_to_wait_is_redirected_to_fast_upstreams_only(
+    leader: Leader,
+):
+    leader.offer("aa", tasks=4)
+    leader.settle()
+    offer_capacity(leader, slow=2)
+    leader.offer("bb", deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.collect()
+    assert not leader.redirects
+    offer_capacity(leader, fast=1, slow=2)
+    leader.offer("cc", route=LONG_TIMEOUT, call=7, deadline=leader.now + 5.0)
+    leader.advance(0.025, step_s=0.025)
+    assert {effect.job for effect in leader.redirects} == {"bb", "cc"}
+
+
+# Guards against long tasks on slow upstreams whose slowdown is not yet known well.
+def test_a_few_tasks_reveal_a_slow_upstream(leader: Leader):
+    estimates = leader.dispatcher.estimates
+    slow, other = leader.upstreams
     for number in range(4):
         job = f"t{number}"
-        leading.offer(job, tasks=2, each=1, deadline=leading.now + 5.0, route=PATIENT)
-        leading.settle()
-        leading.advance(0.2, step_s=0.2)
-        leading.upstreams[other].end(next(iter(leading.upstreams[other].running)))
-        leading.settle()
-        leading.advance(0.06, step_s=0.06)
-        leading.upstreams[slow].end(next(iter(leading.upstreams[slow].running)))
-        leading.settle()
-    assert _ratio(estimates, slow, other) > 1.15
-
-
-def _ratio(estimates, one: UpstreamId, other: UpstreamId) -> float:
-    return estimates.slowdown(one) / estimates.slowdown(other)
-
-
-# Guards against offering no room although a job here wants none of it.
-def test_it_is_told_whether_jobs_found_no_room(leading: Leading):
-    leading.offer("aa", tasks=4)
-    leading.settle()
-    assert not leading.dispatcher.needs_capacity(leading.now)
-    leading.offer("bb", route=PATIENT, deadline=leading.now + 5.0)
-    leading.settle()
-    assert leading.dispatcher.needs_capacity(leading.now)
-    leading.dispatcher.drop("h2", "bb", 1, leading.now)
-    leading.advance(0.6)
-    assert not leading.dispatcher.needs_capacity(leading.now)
+        leader.offer(
+            job,
+            tasks=2,
+            max_per_upstream=1,
+            deadline=leader.now + 5.0,
+            route=LONG_TIMEOUT,
+        )
+        leader.settle()
+        leader.advance(0.2, step_s=0.2)
+        leader.upstreams[other].end(next(iter(leader.upstreams[other].running)))
+        leader.settle()
+        leader.advance(0.06, step_s=0.06)
+        leader.upstreams[slow].end(next(iter(leader.upstreams[slow].running)))
+        leader.settle()
+    assert _slowdown_ratio(estimates, slow, other) > 1.15
+
+
+def _slowdown_ratio(estimates, first: UpstreamId, second: UpstreamId) -> float:
+    return estimates.slowdown(first) / estimates.slowdown(second)
+
+
+# Guards against withholding capacity from other groups although no job here needs it.
+def test_needs_capacity_while_a_job_finds_none(leader: Leader):
+    leader.offer("aa", tasks=4)
+    leader.settle()
+    assert not leader.dispatcher.needs_capacity(leader.now)
+    leader.offer("bb", route=LONG_TIMEOUT, deadline=leader.now + 5.0)
+    leader.settle()
+    assert leader.dispatcher.needs_capacity(leader.now)
+    leader.dispatcher.drop("h2", "bb", 1, leader.now)
+    leader.advance(0.6)
+    assert not leader.dispatcher.needs_capacity(leader.now)
--- a/jackdawspur/runs/tests/test_unknown_slowdowns.py
+++ b/jackdawspur/runs/tests/test_unknown_slowdowns.py
@@ -1,77 +1,79 @@
-"""Long tasks keep off upstreams whose pace nobody has seen yet."""
+"""Long tasks avoid upstreams whose slowdown is not yet known."""
 
 from dataclasses import replace
 
 from jackdawspur.model import UpstreamId
-from jackdawspur.runs.tests.conftest import PATIENT, Leading
+from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, Leader
 
-USUAL_S = 0.2
-SLOWER = 1.4
-# A task of the usual time is in time, one that takes 1.4 times as long isn't.
-NEARLY_ALL_S = 0.25
-SMALL_KIND, LARGE_KIND = "k-small", "k-large"
-LESSONS = 20
+TASK_S = 0.2
+SLOW_FACTOR = 1.4
+# A task of the usual duration is in time, one that takes 1.4 times as long isn't.
+TIGHT_DEADLINE_S = 0.25
+SMALL_LABEL, LARGE_LABEL = "k-small", "k-large"
+TRAINING_JOBS = 20
 
 
-def end_all(leading: Leading, keep: UpstreamId | None = None) -> None:
-    """Let all tasks end, but those on one upstream."""
-    for one, upstream in leading.upstreams.items():
-        for task in list(upstream.running) if one != keep else ():
+def end_all(leader: Leader, except_on: UpstreamId | None = None) -> None:
+    """End all tasks, except those on one upstream."""
+    for upstream_id, upstream in leader.upstreams.items():
+        for task in list(upstream.running) if upstream_id != except_on else ():
             upstream.end(task)
-    leading.settle()
+    leader.settle()
 
 
-def teach(leading: Leading, slow: UpstreamId | None = None) -> None:
-    """Let jobs of two tasks show the paces of the first two upstreams."""
-    for number in range(LESSONS):
-        deadline = leading.now + 5.0
-        leading.offer(f"t{number}", 2, PATIENT, each=1, deadline=deadline)
-        leading.settle()
-        leading.advance(USUAL_S, step_s=USUAL_S)
-        end_all(leading, keep=slow)
-        later_s = USUAL_S * (SLOWER - 1.0)
-        leading.advance(later_s, step_s=later_s)
-        end_all(leading)
+def learn_slowdowns(leader: Leader, slow: UpstreamId | None = None) -> None:
+    """Run jobs of two tasks that show the slowdowns of the first two upstreams."""
+    for number in range(TRAINING_JOBS):
+        deadline = leader.now + 5.0
+        leader.offer(
+            f"t{number}", 2, LONG_TIMEOUT, max_per_upstream=1, deadline=deadline
+        )
+        leader.settle()
+        leader.advance(TASK_S, step_s=TASK_S)
+        end_all(leader, except_on=slow)
+        remaining_s = TASK_S * (SLOW_FACTOR - 1.0)
+        leader.advance(remaining_s, step_s=remaining_s)
+        end_all(leader)
 
 
-def use_a_little(leading: Leading, one: UpstreamId, tasks: int) -> None:
+def occupy_one_upstream(leader: Leader, upstream_id: UpstreamId, tasks: int) -> None:
     """Leave one task on an upstream, which then is the fullest."""
-    deadline = leading.now + 9.0
-    leading.offer("filler", tasks, PATIENT, each=1, deadline=deadline)
-    leading.settle()
-    end_all(leading, keep=one)
-    assert [u.id for u in leading.upstreams.values() if u.running] == [one]
+    deadline = leader.now + 9.0
+    leader.offer("filler", tasks, LONG_TIMEOUT, max_per_upstream=1, deadline=deadline)
+    leader.settle()
+    end_all(leader, except_on=upstream_id)
+    assert [u.id for u in leader.upstreams.values() if u.running] == [upstream_id]
 
 
-def test_a_long_task_starts_on_an_upstream_that_is_known_to_be_usual():
-    # Guards against long tasks on upstreams that nobody has seen work.
-    leading = Leading(upstreams=3)
-    leading.lead()
-    *known, unknown = leading.upstreams
-    teach(leading)
-    use_a_little(leading, unknown, tasks=3)
-    leading.offer("aa", deadline=leading.now + NEARLY_ALL_S)
-    leading.settle()
-    (place,) = leading.running()["aa.0.0.0"]
-    assert place in known
+def test_a_long_task_starts_on_an_upstream_of_known_speed():
+    # Guards against long tasks on upstreams that have not run any task yet.
+    leader = Leader(upstreams=3)
+    leader.lead()
+    *known, unknown = leader.upstreams
+    learn_slowdowns(leader)
+    occupy_one_upstream(leader, unknown, tasks=3)
+    leader.offer("aa", deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.settle()
+    (upstream_id,) = leader.running()["aa.0.0.0"]
+    assert upstream_id in known
 
 
-def test_an_upstream_counts_as_fast_as_others_of_its_kind_until_it_is_known():
-    # Guards against learning the pace of a kind upstream by upstream.
-    leading = Leading(upstreams=4)
-    small, large, new_large, new_small = leading.upstreams
-    kinds = {small: SMALL_KIND, large: LARGE_KIND}
-    kinds |= {new_large: LARGE_KIND, new_small: SMALL_KIND}
-    entries = [replace(leading.entry(u), labels=(k,)) for u, k in kinds.items()]
-    listed_at = leading.now - 60.0
-    leading.dispatcher.set_upstreams(entries[:2], listed_at)
-    leading.lead()
-    teach(leading, slow=large)
-    drained = [replace(one, draining=one.id in (small, large)) for one in entries]
-    leading.dispatcher.set_upstreams(drained, leading.now)
-    leading.dispatcher.update_peer_lists(len(drained), leading.now)
-    leading.advance(0.05)
-    use_a_little(leading, new_large, tasks=2)
-    leading.offer("aa", deadline=leading.now + NEARLY_ALL_S)
-    leading.settle()
-    assert leading.running()["aa.0.0.0"] == [new_small]
+def test_an_unknown_upstream_counts_as_fast_as_others_with_its_label():
+    # Guards against learning the slowdown of each upstream of a label separately.
+    leader = Leader(upstreams=4)
+    small, large, new_large, new_small = leader.upstreams
+    labels = {small: SMALL_LABEL, large: LARGE_LABEL}
+    labels |= {new_large: LARGE_LABEL, new_small: SMALL_LABEL}
+    entries = [replace(leader.entry(u), labels=(k,)) for u, k in labels.items()]
+    listed_at = leader.now - 60.0
+    leader.dispatcher.set_upstreams(entries[:2], listed_at)
+    leader.lead()
+    learn_slowdowns(leader, slow=large)
+    drained = [replace(e, draining=e.id in (small, large)) for e in entries]
+    leader.dispatcher.set_upstreams(drained, leader.now)
+    leader.dispatcher.update_peer_lists(len(drained), leader.now)
+    leader.advance(0.05)
+    occupy_one_upstream(leader, new_large, tasks=2)
+    leader.offer("aa", deadline=leader.now + TIGHT_DEADLINE_S)
+    leader.settle()
+    assert leader.running()["aa.0.0.0"] == [new_small]
