--- a/jackdawspur/runs/_crashes.py
+++ b/jackdawspur/runs/_crashes.py
@@ -19,7 +19,7 @@
 MASS_LOSS_S = 1.0
 # Callers retry a failed job within seconds.
 LOSS_TTL_S = 60.0
-MAX_LOSSES = 512
+MAX_ENTRIES = 512
 
 
 @dataclass(eq=False, slots=True)
@@ -47,13 +47,15 @@
         self._losses: dict[int, _Loss] = {}
         self._by_task: dict[str, list[_Loss]] = {}
         self._by_job: dict[str, list[_Loss]] = {}
-        # By upstream, the loss of which it is not known yet whether it is a crash.
+        # Losses by upstream of which it is not yet known whether they are crashes.
         self._unresolved: dict[UpstreamId, _Loss] = {}
         self._numbers = itertools.count()
         # Crashes that earlier leaders counted in addition to this one.
         self._reported: dict[str, int] = {}
 
-    def lost(self, upstream: UpstreamId, tasks: Iterable[str], now: float) -> None:
+    def record_loss(
+        self, upstream: UpstreamId, tasks: Iterable[str], now: float
+    ) -> None:
         """Record that an upstream was unresponsive for longer than its leases."""
         known = self._unresolved.get(upstream)
         at, known_tasks = now, frozenset()
@@ -70,15 +72,17 @@
         """Return whether an upstream was lost and may have crashed."""
         return upstream in self._unresolved
 
-    def answered(self, upstream: UpstreamId) -> None:
+    def record_reply(self, upstream: UpstreamId) -> None:
         """Record that the same incarnation replies again, so that it did not crash."""
         loss = self._unresolved.get(upstream)
         if loss is not None:
             self._forget(loss)
 
-    def crashed(self, upstream: UpstreamId, tasks: Iterable[str], now: float) -> None:
+    def record_crash(
+        self, upstream: UpstreamId, tasks: Iterable[str], now: float
+    ) -> None:
         """Record that another incarnation has replaced an upstream."""
-        self.lost(upstream, tasks, now)
+        self.record_loss(upstream, tasks, now)
         self._unresolved.pop(upstream).crashed = True
 
     def record_reported(self, troubles: Iterable[TaskFailureCounts]) -> None:
@@ -137,10 +141,10 @@
         """Remove losses and reports that are too old to matter."""
         while self._losses:
             loss = next(iter(self._losses.values()))
-            if now - loss.at < LOSS_TTL_S and len(self._losses) <= MAX_LOSSES:
+            if now - loss.at < LOSS_TTL_S and len(self._losses) <= MAX_ENTRIES:
                 break
             self._forget(loss)
-        while len(self._reported) > MAX_LOSSES:
+        while len(self._reported) > MAX_ENTRIES:
             del self._reported[next(iter(self._reported))]
 
     def _keep(self, loss: _Loss) -> None:
--- a/jackdawspur/runs/_dispatcher.py
+++ b/jackdawspur/runs/_dispatcher.py
@@ -63,7 +63,7 @@
         self._pool = UpstreamPool(self, self._effects, self._log, self._replies)
         self._starts = Starts(self._pool, self._replies)
         self._polls = Polls(self._pool, self._replies)
-        self._review = Review(self._pool, self._estimates, self._log)
+        self._run_review = Review(self._pool, self._estimates, self._log)
         self._jobs = OpenJobs()
         self._done_tasks = ExpiringSet()
         self._started_jobs = StartedJobs()
@@ -190,7 +190,7 @@
         job = self._jobs.get(job_id)
         if job is None or (job.offer.host, job.offer.call) != (host, call):
             return
-        self._review.log_loss(Decision.JOB_DROPPED, job, now)
+        self._run_review.log_loss(Decision.JOB_DROPPED, job, now)
         self._end(job, now)
 
     def drop_host(self, host: str, cause: DropCause, now: float) -> None:
@@ -252,7 +252,7 @@
             self._end_if_hopeless(job, now)
         self._refuse_unservable(now)
         for job in self._jobs.pop_reported():
-            if self._review.job(job, now) is Verdict.GIVE_UP:
+            if self._run_review.review_job(job, now) is Verdict.GIVE_UP:
                 self._give_up(job, Decision.JOB_HOPELESS, now)
         self._placer.due = True
         self._done_tasks.forget_old(now)
@@ -373,7 +373,7 @@
             self._give_up(job, Decision.JOB_HOPELESS, now)
 
     def _give_up(self, job: Job, decision: Decision, now: float) -> None:
-        self._review.log_loss(decision, job, now)
+        self._run_review.log_loss(decision, job, now)
         if job.started:
             self._estimates.learn_given_up(job)
         reason = "it can't end within the caller's time"
--- a/jackdawspur/runs/_estimates.py
+++ b/jackdawspur/runs/_estimates.py
@@ -24,7 +24,7 @@
 __all__ = ["Estimates"]
 
 MS_PER_S = 1000.0
-# Number of services and routes that are sent; if there are more, the latest ones.
+# Maximum number of routes that are sent; if there are more, the latest ones are.
 MAX_ROUTES = 64
 
 
--- a/jackdawspur/runs/_job.py
+++ b/jackdawspur/runs/_job.py
@@ -63,7 +63,7 @@
 
     @property
     def restarted(self) -> bool:
-        """Return whether a run ended, and another one started or has to start."""
+        """Return whether a run ended and another one has started or must start."""
         if self.first_started_at is None:
             return False
         return self.run > self.first_run_number or self.state is TaskState.WAITING
@@ -108,7 +108,7 @@
             for index in range(step.count)
         ]
         self.by_name = {task.name: task for task in self.tasks}
-        self._open_in_step = [step.count for step in self.request.steps]
+        self._open_by_step = [step.count for step in self.request.steps]
         self._waiting = list(self.tasks)
         # Number of tasks without predecessors that have not started.
         self.not_begun = sum(not task.spec.after for task in self.tasks)
@@ -126,7 +126,7 @@
     @property
     def complete(self) -> bool:
         """Return whether all tasks are done."""
-        return not any(self._open_in_step)
+        return not any(self._open_by_step)
 
     @property
     def has_waiting(self) -> bool:
@@ -135,7 +135,7 @@
 
     def waiting(self) -> list[Task]:
         """Return the waiting tasks whose predecessors are done."""
-        return [task for task in self._waiting if self._may_start(task)]
+        return [task for task in self._waiting if self._is_ready(task)]
 
     def offered_again(self, offer: Offer, now: float) -> None:
         """Process an offer of a job that is open already.
@@ -182,7 +182,7 @@
             self.not_begun -= not task.spec.after
 
     def requeue(self, task: Task) -> None:
-        """Return a task to the waiting ones."""
+        """Put a task back among the waiting ones."""
         if task.state is TaskState.PLACED:
             task.state = TaskState.WAITING
             task.upstream = None
@@ -197,7 +197,7 @@
             if task.first_started_at is None:
                 self.not_begun -= not task.spec.after
         task.state = TaskState.DONE
-        self._open_in_step[task.step] -= 1
+        self._open_by_step[task.step] -= 1
 
     def placed(self) -> list[Task]:
         """Return the tasks that use capacity."""
@@ -209,7 +209,7 @@
             [
                 ms if still_open else 0.0
                 for ms, still_open in zip(
-                    self.expected_ms, self._open_in_step, strict=True
+                    self.expected_ms, self._open_by_step, strict=True
                 )
             ]
         )
@@ -221,8 +221,8 @@
             end_ms.append(start_ms + duration_ms)
         return max(end_ms)
 
-    def _may_start(self, task: Task) -> bool:
-        return not any(self._open_in_step[number] for number in task.spec.after)
+    def _is_ready(self, task: Task) -> bool:
+        return not any(self._open_by_step[number] for number in task.spec.after)
 
 
 def run_time_spec(step: JobStep) -> TaskSpec:
--- a/jackdawspur/runs/_polls.py
+++ b/jackdawspur/runs/_polls.py
@@ -137,7 +137,7 @@
             upstream.next_poll_at = now
             self._process_report(upstream, effect, result, now)
         elif result is CallOutcome.GONE:
-            self._pool.gone(upstream, now)
+            self._pool.on_gone(upstream, now)
         else:
             self._poll_failed(upstream, effect, result, now)
 
@@ -157,7 +157,7 @@
         elif not upstream.is_from_earlier_incarnation(
             effect.number, report.incarnation
         ):
-            self._pool.restarted(upstream, report.incarnation, now)
+            self._pool.on_restart(upstream, report.incarnation, now)
             self._pool.owner.incarnation_seen(upstream.entry.id, report.incarnation)
 
     def _poll_failed(
@@ -168,7 +168,8 @@
         now: float,
     ) -> None:
         if outcome is CallOutcome.FENCED and effect.fence < upstream.fence:
-            # This host has raised its own fence since, and the next poll shows that.
+            # This host has raised its own fence since; the next poll uses the raised
+            # one.
             return
         if outcome is CallOutcome.UNKNOWN and upstream.responsive:
             self._replies.record_loss()
@@ -236,7 +237,7 @@
             return
         if not upstream.acquired or not upstream.responsive:
             self._pool.capacity_freed = True
-            self._pool.crashes.answered(upstream.entry.id)
+            self._pool.crashes.record_reply(upstream.entry.id)
             self._pool.log.add(
                 Decision.UPSTREAM_HELD,
                 "",
@@ -292,15 +293,15 @@
                 if not run.claimed:
                     self._pool.send_stop(upstream, run, now)
             return
-        adopted_run = Run(
+        found_run = Run(
             row.run, None, RunPhase.RUNNING, now, row.percent, claimed=False
         )
-        adopted_run.first_listing_poll = upstream.polls_sent + 1
-        adopted_run.initial_percent = row.percent
-        self._pool.add(upstream, adopted_run)
+        found_run.first_listing_poll = upstream.polls_sent + 1
+        found_run.initial_percent = row.percent
+        self._pool.add(upstream, found_run)
         job = self._pool.owner.job_of(row.run.task)
         if job is not None and row.run.task in job.by_name:
-            self._pool.adopt(upstream, adopted_run, job, job.by_name[row.run.task], now)
+            self._pool.adopt(upstream, found_run, job, job.by_name[row.run.task], now)
 
     def _remove_absent(
         self, upstream: LeasedUpstream, number: int, listed: set[RunId], now: float
--- a/jackdawspur/runs/_pool.py
+++ b/jackdawspur/runs/_pool.py
@@ -180,8 +180,7 @@
 
         A new term starts a new lease, as does a return to the list. Replies to earlier
         calls name runs and polls by the same numbers: a late refusal, or a report
-        without the new runs, would free capacity in use, and tasks would start again
-        elsewhere.
+        without the new runs, would free capacity in use, and tasks would start twice.
         """
         upstream = self._upstreams.get(call.upstream)
         return upstream if upstream and upstream.lease_id == call.lease_id else None
@@ -316,7 +315,7 @@
         upstream.raise_fence()
         upstream.acquired = False
         silent_ms = round((now - upstream.last_reply_at) * 1000)
-        self.crashes.lost(upstream.entry.id, upstream.tasks, now)
+        self.crashes.record_loss(upstream.entry.id, upstream.tasks, now)
         for run in list(upstream.runs.values()):
             self.log.add(
                 Decision.RUN_LOST,
@@ -327,7 +326,9 @@
             )
             self.mark_lost(upstream, run, now)
 
-    def restarted(self, upstream: LeasedUpstream, incarnation: int, now: float) -> None:
+    def on_restart(
+        self, upstream: LeasedUpstream, incarnation: int, now: float
+    ) -> None:
         """Record that an upstream restarted under its name."""
         self.log.add(
             Decision.UPSTREAM_RESTARTED,
@@ -340,7 +341,7 @@
         upstream.record_restart(incarnation)
         self._record_crash(upstream, now)
 
-    def gone(
+    def on_gone(
         self, upstream: LeasedUpstream, now: float, replaced_by: float = math.inf
     ) -> None:
         """Remove an incarnation of an upstream that another one has replaced.
@@ -368,7 +369,7 @@
                 for run in upstream.runs.values()
                 if run.phase is not RunPhase.STARTING or run.since < replaced_by
             }
-            self.crashes.crashed(key, tasks, now)
+            self.crashes.record_crash(key, tasks, now)
 
     def _forget(self, upstream: LeasedUpstream) -> None:
         self._upstreams.pop(upstream.entry.id, None)
--- a/jackdawspur/runs/_progress.py
+++ b/jackdawspur/runs/_progress.py
@@ -56,11 +56,11 @@
     another leader started is known only since it was found, when part of it was done.
     """
     elapsed_s = run.reported_at - run.since
-    capacity_freed = run.percent - run.initial_percent
+    gained_percent = run.percent - run.initial_percent
     stalled = elapsed_s * MS_PER_S > STALLED_FRACTION * expected_ms
-    if elapsed_s <= 0 or (capacity_freed < MIN_PERCENT and not stalled):
+    if elapsed_s <= 0 or (gained_percent < MIN_PERCENT and not stalled):
         return None
-    s_per_percent = elapsed_s / (capacity_freed + ROUNDING_PERCENT)
+    s_per_percent = elapsed_s / (gained_percent + ROUNDING_PERCENT)
     left_s = (100.0 - run.percent) * s_per_percent
     return Projection(100.0 * s_per_percent, run.reported_at + left_s)
 
--- a/jackdawspur/runs/_review.py
+++ b/jackdawspur/runs/_review.py
@@ -39,7 +39,7 @@
         self._log = log
         self._losses = Losses(pool, estimates)
 
-    def job(self, job: Job, now: float) -> Verdict:
+    def review_job(self, job: Job, now: float) -> Verdict:
         """Review all runs of a job, and return whether it should be given up."""
         placed = job.placed()
         for step in {task.step for task in placed}:
--- a/jackdawspur/runs/_slowdowns.py
+++ b/jackdawspur/runs/_slowdowns.py
@@ -95,7 +95,7 @@
             self._samples[upstream] = self._current_samples[upstream] = tasks
 
     def reset_samples(self, upstream: UpstreamId) -> None:
-        """Record that an upstream's samples are from an earlier incarnation."""
+        """Reset an upstream's samples, which are from an earlier incarnation."""
         if upstream in self._current_samples:
             self._current_samples[upstream] = 0
             self._reported.pop(upstream, None)
--- a/jackdawspur/runs/_starts.py
+++ b/jackdawspur/runs/_starts.py
@@ -11,7 +11,7 @@
 
 __all__ = ["Starts"]
 
-# After a refused start, the upstream gets no other start for this long.
+# Time during which an upstream that refused a start gets no other one.
 REFUSED_BACKOFF_S = 0.2
 UNHEALTHY_BACKOFF_S = 0.5
 
@@ -148,6 +148,6 @@
         elif outcome in (CallOutcome.NO_ROOM, CallOutcome.NOT_SENT):
             upstream.backoff_until = now + REFUSED_BACKOFF_S
         elif outcome is CallOutcome.GONE:
-            self._pool.gone(upstream, now, replaced_by=run.since)
+            self._pool.on_gone(upstream, now, replaced_by=run.since)
         elif outcome is CallOutcome.INVALID:
             self._pool.owner.start_invalid(run.id.task, now)
--- a/jackdawspur/runs/tests/conftest.py
+++ b/jackdawspur/runs/tests/conftest.py
@@ -36,7 +36,7 @@
 FENCE = 1 << 40
 TASK_MS = 200
 NEARLY_DONE = 95.0
-LISTED_SINCE_S = 60.0
+LIST_AGE_S = 60.0
 
 
 @dataclass
@@ -74,12 +74,12 @@
     def report(self, last_seen: int) -> PollReport:
         """Return a report of all runs."""
         self.ended = [run for run in self.ended if run.number > last_seen]
-        running_runs = tuple(
+        reported_runs = tuple(
             RunningRun(RunId(task, number), "", self._percent(task))
             for task, number in self.running.items()
         )
         return PollReport(
-            self.clock_ms, running_runs, tuple(self.ended), self.incarnation
+            self.clock_ms, reported_runs, tuple(self.ended), self.incarnation
         )
 
     def _percent(self, task: str) -> float:
@@ -102,7 +102,7 @@
         self.redirects: list[RedirectJob] = []
         self.unresponsive: set[UpstreamId] = set()
         # The list is complete, since it was first read long ago.
-        listed_at = self.now - LISTED_SINCE_S
+        listed_at = self.now - LIST_AGE_S
         self.dispatcher.set_upstreams([self.entry(id_) for id_ in ids], listed_at)
 
     def entry(self, upstream: UpstreamId, draining: bool = False) -> UpstreamEntry:
--- a/jackdawspur/runs/tests/test_crashes.py
+++ b/jackdawspur/runs/tests/test_crashes.py
@@ -26,9 +26,9 @@
 
 
 def test_a_task_is_given_up_after_two_crashes(crashes: Crashes):
-    crashes.crashed(UPSTREAM_IDS[0], {BAD, GOOD}, 1.0)
+    crashes.record_crash(UPSTREAM_IDS[0], {BAD, GOOD}, 1.0)
     assert not gives_up(crashes, BAD)
-    crashes.crashed(UPSTREAM_IDS[1], {BAD, OTHER}, 9.0)
+    crashes.record_crash(UPSTREAM_IDS[1], {BAD, OTHER}, 9.0)
     assert gives_up(crashes, BAD)
     assert not gives_up(crashes, GOOD, OTHER)
 
@@ -36,15 +36,15 @@
 def test_two_crashes_of_one_upstream_count_twice(crashes: Crashes):
     # Guards against a task that crashes the same upstream repeatedly.
     for time_s in (1.0, 9.0):
-        crashes.crashed(UPSTREAM_IDS[0], {BAD}, time_s)
+        crashes.record_crash(UPSTREAM_IDS[0], {BAD}, time_s)
     assert gives_up(crashes, BAD)
 
 
 def test_an_upstream_that_replies_again_did_not_crash(crashes: Crashes):
     # Guards against failing a job for crashes that happened before its starts arrived.
     for number in range(3):
-        crashes.lost(UPSTREAM_IDS[number], {GOOD}, 5.0 * number)
-        crashes.answered(UPSTREAM_IDS[number])
+        crashes.record_loss(UPSTREAM_IDS[number], {GOOD}, 5.0 * number)
+        crashes.record_reply(UPSTREAM_IDS[number])
     assert not gives_up(crashes, GOOD)
     assert not crashes.must_wait(GOOD)
 
@@ -52,12 +52,12 @@
 def test_an_unresponsive_upstream_crashed_if_its_incarnation_changes(
     crashes: Crashes,
 ):
-    crashes.lost(UPSTREAM_IDS[0], {BAD}, 1.0)
-    crashes.lost(UPSTREAM_IDS[1], {BAD}, 3.0)
+    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.record_loss(UPSTREAM_IDS[1], {BAD}, 3.0)
     assert not gives_up(crashes, BAD)
     assert crashes.must_wait(BAD)
     for upstream_id in UPSTREAM_IDS[:2]:
-        crashes.crashed(upstream_id, (), 6.0)
+        crashes.record_crash(upstream_id, (), 6.0)
     assert gives_up(crashes, BAD)
 
 
@@ -65,34 +65,36 @@
     # Guards against failing jobs that lost two upstreams together with a rack.
     for number, upstream_id in enumerate(UPSTREAM_IDS[:4]):
         tasks = {f"j{number}.0.0.0", *([GOOD] if number % 2 else [])}
-        crashes.crashed(upstream_id, tasks, 1.0 + 0.2 * number)
+        crashes.record_crash(upstream_id, tasks, 1.0 + 0.2 * number)
     assert not gives_up(crashes, GOOD)
 
 
 def test_a_job_that_crashes_many_upstreams_at_once_is_given_up(crashes: Crashes):
     for number, upstream_id in enumerate(UPSTREAM_IDS):
-        crashes.crashed(upstream_id, {f"bad.0.0.{number}", f"j{number}.0.0.0"}, 1.0)
+        crashes.record_crash(
+            upstream_id, {f"bad.0.0.{number}", f"j{number}.0.0.0"}, 1.0
+        )
     assert gives_up(crashes, *(f"bad.0.0.{number}" for number in range(8)))
     assert not gives_up(crashes, "j0.0.0.0")
 
 
 def test_old_crashes_are_removed(crashes: Crashes):
-    crashes.crashed(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.record_crash(UPSTREAM_IDS[0], {BAD}, 1.0)
     crashes.forget_old(1.0 + LOSS_TTL_S)
     assert not crashes.is_suspect(BAD)
 
 
 def test_an_upstream_lost_long_ago_may_reply(crashes: Crashes):
-    crashes.lost(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 1.0)
     crashes.forget_old(1.0 + LOSS_TTL_S)
-    crashes.answered(UPSTREAM_IDS[0])
-    crashes.lost(UPSTREAM_IDS[0], {BAD}, 2.0 + LOSS_TTL_S)
+    crashes.record_reply(UPSTREAM_IDS[0])
+    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 2.0 + LOSS_TTL_S)
     assert crashes.is_suspect(BAD)
 
 
 def test_upstreams_that_never_reply_again_are_removed(crashes: Crashes):
     # Guards against state that grows with each upstream that is replaced.
-    crashes.lost(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 1.0)
     assert crashes.may_have_crashed(UPSTREAM_IDS[0])
     crashes.forget_old(1.0 + LOSS_TTL_S)
     assert not crashes.may_have_crashed(UPSTREAM_IDS[0])
--- a/jackdawspur/runs/tests/test_losses.py
+++ b/jackdawspur/runs/tests/test_losses.py
@@ -226,9 +226,9 @@
     leader.settle()
     assert not [record for record in records if isinstance(record, InitialTasksStarted)]
     leader.advance(0.1)
-    for upstream_id in leader.upstreams.values():
-        for task in list(upstream_id.running)[:1]:
-            upstream_id.end(task)
+    for upstream in leader.upstreams.values():
+        for task in list(upstream.running)[:1]:
+            upstream.end(task)
     leader.settle()
     (initial_start,) = [
         record for record in records if isinstance(record, InitialTasksStarted)
