--- a/jackdawspur/health/__init__.py
+++ b/jackdawspur/health/__init__.py
@@ -1,4 +1,4 @@
-"""Eject upstreams that fail what they start, and let them back by a trickle."""
+"""Outlier detection: ejection and gradual readmission of failing upstreams."""
 
 from jackdawspur.health._health import UpstreamHealth
 from jackdawspur.health._limits import (
--- a/jackdawspur/health/_health.py
+++ b/jackdawspur/health/_health.py
@@ -1,20 +1,20 @@
-"""The condition of each upstream of the own zone."""
+"""Health of the upstreams in this host's zone."""
 
 import math
 import statistics
 from collections.abc import Iterable
 
-from jackdawspur.health._blame import Blame
+from jackdawspur.health._failure_attribution import FailureAttribution
 from jackdawspur.health._limits import (
     DEFAULT_EJECTION,
-    LOST_TO_EJECT,
+    LOST_STARTS_TO_EJECT,
     MAX_BACKOFF_S,
-    MAX_SLOWNESS,
+    MAX_SLOWDOWN,
     MIN_SAMPLES,
     RAMP_FACTOR,
     RAMP_LIMIT,
-    REPORT_LIFE,
-    SLOW_FACTOR,
+    REPORT_TTL_S,
+    STRAGGLER_SLOWDOWN,
     UNLIMITED,
 )
 from jackdawspur.health._record import Condition, FailedJob, Record
@@ -24,25 +24,29 @@
 
 
 class UpstreamHealth:
-    """Decide how many tasks each upstream may be given."""
+    """Health records of upstreams, and the limits on their running tasks."""
 
-    def __init__(self, own: HostId) -> None:
-        self._own = own
+    def __init__(self, local_id: HostId) -> None:
+        self._local_id = local_id
         self._records: dict[UpstreamId, Record] = {}
-        self._blame = Blame()
+        self._attribution = FailureAttribution()
         self._ejection = DEFAULT_EJECTION
 
     def set_ejection_policy(self, ejection: EjectionPolicy) -> None:
-        """Judge by these limits from now on."""
+        """Apply this policy to all later decisions."""
         self._ejection = ejection
 
     def set_upstreams(self, upstreams: Iterable[UpstreamId]) -> None:
-        """Keep records of exactly these upstreams of the own zone."""
+        """Set the upstreams of which records are kept."""
         known = self._records
-        self._records = {one: known.get(one) or Record() for one in upstreams}
+        self._records = {name: known.get(name) or Record() for name in upstreams}
 
     def started(self, upstream: UpstreamId) -> None:
-        """Count a task sent there; each ends by one of the calls below."""
+        """Count a task sent to the upstream.
+
+        Exactly one of `succeeded`, `failed`, `lost` and `record_inconclusive` must
+        follow for each.
+        """
         self._record(upstream).running += 1
 
     def succeeded(
@@ -53,12 +57,17 @@
         now: float,
         sent_at: float | None = None,
     ) -> None:
-        """Note a task done; `ratio` is its run time over the expected one."""
+        """Record a task that succeeded.
+
+        `ratio` is its run time divided by the expected run time. `sent_at` is the time
+        when its start was sent.
+        """
         record = self._ended(upstream)
-        self._blame.note(job_class, upstream, False, now)
+        self._attribution.record(job_class, upstream, False, now)
         record.observe(ratio)
-        # An upstream that turned bad still ends well what it started before. Those
-        # ends would clear its failures, and each cleared failure costs another job.
+        # An upstream that became faulty may still complete tasks that it started
+        # before. Such successes must not clear its failures: each cleared failure costs
+        # another job.
         if sent_at is not None and sent_at <= record.failed_at:
             return
         record.failed.clear()
@@ -78,7 +87,7 @@
         job_class: str,
         now: float,
     ) -> None:
-        """Note a task that ended in failure there."""
+        """Record a task of this host that failed on the upstream."""
         self._ended(upstream)
         self.peer_task_failed(upstream, submission, job_class, now)
 
@@ -89,61 +98,62 @@
         job_class: str,
         now: float,
     ) -> None:
-        """Note a task that failed there and that another host had sent."""
+        """Record a task of another host that failed on the upstream."""
         record = self._record(upstream)
-        self._blame.note(job_class, upstream, True, now)
+        self._attribution.record(job_class, upstream, True, now)
         record.failed[FailedJob(submission, job_class)] = None
         record.failed_at = now
         self._failed_probe(record, now)
-        self._judge(upstream, now)
+        self._eject_if_failing(upstream, now)
 
     def lost(self, upstream: UpstreamId, now: float) -> None:
-        """Note a start without a reply, or a task that ran into its time limit."""
+        """Record a start without a reply, or a task that exceeded its time limit."""
         record = self._ended(upstream)
         record.lost += 1
         record.failed_at = now
         self._failed_probe(record, now)
-        self._judge(upstream, now)
+        self._eject_if_failing(upstream, now)
 
     def record_inconclusive(self, upstream: UpstreamId) -> None:
-        """Note a task that was refused or stopped, which says nothing."""
+        """Record a refused or stopped task, which is no evidence of health."""
         self._ended(upstream)
 
     def apply_peer_report(
         self, sender: HostId, bad: Iterable[UpstreamId], now: float
     ) -> None:
-        """Take a sibling's list of the upstreams that it mistrusts."""
+        """Apply the list of unhealthy upstreams that a peer in this zone reports."""
         reported = set(bad)
         for upstream, record in self._records.items():
             if upstream in reported:
                 record.reports[sender] = now
-                self._judge(upstream, now)
+                self._eject_if_failing(upstream, now)
             elif record.reports.pop(sender, None) is not None:
-                # All hosts returning to it at full width would hide a relapse.
+                # Restart the ramp: a relapse would be noticed too late if all hosts
+                # used the upstream without a limit at once.
                 record.ramp = 1
 
     def unhealthy_upstreams(self, now: float) -> tuple[UpstreamId, ...]:
-        """Return the upstreams this host itself mistrusts, for its heartbeats."""
+        """Return the upstreams unhealthy by this host's own records, for heartbeats."""
         return tuple(
             upstream
             for upstream, record in self._records.items()
             if record.ejected
-            or ((record.failed or record.lost) and self._evidence(record, now))
+            or ((record.failed or record.lost) and self._failure_count(record, now))
         )
 
     def condition(self, upstream: UpstreamId, now: float) -> Condition:
-        """Tell how far the upstream is trusted."""
+        """Return the condition of the upstream."""
         record = self._record(upstream)
         if record.ejected:
             return Condition.EJECTED
-        if self._evidence(record, now) or self._reporters(record, now):
+        if self._failure_count(record, now) or self._reporters(record, now):
             return Condition.SUSPECT
         if record.ramp < RAMP_LIMIT:
             return Condition.RETURNING
         return Condition.HEALTHY
 
     def concurrency_limit(self, upstream: UpstreamId, now: float) -> int:
-        """Return how many tasks this host may have running there."""
+        """Return how many tasks this host may have running on the upstream."""
         condition = self.condition(upstream, now)
         if condition is Condition.EJECTED:
             return self._ejected_limit(upstream, now)
@@ -154,35 +164,38 @@
         return UNLIMITED
 
     def allows(self, upstream: UpstreamId, now: float) -> bool:
-        """Tell whether one more ordinary task may be sent there."""
+        """Return whether one more ordinary task may be sent to the upstream."""
         return self._record(upstream).running < self.concurrency_limit(upstream, now)
 
     def probe_allowed(self, upstream: UpstreamId, now: float) -> bool:
-        """Tell whether one idempotent task of a small job may try it out."""
+        """Return whether an idempotent task of a small job may probe the upstream."""
         record = self._record(upstream)
         if not record.ejected or record.running or now < record.probe_at:
             return False
-        # Every host probing on its own would cost a job each; one speaks for all.
-        return all(self._own < other for other in self._reporters(record, now))
+        # If every host probed, each failed probe would cost a job. So of the hosts that
+        # report the upstream, only the one with the smallest id probes.
+        return all(self._local_id < other for other in self._reporters(record, now))
 
     def slowness(self, upstream: UpstreamId) -> float:
-        """Return how much slower than the median it runs, from 1 to a cap."""
-        paces = [one.pace for one in self._records.values() if _measured(one)]
+        """Return the upstream's run time over the median's, from 1 to MAX_SLOWDOWN."""
+        slowdowns = [r.slowdown for r in self._records.values() if _measured(r)]
         record = self._record(upstream)
-        if not _measured(record) or len(paces) < 2:
+        if not _measured(record) or len(slowdowns) < 2:
             return 1.0
-        return min(MAX_SLOWNESS, max(1.0, record.pace / statistics.median(paces)))
+        return min(
+            MAX_SLOWDOWN, max(1.0, record.slowdown / statistics.median(slowdowns))
+        )
 
     def is_straggler(self, upstream: UpstreamId) -> bool:
-        """Tell whether it is slow enough to be used last."""
-        return self.slowness(upstream) >= SLOW_FACTOR
+        """Return whether the upstream is so slow that it should be used last."""
+        return self.slowness(upstream) >= STRAGGLER_SLOWDOWN
 
     def ejected(self) -> tuple[UpstreamId, ...]:
         """Return the ejected upstreams."""
-        return tuple(name for name, one in self._records.items() if one.ejected)
+        return tuple(name for name, record in self._records.items() if record.ejected)
 
     def _record(self, upstream: UpstreamId) -> Record:
-        # Results of an upstream that left the configuration still come in.
+        # Results of an upstream may arrive after it was removed from the configuration.
         return self._records.get(upstream) or Record()
 
     def _ended(self, upstream: UpstreamId) -> Record:
@@ -190,63 +203,68 @@
         record.running = max(0, record.running - 1)
         return record
 
-    def _evidence(self, record: Record, now: float) -> int:
-        jobs = sum(
-            not self._blame.lies_with_class(job.job_class, now) for job in record.failed
+    def _failure_count(self, record: Record, now: float) -> int:
+        failed_jobs = sum(
+            not self._attribution.class_is_faulty(job.job_class, now)
+            for job in record.failed
         )
-        return max(jobs, record.lost)
+        return max(failed_jobs, record.lost)
 
     def _reporters(self, record: Record, now: float) -> list[HostId]:
-        return [host for host, at in record.reports.items() if now - at <= REPORT_LIFE]
+        return [host for host, at in record.reports.items() if now - at <= REPORT_TTL_S]
 
     def _failed_probe(self, record: Record, now: float) -> None:
         if record.ejected and now >= record.probe_at:
             self._eject(record, now)
 
     def _ejected_limit(self, upstream: UpstreamId, now: float) -> int:
-        # Hosts of its own zone probe an upstream. They lend its slots again only when
-        # they trust it, so to use a lent one after the back-off is safe enough.
-        lent = upstream.zone != self._own.zone
+        # Upstreams are probed by hosts of their own zone, which lend slots again only
+        # once the upstream is healthy. So a lent slot may be used after the backoff.
+        lent = upstream.zone != self._local_id.zone
         return int(lent and now >= self._record(upstream).probe_at)
 
     def _suspect_limit(self, upstream: UpstreamId, now: float) -> int:
-        # The host that saw the failure finds out with one task at a time; others
-        # would pay a job each for the same news, so they wait for its report.
-        evidence = self._evidence(self._record(upstream), now)
-        if evidence or not self._room_to_wait(upstream.zone, now):
+        # The host that saw the failure continues with one task at a time. The other
+        # hosts wait for its report: each would lose a job to learn the same.
+        failure_count = self._failure_count(self._record(upstream), now)
+        if failure_count or not self._within_ejection_cap(upstream.zone, now):
             return 1
         return 0
 
-    def _judge(self, upstream: UpstreamId, now: float) -> None:
+    def _eject_if_failing(self, upstream: UpstreamId, now: float) -> None:
         record = self._record(upstream)
         if record.ejected:
             return
-        jobs = sum(
-            not self._blame.lies_with_class(job.job_class, now) for job in record.failed
+        failed_jobs = sum(
+            not self._attribution.class_is_faulty(job.job_class, now)
+            for job in record.failed
+        )
+        if failed_jobs:
+            failed_jobs += len(self._reporters(record, now))
+        enough = (
+            failed_jobs >= self._ejection.after_failures
+            or record.lost >= LOST_STARTS_TO_EJECT
         )
-        if jobs:
-            jobs += len(self._reporters(record, now))
-        enough = jobs >= self._ejection.after_failures or record.lost >= LOST_TO_EJECT
         zone = upstream.zone
-        if enough and self._ejected_in(zone) < self._most_ejected(zone):
+        if enough and self._ejected_count(zone) < self._max_ejected(zone):
             self._eject(record, now)
 
-    def _ejected_in(self, zone: str) -> int:
+    def _ejected_count(self, zone: str) -> int:
         return sum(upstream.zone == zone for upstream in self.ejected())
 
-    def _most_ejected(self, zone: str) -> int:
-        # A shared cause (network, bad release) makes many upstreams fail at once;
-        # ejecting them all would turn failures into an outage.
+    def _max_ejected(self, zone: str) -> int:
+        # A shared cause, such as the network or a faulty release, makes many upstreams
+        # fail at once. Ejecting them all would turn failures into an outage.
         count = sum(upstream.zone == zone for upstream in self._records)
         return max(1, math.floor(count * self._ejection.max_share))
 
-    def _room_to_wait(self, zone: str, now: float) -> bool:
-        mistrusted = sum(
+    def _within_ejection_cap(self, zone: str, now: float) -> bool:
+        unhealthy = sum(
             record.ejected or bool(self._reporters(record, now))
             for upstream, record in self._records.items()
             if upstream.zone == zone
         )
-        return mistrusted <= self._most_ejected(zone)
+        return unhealthy <= self._max_ejected(zone)
 
     def _eject(self, record: Record, now: float) -> None:
         record.ejected = True
--- a/jackdawspur/health/_limits.py
+++ b/jackdawspur/health/_limits.py
@@ -1,39 +1,45 @@
-"""Named limits of ejection and return; times in seconds."""
+"""Constants of ejection and readmission; times in seconds."""
 
 from jackdawspur.model import EjectionPolicy
 
 __all__ = [
     "BASE_BACKOFF_S",
-    "BLAME_UPSTREAMS",
-    "BLAME_WINDOW",
+    "FAULTY_CLASS_UPSTREAMS",
+    "ATTRIBUTION_WINDOW_S",
     "DEFAULT_EJECTION",
-    "LOST_TO_EJECT",
+    "LOST_STARTS_TO_EJECT",
     "MAX_BACKOFF_S",
-    "MAX_SLOWNESS",
+    "MAX_SLOWDOWN",
     "MIN_SAMPLES",
     "RAMP_FACTOR",
     "RAMP_LIMIT",
-    "REPORT_LIFE",
-    "SLOW_FACTOR",
-    "SMOOTHING",
+    "REPORT_TTL_S",
+    "STRAGGLER_SLOWDOWN",
+    "SLOWDOWN_SMOOTHING",
     "UNLIMITED",
 ]
 
-LOST_TO_EJECT = 3
-# In force until a configuration says otherwise.
+# Lost starts since the last success after which an upstream is ejected.
+LOST_STARTS_TO_EJECT = 3
+# Applies until a configuration sets another policy.
 DEFAULT_EJECTION = EjectionPolicy()
 BASE_BACKOFF_S = DEFAULT_EJECTION.readmit_after_s
 MAX_BACKOFF_S = 300.0
-# A class that fails on this many upstreams, and more often than not, is to blame.
-BLAME_UPSTREAMS = 3
-BLAME_WINDOW = 10.0
-# A sibling repeats its report in each heartbeat; without repeats it lapses.
-REPORT_LIFE = 3.0
-# The limit on running tasks grows from one by this factor with each success.
+# A class is faulty if it failed on at least this many upstreams within the window, and
+# more often than it succeeded.
+FAULTY_CLASS_UPSTREAMS = 3
+ATTRIBUTION_WINDOW_S = 10.0
+# A peer repeats its report in each heartbeat; a report that isn't repeated expires.
+REPORT_TTL_S = 3.0
+# After readmission the limit on running tasks starts at 1 and is multiplied by this
+# factor at each success, up to RAMP_LIMIT.
 RAMP_FACTOR = 2
 RAMP_LIMIT = 16
 UNLIMITED = 1_000_000
-SMOOTHING = 0.2
+# Weight of the newest task in the moving average of an upstream's slowdown, and the
+# number of tasks from which the average is used.
+SLOWDOWN_SMOOTHING = 0.2
 MIN_SAMPLES = 5
-SLOW_FACTOR = 2.0
-MAX_SLOWNESS = 4.0
+# Slowdown relative to the median upstream from which an upstream is a straggler.
+STRAGGLER_SLOWDOWN = 2.0
+MAX_SLOWDOWN = 4.0
--- a/jackdawspur/health/_record.py
+++ b/jackdawspur/health/_record.py
@@ -1,16 +1,16 @@
-"""What is known of one upstream."""
+"""The health record of one upstream."""
 
 import enum
 from dataclasses import dataclass, field
 
-from jackdawspur.health._limits import RAMP_LIMIT, SMOOTHING
+from jackdawspur.health._limits import RAMP_LIMIT, SLOWDOWN_SMOOTHING
 from jackdawspur.model import HostId, SubmissionId
 
 __all__ = ["Condition", "FailedJob", "Record"]
 
 
 class Condition(enum.StrEnum):
-    """Tell how far an upstream is trusted."""
+    """Health of an upstream: whether, and how fast, it may get tasks."""
 
     HEALTHY = "healthy"
     SUSPECT = "suspect"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedJob:
-    """Name a job that failed on an upstream, and its class."""
+    """A job that failed on an upstream, with its class."""
 
     submission: SubmissionId
     job_class: str
@@ -28,9 +28,10 @@
 
 @dataclass(slots=True)
 class Record:
-    """Keep the evidence on one upstream.
+    """Counts and times that tell the health of one upstream.
 
-    `times_ejected` counts since it last proved healthy; each doubles the wait.
+    `times_ejected` counts ejections since the upstream was last healthy; each doubles
+    the time until the next probe.
     """
 
     running: int = 0
@@ -42,10 +43,10 @@
     times_ejected: int = 0
     ramp: int = RAMP_LIMIT
     samples: int = 0
-    pace: float = 1.0
+    slowdown: float = 1.0
     reports: dict[HostId, float] = field(default_factory=dict)
 
     def observe(self, ratio: float) -> None:
-        """Fold in the run time of a task over the time expected of it."""
+        """Update the slowdown with a task's run time divided by the expected one."""
         self.samples += 1
-        self.pace += SMOOTHING * (ratio - self.pace)
+        self.slowdown += SLOWDOWN_SMOOTHING * (ratio - self.slowdown)
--- a/jackdawspur/limits/_calls.py
+++ b/jackdawspur/limits/_calls.py
@@ -1,4 +1,4 @@
-"""Bound what waits here, and tell refused callers when to come back."""
+"""Bounds on open calls and waiting tasks, and the retry delay of refused callers."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,15 @@
 
 MIN_RETRY_MS = 50.0
 MAX_RETRY_MS = 10_000.0
-# Weight of the newest interval in the drain rate, and its length in seconds.
-DRAIN_STEP = 0.3
-DRAIN_INTERVAL = 0.25
+# Weight of the newest interval in the moving average of the drain rate, and the
+# interval's length in seconds.
+DRAIN_SMOOTHING = 0.3
+DRAIN_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class CallBounds:
-    """Bound waiting work; one customer may hold only a part of the whole."""
+    """Bounds on waiting work of this host, and lower ones for each customer."""
 
     waiting_tasks: int = 20_000
     waiting_tasks_customer: int = 5_000
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitReached:
-    """Refuse a call; nothing of it was or will be started."""
+    """The refusal of a call, no task of which was or will be started."""
 
     message: str
     retry_after_ms: float
@@ -35,8 +36,8 @@
 class CallLimits:
     """Count open calls and waiting tasks against their bounds.
 
-    Every step costs the same at any load, so a wave of cancellations of one customer
-    takes no time from the others.
+    Every operation takes constant time, so a burst of cancellations by one customer
+    doesn't slow down the others.
     """
 
     def __init__(self, bounds: CallBounds | None = None) -> None:
@@ -60,51 +61,51 @@
         return self._waiting_tasks
 
     def check(self, customer: str, tasks: int, now: float) -> LimitReached | None:
-        """Return why a call with so many tasks can't come in, or None."""
+        """Return why a call with `tasks` tasks must be refused, or None."""
         bounds = self._bounds
-        own_tasks = self._tasks.get(customer, 0) + tasks
-        all_tasks = self._waiting_tasks + tasks
+        customer_tasks = self._tasks.get(customer, 0) + tasks
+        host_tasks = self._waiting_tasks + tasks
         if self._calls.get(customer, 0) >= bounds.calls_customer:
             return self._refuse("the customer has too many open calls", 1, now)
         if self._open_calls >= bounds.calls:
             return self._refuse("this host has too many open calls", 1, now)
-        if own_tasks > bounds.waiting_tasks_customer:
-            over = own_tasks - bounds.waiting_tasks_customer
+        if customer_tasks > bounds.waiting_tasks_customer:
+            over = customer_tasks - bounds.waiting_tasks_customer
             return self._refuse("the customer has too many tasks waiting", over, now)
-        if all_tasks > bounds.waiting_tasks:
-            over = all_tasks - bounds.waiting_tasks
+        if host_tasks > bounds.waiting_tasks:
+            over = host_tasks - bounds.waiting_tasks
             return self._refuse("this host has too many tasks waiting", over, now)
         return None
 
     def opened(self, customer: str) -> None:
-        """Count a call that came in."""
+        """Count a call that was received."""
         self._open_calls += 1
         self._calls[customer] = self._calls.get(customer, 0) + 1
 
     def answered(self, customer: str) -> None:
-        """Count a call off that was answered or closed."""
+        """Remove a call that was answered or closed from the count."""
         self._open_calls -= 1
-        _less(self._calls, customer, 1)
+        _subtract(self._calls, customer, 1)
 
     def queued(self, customer: str, tasks: int) -> None:
-        """Count tasks that wait."""
+        """Count tasks that were admitted and wait to start."""
         self._waiting_tasks += tasks
         self._tasks[customer] = self._tasks.get(customer, 0) + tasks
 
     def started(self, customer: str, tasks: int, now: float) -> None:
-        """Count tasks off that started."""
-        self._fold(now)
+        """Remove tasks that started from the count."""
+        self._update_drain_rate(now)
         self._drained += tasks
         self.dropped(customer, tasks)
 
     def dropped(self, customer: str, tasks: int) -> None:
-        """Count tasks off that will not start, as after a cancellation."""
+        """Remove tasks that won't start, as after a cancellation, from the count."""
         self._waiting_tasks -= tasks
-        _less(self._tasks, customer, tasks)
+        _subtract(self._tasks, customer, tasks)
 
     def retry_after_ms(self, tasks: int, now: float) -> float:
-        """Return how long so many tasks take to start at the present rate."""
-        self._fold(now)
+        """Return the milliseconds until `tasks` tasks start at the current rate."""
+        self._update_drain_rate(now)
         if self._drain_rate <= 0:
             return MAX_RETRY_MS if self._waiting_tasks else MIN_RETRY_MS
         wait = tasks / self._drain_rate * 1000.0
@@ -114,19 +115,20 @@
         message = f"{reason}; nothing ran; retry later"
         return LimitReached(message, self.retry_after_ms(tasks, now))
 
-    def _fold(self, now: float) -> None:
+    def _update_drain_rate(self, now: float) -> None:
         passed = now - self._interval_start
-        if passed < DRAIN_INTERVAL:
+        if passed < DRAIN_INTERVAL_S:
             return
         rate = self._drained / passed
-        # After a long gap the old rate says nothing.
-        step = 1.0 - (1.0 - DRAIN_STEP) ** (passed / DRAIN_INTERVAL)
-        self._drain_rate += step * (rate - self._drain_rate)
+        # The weight grows with the length of the interval: after a long gap the old
+        # rate is obsolete.
+        weight = 1.0 - (1.0 - DRAIN_SMOOTHING) ** (passed / DRAIN_INTERVAL_S)
+        self._drain_rate += weight * (rate - self._drain_rate)
         self._drained = 0
         self._interval_start = now
 
 
-def _less(counts: dict[str, int], customer: str, by: int) -> None:
+def _subtract(counts: dict[str, int], customer: str, by: int) -> None:
     left = counts.get(customer, 0) - by
     if left > 0:
         counts[customer] = left
--- a/jackdawspur/limits/_quotas.py
+++ b/jackdawspur/limits/_quotas.py
@@ -1,41 +1,42 @@
-"""Hold a customer's quota over all zones without a coordinator."""
+"""Enforcement of customers' quotas over all zones without a coordinator."""
 
 from collections import deque
 from collections.abc import Collection, Iterable, Mapping
 
-from jackdawspur.limits._reach import Place, Reach
+from jackdawspur.limits._reach import HostKey, PeerReachability
 from jackdawspur.limits._shares import base_shares, divide
 from jackdawspur.messages import CustomerUsage
 from jackdawspur.model import ClusterSpec, HostId
 
 __all__ = ["Quotas"]
 
-# Part of its even share that a host keeps even when others could use it, so that the
-# first tasks of a customer start without waiting for a heartbeat.
-KEPT_PART = 0.25
-# Seconds for which a need above the even share must have been told before it counts
-# here: by then the others have heard it, and their own need was heard here.
-SETTLED_AFTER = 1.0
-# Seconds for which an advertised usage is told again instead of counted anew.
-ADVERTISE_EVERY = 0.1
+# Fraction of its even share that a host keeps even when others could use it, so that
+# the first tasks of a customer start without waiting for a heartbeat.
+GUARANTEED_FRACTION = 0.25
+# Seconds for which a need above the even share must have been advertised before this
+# host uses it: after that time the other hosts have received it, and this host has
+# received theirs.
+SETTLING_TIME_S = 1.0
+# Seconds for which the last advertised usage is returned instead of computed again.
+ADVERTISE_INTERVAL_S = 0.1
 # Seconds between two divisions of one customer's quota.
-DIVIDE_EVERY = 0.1
+DIVIDE_INTERVAL_S = 0.1
 
 
-class _CustomerUse:
-    """Keep one customer's numbers here and what other hosts reported."""
+class _CustomerState:
+    """One customer's counts on this host and the usage that other hosts reported."""
 
     __slots__ = (
         "divided_at",
-        "kept",
-        "others",
+        "guaranteed",
+        "running_elsewhere",
         "quota",
         "reports",
         "reachable",
         "running",
         "share",
         "stale",
-        "told",
+        "advertised_needs",
         "unbounded",
     )
 
@@ -44,197 +45,213 @@
         self.unbounded = False
         self.running = 0
         self.share = 0
-        self.kept = 0
+        self.guaranteed = 0
         self.reachable = 0
         self.stale = True
         self.divided_at = float("-inf")
-        self.others = 0
-        self.reports: dict[Place, CustomerUsage] = {}
-        # Each need with the time since which at least that much was told, both rising.
-        self.told: deque[tuple[float, int]] = deque([(float("-inf"), 0)])
-
-    def tell(self, need: int, now: float) -> None:
-        """Note the need that other hosts are told."""
+        self.running_elsewhere = 0
+        self.reports: dict[HostKey, CustomerUsage] = {}
+        # Pairs (time, need): at least this need has been advertised since this time.
+        # Both increase.
+        self.advertised_needs: deque[tuple[float, int]] = deque([(float("-inf"), 0)])
+
+    def record_advertised_need(self, need: int, now: float) -> None:
+        """Record a need that is advertised to the other hosts."""
         since = now
-        while self.told and self.told[-1][1] > need:
-            since = self.told.pop()[0]
-        if not self.told or self.told[-1][1] < need:
-            self.told.append((since, need))
+        while self.advertised_needs and self.advertised_needs[-1][1] > need:
+            since = self.advertised_needs.pop()[0]
+        if not self.advertised_needs or self.advertised_needs[-1][1] < need:
+            self.advertised_needs.append((since, need))
 
-    def settled(self, now: float) -> int:
-        """Return the least need that was told for long enough to be known."""
-        while len(self.told) > 1 and self.told[1][0] <= now - SETTLED_AFTER:
-            self.told.popleft()
-        return self.told[0][1]
+    def settled_need(self, now: float) -> int:
+        """Return the largest need advertised throughout the settling time."""
+        while (
+            len(self.advertised_needs) > 1
+            and self.advertised_needs[1][0] <= now - SETTLING_TIME_S
+        ):
+            self.advertised_needs.popleft()
+        return self.advertised_needs[0][1]
 
 
 class Quotas:
-    """Bound the slots that customers have running over all zones.
+    """Limits on the slots that each customer uses over all zones.
 
-    Every host divides each quota by the same rule from the needs that heartbeats
-    report. A zone out of reach keeps its even share, which the others leave alone.
+    Every host divides each quota by the same rule, from the needs that heartbeats
+    report. An unreachable zone keeps its even share, which the others don't use.
     """
 
     def __init__(self, host: HostId) -> None:
-        self._place: Place = (host.zone, host.name)
-        self._customers: dict[str, _CustomerUse] = {}
-        self._reach = Reach(self._place)
+        self._local_key: HostKey = (host.zone, host.name)
+        self._customers: dict[str, _CustomerState] = {}
+        self._reachability = PeerReachability(self._local_key)
         self._advertised: dict[str, CustomerUsage] = {}
         self._advertised_at = float("-inf")
-        self._reported: dict[Place, set[str]] = {}
-
-    def set_cluster_spec(self, world: ClusterSpec) -> None:
-        """Take the quotas and the configured entry hosts."""
-        places = [(entry.zone, entry.name) for entry in world.entry_hosts]
-        self._reach.configure(places, self._advertised_at)
-        quotas = {c.name: c.quota_slots for c in world.customers}
-        slots = sum(upstream.slots for upstream in world.upstreams)
+        self._customers_by_peer: dict[HostKey, set[str]] = {}
+
+    def set_cluster_spec(self, cluster_spec: ClusterSpec) -> None:
+        """Apply the quotas and the configured entry hosts."""
+        host_keys = [(entry.zone, entry.name) for entry in cluster_spec.entry_hosts]
+        self._reachability.configure(host_keys, self._advertised_at)
+        quotas = {c.name: c.quota_slots for c in cluster_spec.customers}
+        slots = sum(upstream.slots for upstream in cluster_spec.upstreams)
         for name in self._customers.keys() | quotas.keys():
-            use = self._use(name)
-            use.quota = quotas.get(name, 0)
-            # No more tasks can run than there are slots: such a quota bounds nothing,
-            # and dividing it would only keep wide jobs waiting beside idle slots.
-            use.unbounded = 0 < slots <= use.quota
-            use.stale = True
-            use.divided_at = float("-inf")
+            state = self._state_of(name)
+            state.quota = quotas.get(name, 0)
+            # No more tasks can run than there are slots. A quota of at least that many
+            # limits nothing, and dividing it would only make wide jobs wait while slots
+            # are idle.
+            state.unbounded = 0 < slots <= state.quota
+            state.stale = True
+            state.divided_at = float("-inf")
 
     def set_live_hosts(self, live: Collection[HostId]) -> None:
-        """Take the hosts that the membership view holds for live."""
-        for place in self._reach.set_live([(h.zone, h.name) for h in live]):
-            self._forget(place)
+        """Set the hosts that the membership view considers live."""
+        for host_key in self._reachability.set_live([(h.zone, h.name) for h in live]):
+            self._forget_peer(host_key)
 
     def update_peer_usage(
         self, host: HostId, usage: Iterable[CustomerUsage], now: float
     ) -> None:
-        """Take in the usage of a heartbeat; customers left out use nothing."""
-        place = (host.zone, host.name)
-        if place == self._place:
+        """Record the usage in a heartbeat; omitted customers use nothing."""
+        host_key = (host.zone, host.name)
+        if host_key == self._local_key:
             return
-        self._reach.hear(place, now)
-        self._set_reports(place, {u.customer: u for u in usage})
+        self._reachability.record_heartbeat(host_key, now)
+        self._set_all_peer_usage(host_key, {u.customer: u for u in usage})
 
     def advertise(
         self, waiting: Mapping[str, int], now: float
     ) -> tuple[CustomerUsage, ...]:
         """Return the usage for this host's next heartbeat.
 
-        This host divides by what it told the others, so that all divide alike; call
-        it with each heartbeat, or more often.
+        This host divides quotas by the usage that it advertised, so that all hosts
+        compute the same shares. Call it for each heartbeat, or more often.
         """
-        if now - self._advertised_at < ADVERTISE_EVERY:
+        if now - self._advertised_at < ADVERTISE_INTERVAL_S:
             return tuple(self._advertised.values())
-        for place in self._reach.drop_unheard(now):
-            self._forget(place)
-        if self._reach.update(now):
-            self._divide_all()
+        for host_key in self._reachability.drop_timed_out(now):
+            self._forget_peer(host_key)
+        if self._reachability.update(now):
+            self._mark_all_stale()
         names = waiting.keys() | {n for n, u in self._customers.items() if u.running}
         usage = tuple(
-            CustomerUsage(name, self._use(name).running, waiting.get(name, 0))
+            CustomerUsage(name, self._state_of(name).running, waiting.get(name, 0))
             for name in sorted(names)
         )
         for name in self._advertised.keys() - names:
-            self._tell(name, 0, now)
+            self._record_advertised_need(name, 0, now)
         for item in usage:
-            self._tell(item.customer, _need(item), now)
+            self._record_advertised_need(item.customer, _need(item), now)
         self._advertised = {item.customer: item for item in usage}
         self._advertised_at = now
         return usage
 
     def may_start(self, customer: str, now: float) -> bool:
-        """Tell whether one more task of a customer may start here."""
+        """Return whether one more task of a customer may start here."""
         return self.headroom(customer, now) > 0
 
     def headroom(self, customer: str, now: float) -> int:
         """Return how many more tasks of a customer may start here."""
-        use = self._current(customer, now)
-        if use is None:
+        state = self._current(customer, now)
+        if state is None:
             return 0
-        if use.unbounded:
-            return max(0, use.quota - use.running)
-        # A share that moved here may still be in use where it came from: tasks there
-        # count until they are reported ended, but for the part always kept here.
-        free = max(use.kept, use.reachable - use.others)
-        return max(0, min(use.share, free) - use.running)
+        if state.unbounded:
+            return max(0, state.quota - state.running)
+        # A share that moved here may still be in use on its previous host: tasks there
+        # count until their end is reported. The guaranteed minimum is always free.
+        free = max(state.guaranteed, state.reachable - state.running_elsewhere)
+        return max(0, min(state.share, free) - state.running)
 
     def share(self, customer: str, now: float) -> int:
-        """Return the slots that a customer may have running here."""
-        use = self._current(customer, now)
-        if use is None:
+        """Return the number of slots that a customer may use here."""
+        state = self._current(customer, now)
+        if state is None:
             return 0
-        return use.quota if use.unbounded else use.share
+        return state.quota if state.unbounded else state.share
 
     def running(self, customer: str) -> int:
-        """Return the tasks that a customer has running from here."""
-        use = self._customers.get(customer)
-        return use.running if use else 0
+        """Return the number of running tasks that this host started for a customer."""
+        state = self._customers.get(customer)
+        return state.running if state else 0
 
     def started(self, customer: str, tasks: int = 1) -> None:
-        """Count tasks that were sent to an upstream."""
-        self._use(customer).running += tasks
+        """Count tasks that were sent to upstreams."""
+        self._state_of(customer).running += tasks
 
     def ended(self, customer: str, tasks: int = 1) -> None:
-        """Count tasks off that ended or were refused."""
-        use = self._use(customer)
-        use.running = max(0, use.running - tasks)
-
-    def _current(self, customer: str, now: float) -> _CustomerUse | None:
-        use = self._customers.get(customer)
-        if use and use.stale and now - use.divided_at >= DIVIDE_EVERY:
-            self._divide(customer, use, now)
-        return use
-
-    def _divide(self, customer: str, use: _CustomerUse, now: float) -> None:
-        places = self._reach.configured
-        split = base_shares(use.quota, len(places), customer)
-        base = dict(zip(places, split, strict=True))
-        members = self._reach.members
-        use.reachable = sum(base[place] for place in self._reach.reachable)
-        floors = [int(base[place] * KEPT_PART) for place in members]
-        needs = [_need(use.reports.get(place)) for place in members]
-        here = members.index(self._place)
-        # A share is looked up when there is need, so the even share is always claimed.
-        # A host that took more before its need was heard, and those of others here,
-        # would use what they also take: the sum would exceed the quota.
-        claim = max(use.settled(now), base[self._place])
-        needs[here] = claim
-        use.share = min(claim, divide(use.reachable, needs, floors)[here])
-        use.kept = floors[here]
-        use.stale = False
-        use.divided_at = now
-
-    def _tell(self, name: str, need: int, now: float) -> None:
-        use = self._use(name)
-        use.tell(need, now)
-        use.stale = True
-
-    def _set_reports(self, place: Place, usage: dict[str, CustomerUsage]) -> None:
-        for name in self._reported.get(place, set()) - usage.keys():
-            self._set_report(place, name, None)
+        """Remove tasks that ended or were refused from the count."""
+        state = self._state_of(customer)
+        state.running = max(0, state.running - tasks)
+
+    def _current(self, customer: str, now: float) -> _CustomerState | None:
+        state = self._customers.get(customer)
+        if state and state.stale and now - state.divided_at >= DIVIDE_INTERVAL_S:
+            self._divide(customer, state, now)
+        return state
+
+    def _divide(self, customer: str, state: _CustomerState, now: float) -> None:
+        host_keys = self._reachability.configured
+        split = base_shares(state.quota, len(host_keys), customer)
+        base_by_host = dict(zip(host_keys, split, strict=True))
+        members = self._reachability.members
+        state.reachable = sum(
+            base_by_host[host_key] for host_key in self._reachability.reachable
+        )
+        floors = [
+            int(base_by_host[host_key] * GUARANTEED_FRACTION) for host_key in members
+        ]
+        needs = [_need(state.reports.get(host_key)) for host_key in members]
+        local_index = members.index(self._local_key)
+        # The share is only read when the customer has tasks here, so the even share is
+        # always claimed. A host that claimed more before the other hosts received its
+        # need, and it received theirs, would use slots that they use too, and the sum
+        # would exceed the quota.
+        claim = max(state.settled_need(now), base_by_host[self._local_key])
+        needs[local_index] = claim
+        state.share = min(claim, divide(state.reachable, needs, floors)[local_index])
+        state.guaranteed = floors[local_index]
+        state.stale = False
+        state.divided_at = now
+
+    def _record_advertised_need(self, name: str, need: int, now: float) -> None:
+        state = self._state_of(name)
+        state.record_advertised_need(need, now)
+        state.stale = True
+
+    def _set_all_peer_usage(
+        self, host_key: HostKey, usage: dict[str, CustomerUsage]
+    ) -> None:
+        for name in self._customers_by_peer.get(host_key, set()) - usage.keys():
+            self._set_peer_usage(host_key, name, None)
         for name, report in usage.items():
-            self._set_report(place, name, report)
-        self._reported[place] = set(usage)
+            self._set_peer_usage(host_key, name, report)
+        self._customers_by_peer[host_key] = set(usage)
 
-    def _set_report(self, place: Place, name: str, new: CustomerUsage | None) -> None:
-        use = self._use(name)
-        old = use.reports.pop(place, None)
+    def _set_peer_usage(
+        self, host_key: HostKey, name: str, new: CustomerUsage | None
+    ) -> None:
+        state = self._state_of(name)
+        old = state.reports.pop(host_key, None)
         if new is not None:
-            use.reports[place] = new
-        use.others += (new.running if new else 0) - (old.running if old else 0)
-        use.stale = use.stale or _need(old) != _need(new)
-
-    def _forget(self, place: Place) -> None:
-        self._set_reports(place, {})
-        del self._reported[place]
-
-    def _divide_all(self) -> None:
-        for use in self._customers.values():
-            use.stale = True
-
-    def _use(self, customer: str) -> _CustomerUse:
-        use = self._customers.get(customer)
-        if use is None:
-            use = self._customers[customer] = _CustomerUse()
-        return use
+            state.reports[host_key] = new
+        state.running_elsewhere += (new.running if new else 0) - (
+            old.running if old else 0
+        )
+        state.stale = state.stale or _need(old) != _need(new)
+
+    def _forget_peer(self, host_key: HostKey) -> None:
+        self._set_all_peer_usage(host_key, {})
+        del self._customers_by_peer[host_key]
+
+    def _mark_all_stale(self) -> None:
+        for state in self._customers.values():
+            state.stale = True
+
+    def _state_of(self, customer: str) -> _CustomerState:
+        state = self._customers.get(customer)
+        if state is None:
+            state = self._customers[customer] = _CustomerState()
+        return state
 
 
 def _need(usage: CustomerUsage | None) -> int:
--- a/jackdawspur/limits/_reach.py
+++ b/jackdawspur/limits/_reach.py
@@ -1,106 +1,117 @@
-"""Tell which entry hosts are heard, dead, or perhaps cut off."""
+"""Tracking of entry hosts that are reachable, dead or possibly partitioned."""
 
 from collections.abc import Collection, Iterable
 
-__all__ = ["Place", "Reach"]
+__all__ = ["HostKey", "PeerReachability"]
 
-# Seconds after which a host that sends nothing counts as out of reach.
-UNHEARD_AFTER = 3.0
+# Seconds without a heartbeat after which a host counts as unreachable.
+HEARTBEAT_TIMEOUT_S = 3.0
 
-# An entry host whatever its incarnation: its zone and its name.
-Place = tuple[str, str]
+# Zone and name of an entry host, the same for all its incarnations.
+HostKey = tuple[str, str]
 
 
-class Reach:
-    """Track the configured entry hosts by when they were last heard.
+class PeerReachability:
+    """Configured entry hosts with the times of their last heartbeats.
 
-    A host that stays silent while its zone is heard is dead, and the others divide its
-    share. A zone of which nothing is heard may be cut off and running on its share, so
-    that stays unused; and a host that hears nobody may be the one cut off, and takes
-    only its own.
+    A host that sends no heartbeats while others of its zone do is dead, and the other
+    hosts divide its share. A zone that sends no heartbeats at all may be partitioned
+    and still use its share, so the others don't use it. A host that receives no
+    heartbeats may itself be partitioned, and uses its own share only.
     """
 
-    def __init__(self, own: Place) -> None:
-        self._own = own
-        self._configured = [own]
-        self._members = [own]
-        self._reachable = [own]
-        self._live: set[Place] = {own}
-        self._heard: set[Place] = set()
-        self._last_heard: dict[Place, float] = {}
-        self._zones_since: dict[str, float] = {}
+    def __init__(self, local_key: HostKey) -> None:
+        self._local_key = local_key
+        self._configured = [local_key]
+        self._members = [local_key]
+        self._reachable = [local_key]
+        self._live_keys: set[HostKey] = {local_key}
+        self._responsive: set[HostKey] = set()
+        self._last_heartbeat: dict[HostKey, float] = {}
+        self._zones_responsive_since: dict[str, float] = {}
 
     @property
-    def configured(self) -> list[Place]:
-        """Return all entry hosts of the configuration, in order."""
+    def configured(self) -> list[HostKey]:
+        """Return all configured entry hosts, sorted."""
         return self._configured
 
     @property
-    def members(self) -> list[Place]:
-        """Return the hosts that are heard, and this one, in order."""
+    def members(self) -> list[HostKey]:
+        """Return the hosts whose heartbeats arrive, and this host, sorted."""
         return self._members
 
     @property
-    def reachable(self) -> list[Place]:
-        """Return the hosts whose shares this host and the members divide."""
+    def reachable(self) -> list[HostKey]:
+        """Return the hosts whose shares the members divide, sorted."""
         return self._reachable
 
-    def configure(self, places: Iterable[Place], now: float) -> None:
-        """Take the configured hosts."""
-        self._configured = sorted({*places, self._own})
-        kept = set(self._configured)
-        self._last_heard = {p: t for p, t in self._last_heard.items() if p in kept}
+    def configure(self, host_keys: Iterable[HostKey], now: float) -> None:
+        """Set the configured hosts."""
+        self._configured = sorted({*host_keys, self._local_key})
+        configured_keys = set(self._configured)
+        self._last_heartbeat = {
+            p: t for p, t in self._last_heartbeat.items() if p in configured_keys
+        }
         self.update(now)
 
-    def set_live(self, live: Collection[Place]) -> set[Place]:
-        """Take the hosts in the view and return those that left it."""
-        left = self._live - {*live, self._own}
-        self._live = {*live, self._own}
-        self._heard -= left
+    def set_live(self, live: Collection[HostKey]) -> set[HostKey]:
+        """Set the hosts in the membership view and return those that left it."""
+        left = self._live_keys - {*live, self._local_key}
+        self._live_keys = {*live, self._local_key}
+        self._responsive -= left
         return left
 
-    def hear(self, place: Place, now: float) -> None:
-        """Note a heartbeat."""
-        self._heard.add(place)
-        self._last_heard[place] = now
-
-    def drop_unheard(self, now: float) -> list[Place]:
-        """Forget and return the hosts that fell silent."""
-        last = self._last_heard
-        late = [p for p in self._heard if now - last.get(p, now) > UNHEARD_AFTER]
-        self._heard.difference_update(late)
-        return late
+    def record_heartbeat(self, host_key: HostKey, now: float) -> None:
+        """Record the arrival of a heartbeat."""
+        self._responsive.add(host_key)
+        self._last_heartbeat[host_key] = now
+
+    def drop_timed_out(self, now: float) -> list[HostKey]:
+        """Remove and return the hosts whose heartbeats timed out."""
+        last_heartbeat = self._last_heartbeat
+        timed_out = [
+            p
+            for p in self._responsive
+            if now - last_heartbeat.get(p, now) > HEARTBEAT_TIMEOUT_S
+        ]
+        self._responsive.difference_update(timed_out)
+        return timed_out
 
     def update(self, now: float) -> bool:
-        """Find members and reachable hosts anew and tell whether they changed."""
-        heard = self._heard & self._live & set(self._configured)
-        for place in self._configured:
-            self._last_heard.setdefault(place, now)
-        dead = self._dead(heard, now)
-        heard.add(self._own)
+        """Recompute members and reachable hosts; return whether they changed."""
+        responsive = self._responsive & self._live_keys & set(self._configured)
+        for host_key in self._configured:
+            self._last_heartbeat.setdefault(host_key, now)
+        dead = self._dead_hosts(responsive, now)
+        responsive.add(self._local_key)
         before = (self._members, self._reachable)
-        self._members = [p for p in self._configured if p in heard]
-        self._reachable = [p for p in self._configured if p in heard or p in dead]
+        self._members = [p for p in self._configured if p in responsive]
+        self._reachable = [p for p in self._configured if p in responsive or p in dead]
         return before != (self._members, self._reachable)
 
-    def _dead(self, heard: set[Place], now: float) -> set[Place]:
-        # A cut silences a zone's hosts within a heartbeat of each other, and after it
-        # they are heard one by one. So a host is dead only when its zone was heard all
-        # the time that it was missed.
+    def _dead_hosts(self, responsive: set[HostKey], now: float) -> set[HostKey]:
+        # In a network partition the heartbeats of a zone's hosts stop within one
+        # heartbeat interval, and afterwards they resume one by one. So a host is dead
+        # only if its zone sent heartbeats during all the time that it was missing.
         latest: dict[str, float] = {}
-        for place in heard:
-            time = self._last_heard[place]
-            for zone in {place[0], self._own[0]}:
+        for host_key in responsive:
+            time = self._last_heartbeat[host_key]
+            for zone in {host_key[0], self._local_key[0]}:
                 latest[zone] = max(latest.get(zone, time), time)
-        self._zones_since = {z: self._zones_since.get(z, now) for z in latest}
+        self._zones_responsive_since = {
+            z: self._zones_responsive_since.get(z, now) for z in latest
+        }
         return {
-            place
-            for place in self._configured
-            if place not in heard
-            and place != self._own
-            and place[0] in latest
-            and latest[place[0]] - self._missed_since(place) > UNHEARD_AFTER
+            host_key
+            for host_key in self._configured
+            if host_key not in responsive
+            and host_key != self._local_key
+            and host_key[0] in latest
+            and latest[host_key[0]] - self._missing_since(host_key)
+            > HEARTBEAT_TIMEOUT_S
         }
 
-    def _missed_since(self, place: Place) -> float:
-        return max(self._last_heard[place], self._zones_since[place[0]])
+    def _missing_since(self, host_key: HostKey) -> float:
+        return max(
+            self._last_heartbeat[host_key], self._zones_responsive_since[host_key[0]]
+        )
--- a/jackdawspur/limits/_retries.py
+++ b/jackdawspur/limits/_retries.py
@@ -1,25 +1,26 @@
-"""Bound how often starts are sent again."""
+"""Budgets that limit how often starts are retried."""
 
 from jackdawspur.limits._bucket import TokenBucket
 
 __all__ = ["RetryBudget"]
 
-# Retries add at most a tenth to the starts of a customer and of the host. A storm of
-# refusals then costs a tenth more messages, not a multiple.
+# Retries add at most a tenth to the starts of a customer and of the host, so a storm of
+# refusals increases the number of messages by a tenth and doesn't multiply it.
 RETRY_FRACTION = 0.1
-# Retries that may come at once, so that one full upstream fails nothing.
+# Retries allowed at once, so that a single full upstream makes no job fail.
 CUSTOMER_BURST = 20.0
 HOST_BURST = 200.0
-# Retries a second that are always allowed, for a customer with few starts.
+# Retries per second that are always allowed, for customers with few starts.
 CUSTOMER_RATE = 1.0
 HOST_RATE = 10.0
 
 
 class RetryBudget:
-    """Allow resending of starts that are known not to have run.
+    """Retry budgets of the customers and of the host.
 
-    Only "not started", or a connection that failed before a byte left, may ask here;
-    a start with an unknown outcome is never sent again.
+    Only starts that certainly didn't run may be retried: those that the upstream
+    refused, or whose connection failed before a byte was sent. A start with an unknown
+    outcome is never sent again.
     """
 
     def __init__(self) -> None:
@@ -27,12 +28,12 @@
         self._customers: dict[str, TokenBucket] = {}
 
     def started(self, customer: str, now: float) -> None:
-        """Earn a fraction of a retry by a first start."""
-        self._customer(customer).earn(RETRY_FRACTION, now)
-        self._host.earn(RETRY_FRACTION, now)
+        """Add a fraction of a retry to both budgets for a first start."""
+        self._customer(customer).add_tokens(RETRY_FRACTION, now)
+        self._host.add_tokens(RETRY_FRACTION, now)
 
     def may_retry(self, customer: str, now: float) -> bool:
-        """Take a retry from both budgets, or return False and take nothing."""
+        """Take one retry from both budgets, or return False and take none."""
         bucket = self._customer(customer)
         if not bucket.has(1.0, now) or not self._host.has(1.0, now):
             return False
@@ -41,7 +42,7 @@
         return True
 
     def set_customers(self, customers: frozenset[str]) -> None:
-        """Forget customers that the configuration no longer has."""
+        """Drop the budgets of customers that are no longer configured."""
         for name in self._customers.keys() - customers:
             del self._customers[name]
 
--- a/jackdawspur/limits/tests/__init__.py
+++ b/jackdawspur/limits/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this package."""
+"""Tests of quotas, bounds on calls and retry budgets."""
--- a/jackdawspur/limits/tests/test_calls.py
+++ b/jackdawspur/limits/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Retries and waiting work are bounded, for each customer and for the host."""
+"""Tests of the bounds on retries and waiting work, per customer and per host."""
 
 import pytest
 
@@ -16,9 +16,9 @@
 
 
 def test_refusal_storm_costs_a_tenth_more_messages():
-    """Upstreams refuse everything and resending doubles the load on them.
+    """Retries double the load on upstreams that refuse all starts.
 
-    Ten thousand starts in ten seconds, each refused and asked for again at once.
+    Ten thousand starts in ten seconds are each refused and retried at once.
     """
     budget = RetryBudget()
     retries = 0
@@ -31,7 +31,7 @@
     assert retries >= RETRY_FRACTION * 10_000
 
 
-def test_one_customer_does_not_use_up_the_retries_of_others():
+def test_one_customer_does_not_exhaust_the_retries_of_others():
     budget = RetryBudget()
     while budget.may_retry("a", 0.0):
         pass
@@ -53,10 +53,10 @@
     assert limits.check("d", 1, 0.0) is None
 
 
-def test_cancellation_wave_makes_room_at_once(limits):
-    """A customer cancels all it has waiting and is still refused for its bound.
+def test_cancelled_tasks_free_their_bound_at_once(limits):
+    """A customer that cancelled all its waiting tasks is still refused by its bound.
 
-    Cancelled tasks were never started, so nothing counted them off.
+    The cancelled tasks never started, so they were never removed from the count.
     """
     for _ in range(4):
         limits.opened("a")
--- a/jackdawspur/limits/tests/test_quotas.py
+++ b/jackdawspur/limits/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""A quota holds over all zones and reaches the host that needs it."""
+"""Tests that quotas hold over all zones and shares move to hosts that need them."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -19,7 +19,7 @@
 HOSTS = 6
 
 
-def test_unused_share_moves_to_the_need_within_two_seconds(make_hosts):
+def test_unused_share_moves_to_host_in_need_within_two_seconds(make_hosts):
     hosts = make_hosts(QUOTA)
     hosts.hosts[0].wanted = 500
     hosts.run(0.1)
@@ -30,61 +30,63 @@
 
 
 def test_burst_everywhere_at_once_stays_within_the_quota(make_hosts):
-    """A customer runs several times its quota when all hosts get its jobs at once.
+    """A customer exceeds its quota several times when all hosts get its jobs at once.
 
-    Each believes that the others use nothing, as their last heartbeats say.
+    Each host assumes that the others use nothing, as their last heartbeats reported.
     """
     hosts = make_hosts(QUOTA)
     for host in hosts.hosts:
         host.wanted = 500
     hosts.run(10.0)
-    assert hosts.most <= QUOTA
+    assert hosts.max_running <= QUOTA
     assert hosts.running == QUOTA
 
 
 def test_need_that_moves_overshoots_by_no_more_than_even_shares(make_hosts):
-    """The customer's load jumps from one host to another and both use its quota.
+    """Two hosts use a customer's quota when its load moves from one to the other.
 
-    The first holds most of the quota; before it hears of the other's need, that one
-    starts on its own share. The excess is bounded and gone within two seconds.
+    The first host uses most of the quota. Before it learns of the other's need, the
+    other starts tasks on its own share. The excess must be bounded and end within two
+    seconds.
     """
     hosts = make_hosts(QUOTA)
     hosts.hosts[0].wanted = 500
     hosts.run(5.0)
     hosts.hosts[5].wanted = 500
     hosts.run(2.0)
-    assert hosts.most <= QUOTA + QUOTA // HOSTS
+    assert hosts.max_running <= QUOTA + QUOTA // HOSTS
     hosts.run(3.0)
-    assert hosts.most <= QUOTA
+    assert hosts.max_running <= QUOTA
     hosts.hosts[0].wanted = 0
     hosts.run(3.0)
-    assert hosts.most <= QUOTA
+    assert hosts.max_running <= QUOTA
     assert hosts.hosts[5].running == QUOTA - 5 * 5
 
 
-def test_quota_holds_across_a_cut_between_zones(make_hosts):
-    """Zones lose each other and a customer runs its quota once on each side.
+def test_quota_holds_across_a_partition_between_zones(make_hosts):
+    """A customer uses its quota once on each side of a network partition.
 
-    Neither side hears the other's use. Each keeps to the even shares of the hosts it
-    can hear, from three seconds after the last heartbeat on; then they meet again.
+    Neither side receives the other's usage. From three seconds after the last heartbeat
+    each must stay within the even shares of the hosts it can reach. Then the partition
+    ends.
     """
     hosts = make_hosts(QUOTA)
     for host in hosts.hosts[2:]:
         host.wanted = 500
     hosts.run(3.0)
-    hosts.cut = {"z0"}
+    hosts.partitioned_zones = {"z0"}
     hosts.run(5.0)
     for host in hosts.hosts[:2]:
         host.wanted = 500
     hosts.run(5.0)
-    assert hosts.most <= QUOTA
+    assert hosts.max_running <= QUOTA
     sides = [
-        sum(h.running for h in part) for part in (hosts.hosts[:2], hosts.hosts[2:])
+        sum(h.running for h in side) for side in (hosts.hosts[:2], hosts.hosts[2:])
     ]
     assert sides == [QUOTA // 3, QUOTA * 2 // 3]
-    hosts.cut = set()
+    hosts.partitioned_zones = set()
     hosts.run(5.0)
-    assert hosts.most <= QUOTA
+    assert hosts.max_running <= QUOTA
 
 
 def test_dead_host_leaves_its_share_to_the_others(make_hosts):
@@ -97,9 +99,9 @@
     assert hosts.running == QUOTA
 
 
-def test_host_that_hears_nobody_keeps_its_even_share(make_hosts):
+def test_host_that_receives_no_heartbeats_keeps_its_even_share(make_hosts):
     hosts = make_hosts(QUOTA, zones=6, in_zone=1)
-    hosts.cut = {"z0"}
+    hosts.partitioned_zones = {"z0"}
     hosts.hosts[0].wanted = 500
     hosts.run(6.0)
     assert hosts.running == QUOTA // HOSTS
@@ -127,7 +129,7 @@
 
 
 def test_heartbeat_touches_active_customers_only():
-    """Heartbeats of many hosts use up a core although few customers are active."""
+    """Heartbeats of many hosts use a whole core although few customers are active."""
     quotas = Quotas(HostId("z0", "e0", 1))
     entries = (EntryHost("z0", "e0", "", ""), EntryHost("z1", "e1", "", ""))
     customers = tuple(Customer(f"c{n}", 10) for n in range(140))
@@ -160,16 +162,16 @@
 
 
 @pytest.mark.parametrize("needs", [[500, 0, 0, 0], [0, 500, 500, 0]])
-def test_what_others_do_not_need_goes_where_it_is_needed(needs):
+def test_slots_that_others_do_not_need_go_to_hosts_in_need(needs):
     shares = divide(100, needs, [0, 0, 0, 0])
     assert [share > 0 for share in shares] == [need > 0 for need in needs]
 
 
 def test_burst_on_all_hosts_but_the_borrower_is_bounded(make_hosts):
-    """A customer runs more than its quota when five hosts need it back at once.
+    """A customer exceeds its quota when five hosts need their shares back at once.
 
-    One host borrowed all but the kept parts. The others claim their even shares of
-    20, kept parts of 5 in them, before the borrower has heard of their need.
+    One host borrowed all but the guaranteed minimums. The others claim their even
+    shares of 20, of which 5 are guaranteed, before the borrower learns of their need.
     """
     hosts = make_hosts(QUOTA)
     hosts.hosts[0].wanted = 500
@@ -177,48 +179,50 @@
     for host in hosts.hosts[1:]:
         host.wanted = 500
     hosts.run(1.0)
-    assert hosts.most <= QUOTA + 5 * (20 - 5)
+    assert hosts.max_running <= QUOTA + 5 * (20 - 5)
     hosts.run(3.0)
-    assert hosts.most <= QUOTA
+    assert hosts.max_running <= QUOTA
     assert hosts.running == QUOTA
 
 
-def test_cut_at_the_moment_of_a_burst_ends_within_the_quota(make_hosts):
-    """A customer runs over its quota for as long as a cut lasts.
+def test_partition_during_a_burst_ends_within_the_quota(make_hosts):
+    """A customer exceeds its quota for as long as a network partition lasts.
 
-    Four hosts borrowed what a zone of two did not need. At the moment that the zone is
-    cut off it needs its share, and the borrowers cannot hear of it.
+    Four hosts borrowed slots that a zone of two hosts didn't need. When the zone is
+    partitioned it needs its share, and the borrowers can't learn of that.
     """
     hosts = make_hosts(QUOTA)
     for host in hosts.hosts[2:]:
         host.wanted = 500
     hosts.run(3.0)
     borrowed = hosts.running - QUOTA * 2 // 3
-    hosts.cut = {"z0"}
+    hosts.partitioned_zones = {"z0"}
     for host in hosts.hosts[:2]:
         host.wanted = 500
     hosts.run(4.5)
-    assert hosts.most <= QUOTA + borrowed
+    assert hosts.max_running <= QUOTA + borrowed
     hosts.run(5.0)
-    assert hosts.most <= QUOTA
+    assert hosts.max_running <= QUOTA
 
 
-@pytest.mark.parametrize(("slots", "most"), [(QUOTA, QUOTA), (QUOTA + 1, QUOTA // 2)])
-def test_a_quota_of_all_slots_keeps_no_wide_job_waiting(slots, most):
-    """A wide job waits a second beside idle slots that its customer may use.
+@pytest.mark.parametrize(
+    ("slots", "max_running"), [(QUOTA, QUOTA), (QUOTA + 1, QUOTA // 2)]
+)
+def test_wide_job_does_not_wait_for_a_quota_of_all_slots(slots, max_running):
+    """A wide job waits a second while slots that its customer may use are idle.
 
-    Its host held a share of a quota which no number of tasks could exceed. A quota
-    of one slot less than there are is divided as ever.
+    Its host used only its share of a quota that no number of tasks could exceed. A
+    quota of one slot less than exist is still divided.
     """
     host = HostId("z1", "e1", 1)
-    world = ClusterSpec(
+    cluster_spec = ClusterSpec(
         1,
         customers=(Customer("maps", QUOTA),),
         entry_hosts=(EntryHost("z1", "e1", "", ""), EntryHost("z2", "e1", "", "")),
         upstreams=(Upstream(UpstreamId("z1", "u1"), "", slots=slots),),
     )
     quotas = Quotas(host)
-    quotas.set_cluster_spec(world)
-    assert quotas.share("maps", 0.0) == quotas.headroom("maps", 0.0) == most
-    quotas.started("maps", most)
+    quotas.set_cluster_spec(cluster_spec)
+    assert quotas.share("maps", 0.0) == quotas.headroom("maps", 0.0) == max_running
+    quotas.started("maps", max_running)
     assert not quotas.may_start("maps", 0.0)
