--- a/jackdawspur/scheduling/__init__.py
+++ b/jackdawspur/scheduling/__init__.py
@@ -1,9 +1,9 @@
-"""The order of jobs and tasks, learned run times and admission."""
+"""Admission, order of waiting jobs and tasks, and estimation of run times."""
 
 import lazy_loader
 
-# A host on the customers' platform uses the learned run times alone, and the rest would
-# only make its start longer.
+# A host on the customers' platform needs only the run time estimator. Importing the
+# other modules would only make its start slower.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
--- a/jackdawspur/scheduling/_admission.py
+++ b/jackdawspur/scheduling/_admission.py
@@ -1,4 +1,4 @@
-"""Refuse at the door what cannot meet its contract, or can never run."""
+"""Admission control: refusal of jobs that would miss their contract or never run."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -27,20 +27,21 @@
 
 MIN_RETRY_MS = 50.0
 MAX_RETRY_MS = 10_000.0
-# Spreads the callers' retries, so that they don't come back as one burst.
-RETRY_SPREAD = 0.5
+# Maximum jitter of retry delays, as a fraction of the delay, so that refused callers
+# don't retry in one burst.
+RETRY_JITTER = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Admit:
-    """Let a job in; `wait_ms` is the expected wait before its last start."""
+    """The admission of a job; `wait_ms` is the expected wait until its last start."""
 
     wait_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Keep a job out; nothing of it was or will be started."""
+    """The refusal of a job, no task of which was or will be started."""
 
     code: FailureCode
     message: str
@@ -52,11 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalLoad:
-    """Describe what waits here; times in slot-milliseconds.
+    """Load of this host as one customer sees it; times in slot-milliseconds.
 
-    `slots` are those usable here, `customer_slots` the most the customer may hold of
-    them by its quota; `fair_share` its weight over that of all customers that wait;
-    `running_ms` what running tasks are expected to need still.
+    `slots` is the number of slots usable here, and `customer_slots` how many of them
+    the customer's quota allows it. `fair_share` is the customer's weight divided by
+    that of all customers with waiting tasks. `running_ms` is the expected remaining
+    time of running tasks.
     """
 
     slots: int
@@ -70,7 +72,7 @@
 
 
 class UpstreamSizes:
-    """Keep the sizes of upstreams that no other upstream covers."""
+    """The sizes of upstreams, without those that a larger upstream covers."""
 
     def __init__(self, upstreams: Iterable[Upstream]) -> None:
         sizes = {(u.cpus, u.memory_mb, u.accelerators) for u in upstreams if u.slots}
@@ -81,13 +83,13 @@
         ]
 
     def can_hold(self, spec: TaskSpec) -> bool:
-        """Tell whether some upstream, when empty, could run the task."""
+        """Return whether any upstream could run the task if it were idle."""
         size = (spec.cpus, spec.memory_mb, spec.accelerators)
         return any(_covers(largest, size) for largest in self._largest)
 
 
 def refuse_oversized(request: JobRequest, sizes: UpstreamSizes) -> Refuse | None:
-    """Refuse a job with a task that is larger than every upstream."""
+    """Return a refusal if a task of the job fits on no upstream, else None."""
     for spec in _distinct(request.tasks):
         if not sizes.can_hold(spec):
             message = (
@@ -100,7 +102,7 @@
 
 
 class AdmissionController:
-    """Judge whether a job can meet its contract behind what already waits."""
+    """Decides whether a job can meet its contract despite the work already waiting."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -112,7 +114,7 @@
         customer: Customer,
         load: LocalLoad,
     ) -> AdmissionDecision:
-        """Admit a job, or refuse it with the time after which it may fit."""
+        """Admit a job, or refuse it with the time after which to retry."""
         if customer.quota_slots <= 0:
             message = "the customer's quota is 0; nothing ran; ask for a quota"
             return Refuse(FailureCode.QUOTA, message)
@@ -127,28 +129,30 @@
         return Refuse(FailureCode.OVERLOADED, message, self._retry_after(excess))
 
     def _retry_after(self, excess_ms: float) -> float:
-        spread = 1.0 + RETRY_SPREAD * self._rng.random()
+        spread = 1.0 + RETRY_JITTER * self._rng.random()
         return min(MAX_RETRY_MS, max(MIN_RETRY_MS, excess_ms)) * spread
 
 
 def expected_wait_ms(estimates_ms: Sequence[float], load: LocalLoad) -> float:
-    """Return the expected wait before the last start of a job that comes now."""
+    """Return the expected wait until the last start of a job that arrives now."""
     count = len(estimates_ms)
     if not load.waiting_tasks and count <= min(load.free_slots, load.customer_slots):
         return 0.0
     if load.slots <= 0:
         return float("inf")
-    # The longest starts first, so the last start waits for all but the shortest.
+    # The longest task starts first, so the last start waits for all tasks of the job
+    # except the shortest.
     work = sum(estimates_ms) - min(estimates_ms)
-    # Fair queueing: a customer waits for all that waits or, when others hold most of
-    # it, for its own work at its share of the slots; whichever ends first.
+    # Fair queueing: the job waits for the whole backlog or, if most of that belongs to
+    # other customers, for its customer's own backlog at the customer's share of the
+    # slots, whichever is shorter.
     behind_all = (load.running_ms + load.backlog_ms + work) / load.slots
     share = max(1.0, load.slots * load.fair_share)
-    behind_own = (
+    behind_customer = (
         load.running_ms / load.slots + (load.customer_backlog_ms + work) / share
     )
     quota = (load.customer_backlog_ms + work) / max(1, load.customer_slots)
-    return max(min(behind_all, behind_own), quota)
+    return max(min(behind_all, behind_customer), quota)
 
 
 def _excess_ms(
@@ -158,22 +162,22 @@
     load: LocalLoad,
     wait: float,
 ) -> float:
-    """Return by how much the expected response misses what is allowed."""
+    """Return by how much the expected response exceeds the allowed time."""
     longest = max(estimates_ms)
     shortest = min(estimates_ms)
-    # A job wider than all slots here waits for itself, so its bound is stretched by
-    # that; else it could never be admitted, not even when nothing else runs.
-    own_wait = _own_wait_ms(estimates_ms, load)
-    alone = max(longest, own_wait + shortest) + ROUND_TRIP_MS
+    # A job with more tasks than slots has to wait for its own tasks. That wait is added
+    # to its bounds; otherwise it would never be admitted, not even on an idle host.
+    self_wait = _self_wait_ms(estimates_ms, load)
+    idle_response = max(longest, self_wait + shortest) + ROUND_TRIP_MS
     response = max(longest, wait + shortest) + ROUND_TRIP_MS
     return max(
-        response - contract.tail_over_ideal * alone,
-        wait - own_wait - contract.max_wait_ms,
+        response - contract.tail_over_ideal * idle_response,
+        wait - self_wait - contract.max_wait_ms,
         response - request.deadline_ms,
     )
 
 
-def _own_wait_ms(estimates_ms: Sequence[float], load: LocalLoad) -> float:
+def _self_wait_ms(estimates_ms: Sequence[float], load: LocalLoad) -> float:
     slots = min(load.slots, load.customer_slots)
     if len(estimates_ms) <= slots:
         return 0.0
--- a/jackdawspur/scheduling/_job.py
+++ b/jackdawspur/scheduling/_job.py
@@ -1,4 +1,4 @@
-"""A job as the queue sees it."""
+"""Jobs and tasks in the queue."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedJob:
-    """Describe a job with tasks to start; `arrived` and `deadline` in seconds."""
+    """A job with tasks to start; `arrived` and `deadline` in seconds."""
 
     submission: SubmissionId
     customer: str
@@ -24,7 +24,7 @@
 
     @property
     def due(self) -> float:
-        """Return when the contract or the deadline wants the answer, in seconds."""
+        """Return when the answer is due by contract and deadline, in seconds."""
         ideal_ms = max(self.estimates_ms) + ROUND_TRIP_MS
         contracted = self.arrived + self.contract.tail_over_ideal * ideal_ms / MS
         return min(contracted, self.deadline)
@@ -32,22 +32,22 @@
 
 @dataclass(frozen=True, slots=True)
 class NextTask:
-    """Name the task to start next; it has left the queue."""
+    """The task to start next, already removed from the queue."""
 
     job: QueuedJob
     index: int
 
     @property
     def spec(self) -> TaskSpec:
-        """Return what the task needs."""
+        """Return the resources that the task needs."""
         return self.job.tasks[self.index]
 
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """Say when a job should start its next task, and how many of them wait.
+    """The time by which a job should start its next task, and its waiting tasks.
 
-    `latest_start` in seconds; the work left sets it back.
+    `latest_start` is in seconds, and later the more work the job has left.
     """
 
     latest_start: float
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Ask that one upstream able to hold `spec` takes nothing else meanwhile."""
+    """A request to start nothing else on one upstream that can hold `spec`."""
 
     job: QueuedJob
     spec: TaskSpec
--- a/jackdawspur/scheduling/_queue.py
+++ b/jackdawspur/scheduling/_queue.py
@@ -1,33 +1,36 @@
-"""The order in which waiting tasks start."""
+"""The queue of waiting tasks."""
 
 import heapq
 from collections.abc import Callable
 
 from jackdawspur.model import Customer, SubmissionId, TaskSpec
+from jackdawspur.scheduling._customer_queue import CustomerQueue, WaitingJob
 from jackdawspur.scheduling._job import MS, NextTask, QueuedJob, Reservation, Urgency
-from jackdawspur.scheduling._lanes import CustomerLane, WaitingJob
-from jackdawspur.scheduling._parking import Parking
+from jackdawspur.scheduling._unschedulable import UnschedulablePool
 
 __all__ = ["JobQueue"]
 
 Fits = Callable[[TaskSpec], bool]
 MayStart = Callable[[str], bool]
 
-# Seconds of urgency that a slot-second of service ahead of the others costs. High
-# values approach strict fair queueing, zero is earliest latest-start first.
-SERVICE_COST = 0.1
-# Slot-seconds that a customer who was idle may be behind the others.
-IDLE_CREDIT = 2.0
-# Jobs whose next task fits nowhere that one call sets aside before it gives up.
+# Seconds that each slot-second of service to a customer adds to the virtual start times
+# of its jobs. High values approach strict fair queueing, zero is earliest latest-start
+# first.
+SERVICE_PENALTY = 0.1
+# Slot-seconds by which the service to a customer that was idle may lag behind that to
+# the others.
+IDLE_CREDIT_S = 2.0
+# Maximum number of jobs that one call of `next_task` finds unschedulable.
 LOOKAHEAD = 32
-# Seconds after which tasks that fitted nowhere, and customers held back, are tried
-# again without a word. Else a job alone in the queue would wait for ever when room came
-# by something that its caller doesn't report, as a lent slot or a re-admitted upstream.
-RECHECK_EVERY = 0.1
-# Waiting jobs above which a new one is taken to come after all of them.
-MAX_COMPARED = 256
-# Entries a customer in the order, all but one stale, before they are cleared away.
-STALE_ENTRIES = 4
+# Seconds between retries of unschedulable tasks and of customers at their quota when no
+# change is reported. Capacity may appear without a report by the caller, such as a lent
+# slot or a readmitted upstream; a job alone in the queue would then wait for ever.
+RECHECK_INTERVAL_S = 0.1
+# Number of waiting jobs above which a new job is assumed to start after all of them.
+MAX_JOBS_COMPARED = 256
+# Average number of heap entries per customer, all but one stale, above which stale
+# entries are removed.
+MAX_ENTRIES_PER_CUSTOMER = 4
 
 
 def _always(customer: str) -> bool:
@@ -35,20 +38,20 @@
 
 
 class JobQueue:
-    """Order waiting tasks: fair between customers, urgent jobs first in each.
+    """Waiting tasks, ordered fairly between customers and by urgency within each.
 
-    Start-time fair queueing on slot-seconds, corrected by measured run times, so a
-    wrong declaration buys nothing for longer than one task.
+    This is start-time fair queueing on slot-seconds. Estimates are replaced by measured
+    run times, so a wrong declaration brings no advantage beyond one task.
     """
 
-    def __init__(self, service_cost: float = SERVICE_COST) -> None:
-        self._service_cost = service_cost
+    def __init__(self, service_penalty: float = SERVICE_PENALTY) -> None:
+        self._service_penalty = service_penalty
         self._jobs: dict[SubmissionId, WaitingJob] = {}
-        self._lanes: dict[str, CustomerLane] = {}
-        self._order: list[tuple[float, int, CustomerLane]] = []
-        self._parking = Parking()
-        self._held: set[str] = set()
-        self._active: set[CustomerLane] = set()
+        self._customer_queues: dict[str, CustomerQueue] = {}
+        self._order: list[tuple[float, int, CustomerQueue]] = []
+        self._unschedulable = UnschedulablePool()
+        self._at_quota: set[str] = set()
+        self._active: set[CustomerQueue] = set()
         self._last_service = 0.0
         self._entries = 0
         self._rechecked_at = float("-inf")
@@ -62,224 +65,238 @@
         return submission in self._jobs
 
     def set_customers(self, customers: tuple[Customer, ...]) -> None:
-        """Take the customers' weights from the configuration."""
+        """Apply the configured weights of customers."""
         for customer in customers:
-            self._lane(customer.name).weight = max(customer.weight, 0.001)
+            self._queue_of(customer.name).weight = max(customer.weight, 0.001)
 
     def waiting(self, customer: str | None = None) -> int:
         """Return the number of tasks not yet started."""
         if customer is None:
             return self._waiting
-        lane = self._lanes.get(customer)
-        return lane.waiting if lane else 0
+        customer_queue = self._customer_queues.get(customer)
+        return customer_queue.waiting if customer_queue else 0
 
     def waiting_by_customer(self) -> dict[str, int]:
-        """Return the number of waiting tasks of each customer that has some."""
-        return {lane.name: lane.waiting for lane in self._active}
+        """Return the number of waiting tasks of each customer that has any."""
+        return {
+            customer_queue.name: customer_queue.waiting
+            for customer_queue in self._active
+        }
 
     def backlog_ms(self, customer: str | None = None) -> float:
-        """Return the expected slot-milliseconds of the waiting tasks."""
+        """Return the expected work of waiting tasks, in slot-milliseconds."""
         if customer is None:
             return max(0.0, self._backlog_ms)
-        lane = self._lanes.get(customer)
-        return max(0.0, lane.backlog_ms) if lane else 0.0
+        customer_queue = self._customer_queues.get(customer)
+        return max(0.0, customer_queue.backlog_ms) if customer_queue else 0.0
 
     def active_weight(self) -> float:
-        """Return the sum of weights of customers with waiting tasks."""
-        return sum(lane.weight for lane in self._active)
+        """Return the total weight of the customers with waiting tasks."""
+        return sum(customer_queue.weight for customer_queue in self._active)
 
     def weight(self, customer: str) -> float:
         """Return a customer's weight."""
-        lane = self._lanes.get(customer)
-        return lane.weight if lane else 1.0
+        customer_queue = self._customer_queues.get(customer)
+        return customer_queue.weight if customer_queue else 1.0
 
     def add(self, job: QueuedJob) -> None:
-        """Let all tasks of a job wait."""
+        """Add a job with all its tasks."""
         self._insert(WaitingJob(job, range(len(job.tasks))))
 
     def requeue(self, job: QueuedJob, index: int) -> None:
-        """Let a task wait again that its upstream refused to start."""
-        lane = self._lane(job.customer)
+        """Add a task again that its upstream refused to start."""
+        customer_queue = self._queue_of(job.customer)
         estimate = job.estimates_ms[index]
-        lane.service -= estimate / MS / lane.weight
+        customer_queue.service -= estimate / MS / customer_queue.weight
         waiting = self._jobs.get(job.submission)
         if waiting is None:
             self._insert(WaitingJob(job, (index,)))
             return
         waiting.requeue(index)
-        self._count(lane, 1, estimate)
-        self._queue_job(waiting, lane)
+        self._add_to_counts(customer_queue, 1, estimate)
+        self._push_job(waiting, customer_queue)
 
     def next_task(
         self, now: float, fits: Fits, may_start: MayStart = _always
     ) -> NextTask | None:
-        """Take the task to start next, or None when nothing that waits may start."""
-        if now - self._rechecked_at >= RECHECK_EVERY:
+        """Remove and return the task to start next, or None if none may start."""
+        if now - self._rechecked_at >= RECHECK_INTERVAL_S:
             self._rechecked_at = now
             self.capacity_changed()
             self.quotas_changed()
-        for parked in self._parking.released(fits):
-            self._queue_job(parked, self._lanes[parked.customer])
-        tries = LOOKAHEAD
-        while tries and (lane := self._first_lane()) is not None:
-            job = lane.head()
-            if not may_start(lane.name):
-                self._hold(lane)
+        for schedulable in self._unschedulable.pop_schedulable(fits):
+            self._push_job(schedulable, self._customer_queues[schedulable.customer])
+        remaining_tries = LOOKAHEAD
+        while remaining_tries and (customer_queue := self._first_queue()) is not None:
+            job = customer_queue.head()
+            if not may_start(customer_queue.name):
+                self._set_at_quota(customer_queue)
             elif fits(job.spec):
-                return self._take(job, lane)
+                return self._start_task(job, customer_queue)
             else:
-                self._park(job, lane, now)
-                tries -= 1
+                self._mark_unschedulable(job, customer_queue, now)
+                remaining_tries -= 1
         return None
 
     def task_ended(self, job: QueuedJob, index: int, run_ms: float) -> None:
-        """Charge the measured run time in place of the estimate."""
-        lane = self._lane(job.customer)
+        """Charge the customer the measured run time instead of the estimate."""
+        customer_queue = self._queue_of(job.customer)
         over_ms = run_ms - job.estimates_ms[index]
-        lane.service += over_ms / MS / lane.weight
+        customer_queue.service += over_ms / MS / customer_queue.weight
         self.capacity_changed()
-        self._held.discard(lane.name)
-        # A lane that paid too little is put right when it comes to the top.
-        if lane.waiting and (over_ms < 0 or not lane.entry):
-            self._queue_lane(lane)
+        self._at_quota.discard(customer_queue.name)
+        # A queue that was charged too little is moved when it reaches the top.
+        if customer_queue.waiting and (over_ms < 0 or not customer_queue.entry):
+            self._schedule_customer(customer_queue)
 
     def capacity_changed(self) -> None:
-        """Try tasks again that fitted nowhere; call when an upstream has room."""
-        self._parking.recheck()
+        """Retry unschedulable tasks; call when an upstream has free capacity."""
+        self._unschedulable.recheck()
 
     def quotas_changed(self) -> None:
-        """Try customers again that might not start; call when shares move."""
-        held, self._held = self._held, set()
-        for name in held:
-            self._queue_lane(self._lanes[name])
+        """Retry customers that were at their quota; call when shares change."""
+        at_quota, self._at_quota = self._at_quota, set()
+        for name in at_quota:
+            self._schedule_customer(self._customer_queues[name])
 
     def remove(self, submission: SubmissionId) -> int:
-        """Forget a job's waiting tasks and return their number."""
+        """Remove a job's waiting tasks and return their number."""
         job = self._jobs.pop(submission, None)
         if job is None:
             return 0
-        lane = self._lanes[job.customer]
-        count = len(job.left)
-        self._count(lane, -count, -job.left_ms)
-        job.left.clear()
-        lane.dropped()
+        customer_queue = self._customer_queues[job.customer]
+        count = len(job.waiting_indexes)
+        self._add_to_counts(customer_queue, -count, -job.remaining_ms)
+        job.waiting_indexes.clear()
+        customer_queue.record_removed()
         return count
 
     def ahead_ms(self, job: QueuedJob, customer: str | None = None) -> float:
-        """Return the expected slot-milliseconds that would start before a new job's.
+        """Return the expected work that would start before a new job.
 
-        With a customer, those of its jobs only.
+        The result is in slot-milliseconds; with `customer`, only its jobs count.
         """
-        if len(self._jobs) > MAX_COMPARED:
+        if len(self._jobs) > MAX_JOBS_COMPARED:
             return self.backlog_ms(customer)
         key = WaitingJob(job, range(len(job.tasks))).key
         return sum(
-            one.left_ms
-            for one in self._jobs.values()
-            if one.key <= key and customer in (None, one.customer)
+            other.remaining_ms
+            for other in self._jobs.values()
+            if other.key <= key and customer in (None, other.customer)
         )
 
     def most_urgent(self) -> Urgency | None:
-        """Return how urgent the first job in order is; None when none may start."""
-        lane = self._first_lane()
-        if lane is None:
+        """Return the urgency of the first job in order, or None if none may start."""
+        customer_queue = self._first_queue()
+        if customer_queue is None:
             return None
-        job = lane.head()
-        return Urgency(job.key, len(job.left))
+        job = customer_queue.head()
+        return Urgency(job.key, len(job.waiting_indexes))
 
     def reservation(self, now: float) -> Reservation | None:
-        """Return the task for which one upstream should be left to empty."""
-        job = self._parking.overdue(now)
+        """Return the task for which an upstream should be reserved, or None."""
+        job = self._unschedulable.overdue(now)
         return Reservation(job.job, job.spec) if job else None
 
-    def _first_lane(self) -> CustomerLane | None:
-        """Return the lane to serve next after clearing entries that moved."""
+    def _first_queue(self) -> CustomerQueue | None:
+        """Return the customer queue to serve next, after removing stale entries."""
         order = self._order
         while order:
-            key, entry, lane = order[0]
-            job = lane.head() if entry == lane.entry else None
-            if job is not None and key >= self._key(job, lane):
-                return lane
+            key, entry, customer_queue = order[0]
+            job = customer_queue.head() if entry == customer_queue.entry else None
+            if job is not None and key >= self._key(job, customer_queue):
+                return customer_queue
             heapq.heappop(order)
-            if entry == lane.entry:
-                self._queue_lane(lane)
+            if entry == customer_queue.entry:
+                self._schedule_customer(customer_queue)
         return None
 
     def _least_service(self) -> float:
         if not self._active:
             return self._last_service
-        return min(lane.service for lane in self._active)
+        return min(customer_queue.service for customer_queue in self._active)
 
-    def _key(self, job: WaitingJob, lane: CustomerLane) -> float:
-        return job.key + self._service_cost * lane.service
+    def _key(self, job: WaitingJob, customer_queue: CustomerQueue) -> float:
+        return job.key + self._service_penalty * customer_queue.service
 
-    def _take(self, job: WaitingJob, lane: CustomerLane) -> NextTask:
-        index = job.take()
+    def _start_task(self, job: WaitingJob, customer_queue: CustomerQueue) -> NextTask:
+        index = job.pop_longest_task()
         estimate = job.job.estimates_ms[index]
-        self._last_service = lane.service
-        lane.service += estimate / MS / lane.weight
-        self._count(lane, -1, -estimate)
-        lane.advance(job)
-        if not job.left:
+        self._last_service = customer_queue.service
+        customer_queue.service += estimate / MS / customer_queue.weight
+        self._add_to_counts(customer_queue, -1, -estimate)
+        customer_queue.advance(job)
+        if not job.waiting_indexes:
             del self._jobs[job.job.submission]
-        self._queue_lane(lane)
+        self._schedule_customer(customer_queue)
         return NextTask(job.job, index)
 
     def _insert(self, job: WaitingJob) -> None:
-        lane = self._lane(job.customer)
-        if not lane.waiting:
-            # Idle time is not saved up beyond the credit: a customer that comes back
-            # after an hour must not hold all slots for as long.
-            lane.service = max(lane.service, self._least_service() - IDLE_CREDIT)
+        customer_queue = self._queue_of(job.customer)
+        if not customer_queue.waiting:
+            # Idle time earns no more than the credit: otherwise a customer that was
+            # idle for an hour could use all slots for as long.
+            customer_queue.service = max(
+                customer_queue.service, self._least_service() - IDLE_CREDIT_S
+            )
         self._jobs[job.job.submission] = job
-        self._count(lane, len(job.left), job.left_ms)
-        self._queue_job(job, lane)
-
-    def _queue_job(self, job: WaitingJob, lane: CustomerLane) -> None:
-        became_head = lane.push(job)
-        # A lane out of the order may have a removed job for its head still.
-        if (became_head or not lane.entry) and lane.name not in self._held:
-            self._queue_lane(lane)
-
-    def _queue_lane(self, lane: CustomerLane) -> None:
-        job = lane.head()
+        self._add_to_counts(customer_queue, len(job.waiting_indexes), job.remaining_ms)
+        self._push_job(job, customer_queue)
+
+    def _push_job(self, job: WaitingJob, customer_queue: CustomerQueue) -> None:
+        became_head = customer_queue.push(job)
+        # A queue that is not in the order may still have a removed job at its head.
+        if (
+            became_head or not customer_queue.entry
+        ) and customer_queue.name not in self._at_quota:
+            self._schedule_customer(customer_queue)
+
+    def _schedule_customer(self, customer_queue: CustomerQueue) -> None:
+        job = customer_queue.head()
         if job is None:
-            lane.entry = 0
+            customer_queue.entry = 0
             return
         self._entries += 1
-        lane.entry = self._entries
-        entry = (self._key(job, lane), lane.entry, lane)
-        # The lane that was just served stands on top, so it is replaced in place.
-        if self._order and self._order[0][2] is lane:
+        customer_queue.entry = self._entries
+        entry = (self._key(job, customer_queue), customer_queue.entry, customer_queue)
+        # The queue that was just served is on top of the heap and replaced in place.
+        if self._order and self._order[0][2] is customer_queue:
             heapq.heapreplace(self._order, entry)
         else:
             heapq.heappush(self._order, entry)
-        if len(self._order) > STALE_ENTRIES * len(self._lanes) + LOOKAHEAD:
+        if (
+            len(self._order)
+            > MAX_ENTRIES_PER_CUSTOMER * len(self._customer_queues) + LOOKAHEAD
+        ):
             self._order = [e for e in self._order if e[1] == e[2].entry]
             heapq.heapify(self._order)
 
-    def _hold(self, lane: CustomerLane) -> None:
+    def _set_at_quota(self, customer_queue: CustomerQueue) -> None:
         heapq.heappop(self._order)
-        lane.entry = 0
-        self._held.add(lane.name)
-
-    def _park(self, job: WaitingJob, lane: CustomerLane, now: float) -> None:
-        lane.pop()
-        self._parking.park(job, now)
-        self._queue_lane(lane)
-
-    def _lane(self, customer: str) -> CustomerLane:
-        lane = self._lanes.get(customer)
-        if lane is None:
-            lane = self._lanes[customer] = CustomerLane(customer)
-        return lane
-
-    def _count(self, lane: CustomerLane, tasks: int, estimate_ms: float) -> None:
+        customer_queue.entry = 0
+        self._at_quota.add(customer_queue.name)
+
+    def _mark_unschedulable(
+        self, job: WaitingJob, customer_queue: CustomerQueue, now: float
+    ) -> None:
+        customer_queue.pop()
+        self._unschedulable.mark_unschedulable(job, now)
+        self._schedule_customer(customer_queue)
+
+    def _queue_of(self, customer: str) -> CustomerQueue:
+        customer_queue = self._customer_queues.get(customer)
+        if customer_queue is None:
+            customer_queue = self._customer_queues[customer] = CustomerQueue(customer)
+        return customer_queue
+
+    def _add_to_counts(
+        self, customer_queue: CustomerQueue, tasks: int, estimate_ms: float
+    ) -> None:
         self._waiting += tasks
         self._backlog_ms += estimate_ms
-        lane.waiting += tasks
-        lane.backlog_ms += estimate_ms
-        if lane.waiting:
-            self._active.add(lane)
+        customer_queue.waiting += tasks
+        customer_queue.backlog_ms += estimate_ms
+        if customer_queue.waiting:
+            self._active.add(customer_queue)
         else:
-            self._active.discard(lane)
+            self._active.discard(customer_queue)
--- a/jackdawspur/scheduling/_run_times.py
+++ b/jackdawspur/scheduling/_run_times.py
@@ -1,4 +1,4 @@
-"""Learn how long tasks run, whatever their callers declare."""
+"""Estimation of run times from ended tasks and the callers' declarations."""
 
 import math
 from collections import OrderedDict
@@ -13,22 +13,26 @@
 DEFAULT_RUN_MS = 250.0
 MIN_RUN_MS = 1.0
 MAX_RUN_MS = 60_000.0
-CLASSES_KEPT = 4096
-# One ended task weighs at least this much, so the last fifty or so decide.
-MIN_STEP = 0.02
-# What was believed before counts as this many ended tasks.
+MAX_CLASSES = 4096
+# Minimum weight of a task in the moving averages, so that about the last fifty tasks
+# determine an estimate.
+MIN_TASK_WEIGHT = 0.02
+# Weight of the prior estimate, in ended tasks.
 PRIOR_WEIGHT = 2.0
-# A class with more ended tasks no longer needs what its customer's others showed, and
-# adds to it only by every so many tasks: that halves the cost of an ended task.
-KNOWN_AFTER = 32
-OVERALL_EVERY = 8
-# Bounds the pull of one straggler: e**1.5 is about 4.5 times the mean.
-MAX_SURPRISE = 1.5
-SURPRISE_AFTER = 8
-# Added to the variance of declarations (log scale): nearly constant declarations
-# must not yield a steep slope.
+# A class with more ended tasks no longer uses its customer's overall history as prior,
+# and updates that only at every OVERALL_UPDATE_INTERVAL-th task, which halves the cost
+# of an ended task.
+CLASS_LEARNED_AFTER = 32
+OVERALL_UPDATE_INTERVAL = 8
+# Limits the influence of one straggler: once a history has more than
+# CLIP_RESIDUALS_AFTER tasks, a run time counts as at most e**1.5, about 4.5, times the
+# expected one.
+MAX_RESIDUAL = 1.5
+CLIP_RESIDUALS_AFTER = 8
+# Ridge added to the variance of declarations (log scale), so that nearly constant
+# declarations don't yield a steep slope.
 SLOPE_RIDGE = 0.02
-# A declaration moves an estimate by no more than e**2, 7.4 times, from the mean.
+# A declaration shifts an estimate from the mean by a factor of at most e**2, about 7.4.
 MAX_DECLARED_SHIFT = 2.0
 
 _Key = TypeVar("_Key")
@@ -36,7 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Moments:
-    """Tell what ended tasks showed of log run time against log declaration."""
+    """Statistics of log run time and log declaration over ended tasks.
+
+    `run` and `declared` are means, `spread` is the variance of declarations, `noise`
+    that of the residuals.
+    """
 
     count: int
     run: float
@@ -47,7 +55,7 @@
 
 
 class _History:
-    """Keep decayed moments of log run time against log declaration."""
+    """Exponentially decayed moments of log run time and log declaration."""
 
     __slots__ = ("count", "covariance", "declared", "noise", "run", "spread")
 
@@ -60,16 +68,16 @@
         self.noise = 0.0
 
     def moments(self) -> Moments:
-        """Return what is known."""
+        """Return the current moments."""
         return Moments(*(getattr(self, name) for name in Moments.__slots__))
 
     def set(self, moments: Moments) -> None:
-        """Believe this instead of what was known."""
+        """Replace the current moments."""
         for name in Moments.__slots__:
             setattr(self, name, getattr(moments, name))
 
     def slope(self) -> float:
-        """Return how far a run time follows its declaration, from 0 to 1."""
+        """Return the regression slope of run times on declarations, from 0 to 1."""
         slope = self.covariance / (self.spread + SLOPE_RIDGE)
         return min(1.0, max(0.0, slope))
 
@@ -79,37 +87,41 @@
         return self.run + min(MAX_DECLARED_SHIFT, max(-MAX_DECLARED_SHIFT, shift))
 
     def add(self, declared: float, run: float) -> None:
-        """Take in one ended task."""
+        """Update the moments with an ended task."""
         self.count += 1
         slope = self.slope()
-        step = max(MIN_STEP, 1.0 / self.count)
-        if self.count > SURPRISE_AFTER:
+        step = max(MIN_TASK_WEIGHT, 1.0 / self.count)
+        if self.count > CLIP_RESIDUALS_AFTER:
             expected = self.expected(declared)
-            run = min(expected + MAX_SURPRISE, max(expected - MAX_SURPRISE, run))
-        # The mean moves by `step` of the distance; the product with the distance
-        # left afterwards is the usual running update of a moment.
-        off_declared = declared - self.declared
-        off_run = run - self.run
-        self.declared += step * off_declared
-        self.run += step * off_run
+            run = min(expected + MAX_RESIDUAL, max(expected - MAX_RESIDUAL, run))
+        # Each mean moves by `step` times the distance. The second moments follow by the
+        # usual incremental update, which multiplies that with the remaining distance.
+        declared_difference = declared - self.declared
+        run_difference = run - self.run
+        self.declared += step * declared_difference
+        self.run += step * run_difference
         keep = 1.0 - step
-        self.spread = keep * (self.spread + step * off_declared * off_declared)
-        self.covariance = keep * (self.covariance + step * off_declared * off_run)
-        residual = off_run - slope * off_declared
+        self.spread = keep * (
+            self.spread + step * declared_difference * declared_difference
+        )
+        self.covariance = keep * (
+            self.covariance + step * declared_difference * run_difference
+        )
+        residual = run_difference - slope * declared_difference
         self.noise = keep * (self.noise + step * residual * residual)
 
 
 class RunTimeEstimator:
-    """Estimate run times by customer and class from tasks that ended.
+    """Estimates run times by customer and class from ended tasks.
 
-    A regression on log scale corrects a constant factor in declarations, and ignores
-    declarations that say nothing. A new class starts from what all of its customer's
-    tasks showed, so a false declaration gains nothing by a new class name. Histories
-    of customers never mix.
+    A regression on log scale corrects a constant factor in declarations and ignores
+    uninformative ones. A new class starts from the history of all its customer's tasks,
+    so a customer with false declarations gains nothing from a new class name. Histories
+    of different customers are never mixed.
     """
 
-    def __init__(self, classes_kept: int = CLASSES_KEPT) -> None:
-        self._classes_kept = classes_kept
+    def __init__(self, max_classes: int = MAX_CLASSES) -> None:
+        self._max_classes = max_classes
         self._classes: OrderedDict[tuple[str, str], _History] = OrderedDict()
         self._customers: OrderedDict[str, _History] = OrderedDict()
 
@@ -127,7 +139,7 @@
         """Return the expected run times of a job's tasks."""
         history = self._classes.get((customer, job_class))
         overall = self._customers.get(customer)
-        # Tasks of one job mostly declare the same.
+        # Tasks of one job mostly declare the same run time.
         known: dict[float, float] = {}
         for spec in tasks:
             if spec.run_ms not in known:
@@ -137,22 +149,31 @@
     def observe(
         self, customer: str, job_class: str, spec: TaskSpec, run_ms: float
     ) -> None:
-        """Take in the measured run time of an ended task."""
-        declared, run = math.log(_declared(spec.run_ms)), math.log(_clamp(run_ms))
+        """Record the measured run time of an ended task."""
+        declared, run = (
+            math.log(_valid_declaration(spec.run_ms)),
+            math.log(_clamp(run_ms)),
+        )
         history = self._history(self._classes, (customer, job_class))
         history.add(declared, run)
-        if history.count <= KNOWN_AFTER or history.count % OVERALL_EVERY == 0:
+        if (
+            history.count <= CLASS_LEARNED_AFTER
+            or history.count % OVERALL_UPDATE_INTERVAL == 0
+        ):
             self._history(self._customers, customer).add(declared, run)
 
     def moments(self) -> Iterator[tuple[tuple[str, str], Moments]]:
-        """Yield what is known, the latest first; of all classes under no name."""
+        """Yield keys (customer, class) with moments, the latest updated first.
+
+        The empty class name stands for all classes of the customer.
+        """
         for customer, overall in reversed(self._customers.items()):
             yield (customer, ""), overall.moments()
         for key, history in reversed(self._classes.items()):
             yield key, history.moments()
 
     def sample_count(self, customer: str, job_class: str) -> int:
-        """Return how many tasks ended; of all classes for an empty name."""
+        """Return the number of ended tasks; of all classes if the name is empty."""
         overall = self._customers.get(customer)
         history = self._classes.get((customer, job_class)) if job_class else overall
         return history.count if history else 0
@@ -160,7 +181,7 @@
     def seed_history(
         self, customer: str, job_class: str, moments: Moments, tasks: int
     ) -> None:
-        """Take moments over as if so many tasks had shown them."""
+        """Set moments received from another host, with the weight of `tasks` tasks."""
         if job_class:
             history = self._history(self._classes, (customer, job_class))
         else:
@@ -171,7 +192,7 @@
         history = histories.get(key)
         if history is None:
             history = histories[key] = _History()
-            if len(histories) > self._classes_kept:
+            if len(histories) > self._max_classes:
                 histories.popitem(last=False)
         else:
             histories.move_to_end(key)
@@ -181,25 +202,25 @@
 def _estimate(
     history: _History | None, overall: _History | None, run_ms: float
 ) -> float:
-    declared = math.log(_declared(run_ms))
-    believed = declared
-    if history is None or history.count <= KNOWN_AFTER:
-        believed = _blend(overall, declared, declared)
-    return _clamp(math.exp(_blend(history, declared, believed)))
+    declared = math.log(_valid_declaration(run_ms))
+    prior = declared
+    if history is None or history.count <= CLASS_LEARNED_AFTER:
+        prior = _blend(overall, declared, declared)
+    return _clamp(math.exp(_blend(history, declared, prior)))
 
 
-def _blend(history: _History | None, declared: float, before: float) -> float:
-    """Return the history's log estimate, as far as it has seen enough."""
+def _blend(history: _History | None, declared: float, prior: float) -> float:
+    """Return the history's log estimate, weighted with the prior one."""
     if history is None:
-        return before
+        return prior
     learned = history.expected(declared) + history.noise / 2
-    trust = history.count / (history.count + PRIOR_WEIGHT)
-    return trust * learned + (1.0 - trust) * before
+    weight = history.count / (history.count + PRIOR_WEIGHT)
+    return weight * learned + (1.0 - weight) * prior
 
 
 def _clamp(run_ms: float) -> float:
     return min(MAX_RUN_MS, max(MIN_RUN_MS, run_ms))
 
 
-def _declared(run_ms: float) -> float:
+def _valid_declaration(run_ms: float) -> float:
     return _clamp(run_ms) if run_ms > 0 else DEFAULT_RUN_MS
--- a/jackdawspur/scheduling/tests/test_admission.py
+++ b/jackdawspur/scheduling/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What can't meet its contract is refused at the door or moved whole."""
+"""Tests of admission control and of the selection of another host for a job."""
 
 import random
 from dataclasses import replace
@@ -42,7 +42,7 @@
 
 
 @pytest.fixture
-def elsewhere():
+def peer_selector():
     return PeerSelector("north", random.Random(2))
 
 
@@ -54,17 +54,18 @@
 def test_backlog_beyond_the_contract_is_refused(admission):
     estimates = (500.0,) * 8
     assert admission.evaluate(request(8), estimates, CUSTOMER, IDLE) == Admit(0.0)
-    verdict = admission.evaluate(request(8), estimates, CUSTOMER, BUSY)
-    assert verdict.code is FailureCode.OVERLOADED
+    decision = admission.evaluate(request(8), estimates, CUSTOMER, BUSY)
+    assert decision.code is FailureCode.OVERLOADED
     # 503,500 slot-ms on 64 slots are 7,867 ms, 7,366 ms more than the bound of
     # 1,002 ms allows before a last task of 500 ms.
-    assert 7_366.0 < verdict.retry_after_ms < 1.5 * 7_366.0
+    assert 7_366.0 < decision.retry_after_ms < 1.5 * 7_366.0
 
 
 def test_light_customer_is_admitted_past_a_heavy_backlog(admission):
-    """One customer's backlog makes the host refuse everybody.
+    """The backlog of one customer makes the host refuse all customers.
 
-    It holds 7.8 s of work; a customer without any would wait only for its share.
+    The backlog is 7.8 s of work, but a customer without backlog would wait only for its
+    share of the slots.
     """
     load = replace(BUSY, customer_backlog_ms=0.0, fair_share=0.5)
     assert isinstance(admission.evaluate(request(), (500.0,), CUSTOMER, load), Admit)
@@ -75,21 +76,21 @@
     assert isinstance(
         admission.evaluate(request(360), estimates, CUSTOMER, IDLE), Admit
     )
-    verdict = admission.evaluate(request(360), estimates, CUSTOMER, BUSY)
-    assert isinstance(verdict, Refuse)
+    decision = admission.evaluate(request(360), estimates, CUSTOMER, BUSY)
+    assert isinstance(decision, Refuse)
     late = admission.evaluate(request(360, 300.0), estimates, CUSTOMER, IDLE)
     assert late.code is FailureCode.OVERLOADED
 
 
-def test_customer_without_quota_is_told_so(admission):
-    verdict = admission.evaluate(request(), (100.0,), Customer("a", 0), IDLE)
-    assert verdict.code is FailureCode.QUOTA
+def test_customer_without_quota_is_refused_with_that_code(admission):
+    decision = admission.evaluate(request(), (100.0,), Customer("a", 0), IDLE)
+    assert decision.code is FailureCode.QUOTA
 
 
-def test_job_that_can_never_run_is_refused_at_the_door():
-    """A job waits to its deadline, over and over, for an upstream that isn't there.
+def test_job_that_can_never_run_is_refused_at_admission():
+    """A job that fits on no upstream waits until its deadline, at every retry.
 
-    It asks for the memory of one upstream and the accelerators of another.
+    It needs the memory of one upstream and the accelerators of another.
     """
     sizes = UpstreamSizes(
         (
@@ -103,30 +104,34 @@
     assert refuse_oversized(request(spec=TaskSpec(accelerators=2)), sizes) is None
 
 
-def test_job_moves_only_for_a_clear_gain(elsewhere):
-    elsewhere.update_load(host_load("e2", backlog_ms=6_400.0), 0.0)
+def test_job_is_delegated_only_for_a_clear_gain(peer_selector):
+    peer_selector.update_load(host_load("e2", backlog_ms=6_400.0), 0.0)
     estimates = (100.0,)
-    stay = elsewhere.choose(estimates, 110.0, False, RESPONSE, 0.1)
-    move = elsewhere.choose(estimates, 1000.0, False, RESPONSE, 0.1)
-    assert stay is None
-    assert move.host.name == "e2"
-    saver = Objective.MESSAGES
-    assert elsewhere.choose(estimates, 1000.0, False, saver, 0.1) is None
-    assert elsewhere.choose(estimates, 1000.0, True, saver, 0.1) is not None
-    assert elsewhere.choose(estimates, 1000.0, False, RESPONSE, 5.0) is None
+    no_target = peer_selector.choose(estimates, 110.0, False, RESPONSE, 0.1)
+    target = peer_selector.choose(estimates, 1000.0, False, RESPONSE, 0.1)
+    assert no_target is None
+    assert target.host.name == "e2"
+    fewest_messages = Objective.MESSAGES
+    assert peer_selector.choose(estimates, 1000.0, False, fewest_messages, 0.1) is None
+    assert (
+        peer_selector.choose(estimates, 1000.0, True, fewest_messages, 0.1) is not None
+    )
+    assert peer_selector.choose(estimates, 1000.0, False, RESPONSE, 5.0) is None
 
 
-def test_hosts_do_not_all_move_to_the_least_loaded(elsewhere):
-    """A zone is overloaded and all its jobs land on one host of the next zone.
+def test_hosts_do_not_all_delegate_to_the_least_loaded(peer_selector):
+    """An overloaded zone delegates all its jobs to the same host of another zone.
 
-    Heartbeats come once a second; until the next one that host still looks idle.
+    Heartbeats arrive once a second, and that host looks idle until its next one.
     """
     for name in ("e4", "e5", "e6"):
-        elsewhere.update_load(host_load(name, "south"), 0.0)
-    moved = [
-        elsewhere.choose((200.0,) * 8, 5000.0, True, RESPONSE, 0.5) for _ in range(60)
+        peer_selector.update_load(host_load(name, "south"), 0.0)
+    targets = [
+        peer_selector.choose((200.0,) * 8, 5000.0, True, RESPONSE, 0.5)
+        for _ in range(60)
     ]
     counts = sorted(
-        sum(move.host.name == name for move in moved) for name in ("e4", "e5", "e6")
+        sum(target.host.name == name for target in targets)
+        for name in ("e4", "e5", "e6")
     )
     assert counts[0] >= 15
--- a/jackdawspur/scheduling/tests/test_queue.py
+++ b/jackdawspur/scheduling/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""The order of waiting tasks is fair and lets nothing starve."""
+"""Tests that the order of waiting tasks is fair and starves no job."""
 
 import random
 
@@ -6,18 +6,18 @@
 
 from jackdawspur.model import Contract, Customer, Objective, TaskSpec
 from jackdawspur.scheduling import JobQueue, RunTimeEstimator
-from jackdawspur.scheduling._lanes import COMPACT_AT
+from jackdawspur.scheduling._customer_queue import MIN_STALE_TO_COMPACT
 from jackdawspur.scheduling.tests import trial
 
 MESSAGES = Contract(objective=Objective.MESSAGES)
 LARGE = TaskSpec(cpus=16)
 
 
-def anywhere(spec):
+def fits_always(spec):
     return True
 
 
-def drain(queue, now=0.0, fits=anywhere):
+def drain(queue, now=0.0, fits=fits_always):
     while task := queue.next_task(now, fits):
         yield task
 
@@ -29,10 +29,10 @@
     assert queue.backlog_ms() == 0.0
 
 
-def test_refused_start_waits_again_in_its_place(queue, make_job):
+def test_refused_start_is_requeued_in_its_position(queue, make_job):
     job = make_job(estimates_ms=(100.0, 900.0, 300.0))
     queue.add(job)
-    refused = queue.next_task(0.0, anywhere)
+    refused = queue.next_task(0.0, fits_always)
     queue.requeue(job, refused.index)
     assert queue.backlog_ms() == 1300.0
     assert [task.index for task in drain(queue)] == [1, 2, 0]
@@ -44,27 +44,27 @@
 def test_job_near_completion_goes_first(queue, make_job):
     wide, narrow = make_job(estimates_ms=(100.0,) * 9), make_job()
     queue.add(wide)
-    started = [queue.next_task(0.0, anywhere).job for _ in range(8)]
+    started = [queue.next_task(0.0, fits_always).job for _ in range(8)]
     queue.add(narrow)
     assert set(started) == {wide}
-    assert queue.next_task(0.0, anywhere).job is wide
+    assert queue.next_task(0.0, fits_always).job is wide
 
 
 def test_messages_objective_starts_a_job_together(queue, make_job):
-    saver = make_job("a", (100.0,) * 4, contract=MESSAGES)
-    queue.add(saver)
-    queue.next_task(0.0, anywhere)
+    fewest_messages = make_job("a", (100.0,) * 4, contract=MESSAGES)
+    queue.add(fewest_messages)
+    queue.next_task(0.0, fits_always)
     queue.add(make_job("a", (10.0,)))
     rest = [task.job for task in drain(queue)]
-    assert rest[:3] != [saver] * 3
-    assert rest.count(saver) == 3
+    assert rest[:3] != [fewest_messages] * 3
+    assert rest.count(fewest_messages) == 3
 
 
 def test_burst_of_one_customer_leaves_the_others_tail_alone():
-    """A customer sends five times its load and everybody else's answers come late.
+    """One customer's burst of five times its load delays all others' answers.
 
-    For six seconds one of twenty customers sends thrice as much as all others. Its
-    jobs came first, so in order of arrival every later job waits behind them.
+    For six seconds one of twenty customers sends three times as much as all others
+    together. In order of arrival every later job would wait behind its jobs.
     """
 
     def p99_of_others(queue, burst):
@@ -73,22 +73,23 @@
         if burst:
             jobs = trial.with_burst(jobs, rng, 120)
         ended = trial.run(queue, jobs, random.Random(6))
-        others = [end for end in ended if end.arrival.customer != trial.BURSTING]
+        others = [end for end in ended if end.arrival.customer != trial.BURST_CUSTOMER]
         ratios = [end.ratio for end in others]
         return trial.quantile(ratios, 0.99)
 
-    calm = p99_of_others(JobQueue(), burst=False)
+    without_burst = p99_of_others(JobQueue(), burst=False)
     burst = p99_of_others(JobQueue(), burst=True)
     by_arrival = trial.ORDERS["first in, first out"]()
-    assert burst < 2 * calm
+    assert burst < 2 * without_burst
     assert burst < 0.2 * p99_of_others(by_arrival, burst=True)
 
 
-def test_liar_gains_nothing_against_an_honest_customer(queue, make_job):
-    """A customer declares a tenth of its run times and gets most of the slots.
+def test_false_declarations_gain_no_slots(queue, make_job):
+    """A customer that declares a tenth of its run times gets most of the slots.
 
-    Both keep jobs of 1,000 ms tasks waiting, and one declares 100 ms under a new
-    class name each time. Believed, it goes first and pays for a tenth of its use.
+    Two customers always have jobs of 1,000 ms tasks waiting, and one declares 100 ms
+    under a new class name each time. If its declarations were used, its jobs would
+    start first and it would be charged a tenth of its use.
     """
     times = RunTimeEstimator()
     declared = {"liar": TaskSpec(run_ms=100.0), "honest": TaskSpec(run_ms=1000.0)}
@@ -98,7 +99,7 @@
             if not queue.waiting(name):
                 estimates = times.estimates_ms(name, f"k{step}", (spec,) * 4)
                 queue.add(make_job(name, estimates, step, step + 60.0, spec))
-        task = queue.next_task(float(step), anywhere)
+        task = queue.next_task(float(step), fits_always)
         started[task.job.customer] += 1
         queue.task_ended(task.job, task.index, 1000.0)
         times.observe(task.job.customer, f"k{step}", task.spec, 1000.0)
@@ -112,33 +113,33 @@
         queue.add(make_job("a", (1000.0,)))
         queue.add(make_job("b", (1000.0,)))
     for _ in range(400):
-        task = queue.next_task(0.0, anywhere)
+        task = queue.next_task(0.0, fits_always)
         started[task.job.customer] += 1
         queue.task_ended(task.job, task.index, 1000.0)
     assert 2.7 <= started["a"] / started["b"] <= 3.3
 
 
 def test_wide_job_does_not_starve_behind_narrow_ones(queue, make_job):
-    """A wide job never starts although slots come free all the time.
+    """A wide job never starts although slots keep becoming free.
 
-    Short jobs of the same customer keep arriving as fast as they start, and each
-    has less work left than the wide one.
+    Short jobs of the same customer arrive as fast as they start, and each has less work
+    left than the wide job.
     """
     wide = make_job("a", (500.0,) * 24, deadline=60.0)
     queue.add(wide)
     for step in range(400):
         now = step / 10
         queue.add(make_job("a", (100.0,), arrived=now, deadline=now + 60.0))
-        if queue.next_task(now, anywhere).job is wide:
+        if queue.next_task(now, fits_always).job is wide:
             break
     assert now <= 30.0
 
 
-def test_large_task_is_passed_and_then_gets_room(queue, make_job):
-    """One task that needs half an upstream stops all traffic, or never runs.
+def test_large_task_is_overtaken_and_then_gets_a_reservation(queue, make_job):
+    """One task that needs half an upstream blocks all others, or never runs.
 
-    It heads the queue and fits nowhere; the small tasks behind it would fit. Once
-    they pass it, they take each processor that comes free before it can.
+    It is at the head of the queue and fits on no upstream, while small tasks behind it
+    would fit. If these may overtake it, they take each free processor before it can.
     """
     large = make_job("a", (100.0,), spec=LARGE)
     queue.add(large)
@@ -149,52 +150,55 @@
     assert queue.reservation(1.1) is None
     assert queue.reservation(2.0).job is large
     queue.task_ended(small[0].job, 0, 100.0)
-    assert queue.next_task(2.0, anywhere).job is large
+    assert queue.next_task(2.0, fits_always).job is large
     assert queue.reservation(9.0) is None
 
 
-def test_customer_at_its_quota_holds_up_nobody(queue, make_job):
+def test_customer_at_its_quota_does_not_delay_others(queue, make_job):
     first, second = make_job("a", (100.0,) * 2), make_job("b", arrived=5.0)
     queue.add(first)
     queue.add(second)
-    task = queue.next_task(5.0, anywhere)
+    task = queue.next_task(5.0, fits_always)
     assert task.job is first
-    assert queue.next_task(5.0, anywhere, lambda name: name != "a").job is second
-    assert queue.next_task(5.0, anywhere, lambda name: False) is None
+    assert queue.next_task(5.0, fits_always, lambda name: name != "a").job is second
+    assert queue.next_task(5.0, fits_always, lambda name: False) is None
     queue.task_ended(task.job, task.index, 100.0)
-    assert queue.next_task(5.0, anywhere).job is first
+    assert queue.next_task(5.0, fits_always).job is first
 
 
-def test_cancellation_wave_is_not_paid_by_others(queue, make_job):
-    """One customer cancels 10,000 jobs and the next start takes long.
+def test_cancellation_burst_does_not_delay_others(queue, make_job):
+    """The next start takes long after one customer cancelled 10,000 jobs.
 
-    The cancelled jobs still stand in its heap; whoever asks for the next task would
-    have to clear them all away.
+    The cancelled jobs are still in the customer's heap, and the next call of
+    `next_task` would have to remove them all.
     """
     jobs = [make_job("a", (100.0,) * 2) for _ in range(10_000)]
     kept = make_job("b", arrived=99.0)
     for job in [*jobs, kept]:
         queue.add(job)
     assert sum(queue.remove(job.submission) for job in jobs) == 20_000
-    left = len(queue._lanes["a"]._jobs)
-    assert left <= COMPACT_AT + 1
-    assert queue.next_task(99.0, anywhere).job is kept
+    remaining = len(queue._customer_queues["a"]._jobs)
+    assert remaining <= MIN_STALE_TO_COMPACT + 1
+    assert queue.next_task(99.0, fits_always).job is kept
     assert (queue.waiting(), queue.backlog_ms(), len(queue)) == (0, 0.0, 0)
 
 
-def _drain_all(queue):
-    """Return what still waits, also what quotas or the lack of room held back."""
+def _drain_remaining(queue):
+    """Return all waiting tasks, including unschedulable ones and those at a quota."""
     queue.quotas_changed()
-    left = []
+    remaining = []
     for _ in range(2):
         queue.capacity_changed()
-        left += [(t.job.submission, t.index) for t in drain(queue, 999.0)]
-    return left
+        remaining += [(t.job.submission, t.index) for t in drain(queue, 999.0)]
+    return remaining
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_every_task_leaves_the_queue_once(queue, make_job, seed):
-    """A task is handed out twice or never after refusals, cancels and parking."""
+    """A task is returned twice or never after refusals, cancels and failed placements.
+
+    The operations and the sizes of tasks are random.
+    """
     rng = random.Random(seed)
     out, ends = [], []
     jobs, cancelled = [], set()
@@ -226,7 +230,7 @@
             if task:
                 out.append((task.job.submission, task.index))
                 ends.append(task)
-    out += _drain_all(queue)
+    out += _drain_remaining(queue)
     assert len(out) == len(set(out))
     kept = [job for job in jobs if job.submission not in cancelled]
     wanted = {(j.submission, i) for j in kept for i in range(len(j.tasks))}
@@ -236,30 +240,31 @@
 
 
 def test_job_added_after_cancels_at_the_quota_starts(queue, make_job):
-    """A customer's new job never starts although it has slots and nothing waits.
+    """A customer's new job never starts although slots are free and no other job waits.
 
-    Its earlier job was cancelled while its quota held it back; then a task of it
-    ended. The cancelled job still headed its jobs, so the new one joined no order.
+    An earlier job was cancelled while the customer was at its quota, and then a task
+    ended. The cancelled job was still at the head of the customer's queue, so the queue
+    wasn't scheduled again when the new job was added.
     """
     running, cancelled = make_job(), make_job(arrived=1.0)
     queue.add(running)
     queue.add(cancelled)
-    task = queue.next_task(1.0, anywhere)
-    assert queue.next_task(1.0, anywhere, lambda name: False) is None
+    task = queue.next_task(1.0, fits_always)
+    assert queue.next_task(1.0, fits_always, lambda name: False) is None
     queue.remove(cancelled.submission)
     queue.task_ended(task.job, task.index, 100.0)
     added = make_job(arrived=2.0)
     queue.add(added)
-    assert queue.next_task(2.0, anywhere).job is added
+    assert queue.next_task(2.0, fits_always).job is added
 
 
-def test_parked_job_starts_without_a_word_once_there_is_room(queue, make_job):
-    """The only job that waits never starts although an upstream has room for it.
+def test_unschedulable_job_starts_without_a_report_of_free_capacity(queue, make_job):
+    """The only waiting job never starts although an upstream has capacity for it.
 
-    It fitted nowhere when it came; then a sibling lent a slot on a larger upstream,
-    and no task ended that would have made the queue try again.
+    It fitted on no upstream when it arrived. Then a peer in the zone lent a slot on a
+    larger upstream, and no task ended that would have made the queue try again.
     """
     job = make_job(spec=LARGE)
     queue.add(job)
     assert queue.next_task(0.0, lambda spec: spec != LARGE) is None
-    assert queue.next_task(0.5, anywhere).job is job
+    assert queue.next_task(0.5, fits_always).job is job
--- a/jackdawspur/scheduling/tests/trial.py
+++ b/jackdawspur/scheduling/tests/trial.py
@@ -1,6 +1,6 @@
-"""Compare orders of waiting tasks on virtual time.
+"""Comparison of orders of waiting tasks in virtual time.
 
-Run ``python -m jackdawspur.scheduling.tests.trial``; figures are exact under a seed.
+Run ``python -m jackdawspur.scheduling.tests.trial``; results are deterministic.
 """
 
 import heapq
@@ -25,33 +25,33 @@
 OWNER = HostId("north", "e1", 1)
 ROUND_TRIP_S = 0.001
 NO_DEADLINE = 1e9
-LONG_PART = 0.01
+LONG_FRACTION = 0.01
 COUNT = 5000
-BOUND = 2.0
-MEAN_RESIDUE_MS = 200.0
-BURSTING = "c9"
+MAX_RATIO = 2.0
+MEAN_REMAINING_MS = 200.0
+BURST_CUSTOMER = "c9"
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Carry a job's true run times in seconds."""
+    """The arrival of a job, with the true run times of its tasks in seconds."""
 
     at: float
     customer: str
     job_class: str
-    runs: tuple[float, ...]
+    run_times_s: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """Carry the response time of one job over its ideal."""
+    """An ended job, with its response time divided by the ideal one."""
 
     arrival: Arrival
     ratio: float
 
 
 class KeyedQueue:
-    """Order whole jobs by one number, as the baselines do."""
+    """A baseline that orders whole jobs by a key."""
 
     def __init__(self, key: Callable[[QueuedJob], float], together: bool = False):
         self._key = key
@@ -60,19 +60,19 @@
         self.free = SLOTS
 
     def add(self, job: QueuedJob) -> None:
-        left = sorted(range(len(job.tasks)), key=job.estimates_ms.__getitem__)
-        entry = (self._key(job), job.submission.sequence, job, left)
+        remaining = sorted(range(len(job.tasks)), key=job.estimates_ms.__getitem__)
+        entry = (self._key(job), job.submission.sequence, job, remaining)
         heapq.heappush(self._heap, entry)
 
     def next_task(self, now: float, fits: Callable[[TaskSpec], bool]):
         if not self._heap:
             return None
-        _, _, job, left = self._heap[0]
-        fresh = len(left) == len(job.tasks)
-        if self._together and fresh and len(left) > self.free:
+        _, _, job, remaining = self._heap[0]
+        unstarted = len(remaining) == len(job.tasks)
+        if self._together and unstarted and len(remaining) > self.free:
             return None
-        index = left.pop()
-        if not left:
+        index = remaining.pop()
+        if not remaining:
             heapq.heappop(self._heap)
         self.free -= 1
         return NextTask(job, index)
@@ -90,14 +90,14 @@
     "first in, all together": lambda: KeyedQueue(lambda job: job.arrived, True),
     "least work first": lambda: KeyedQueue(lambda job: sum(job.estimates_ms)),
     "latest start first": lambda: KeyedQueue(_latest_start),
-    "chosen, without fairness": lambda: JobQueue(service_cost=0.0),
-    "strict fair queueing": lambda: JobQueue(service_cost=1000.0),
+    "chosen, without fairness": lambda: JobQueue(service_penalty=0.0),
+    "strict fair queueing": lambda: JobQueue(service_penalty=1000.0),
     "chosen": JobQueue,
 }
 
 
 def arrivals(rng: random.Random, load: float, count: int) -> list[Arrival]:
-    """Draw jobs of 1 to 24 tasks of 50 ms to 1 s, one in a hundred 2 to 6 s."""
+    """Generate jobs of 1 to 24 tasks of 50 ms to 1 s, one in a hundred 2 to 6 s."""
     bases = [50.0 * 14.0 ** rng.random() for _ in range(CUSTOMERS * 3)]
     weights = [1.0 / (rank + 1) ** 0.5 for rank in range(CUSTOMERS)]
     jobs = []
@@ -105,25 +105,25 @@
         customer = rng.choices(range(CUSTOMERS), weights)[0]
         job_class = rng.randrange(3)
         base = bases[customer * 3 + job_class] / 1000.0
-        runs = tuple(_draw_run(rng, base) for _ in range(rng.randint(1, 24)))
-        jobs.append(Arrival(0.0, f"c{customer}", f"k{job_class}", runs))
-    work = sum(sum(job.runs) for job in jobs)
+        run_times_s = tuple(_generate_run(rng, base) for _ in range(rng.randint(1, 24)))
+        jobs.append(Arrival(0.0, f"c{customer}", f"k{job_class}", run_times_s))
+    work = sum(sum(job.run_times_s) for job in jobs)
     span = work / SLOTS / load
     times = sorted(rng.uniform(0.0, span) for _ in jobs)
     return [
-        Arrival(at, job.customer, job.job_class, job.runs)
+        Arrival(at, job.customer, job.job_class, job.run_times_s)
         for at, job in zip(times, jobs, strict=True)
     ]
 
 
-def _draw_run(rng: random.Random, base: float) -> float:
-    if rng.random() < LONG_PART:
+def _generate_run(rng: random.Random, base: float) -> float:
+    if rng.random() < LONG_FRACTION:
         return rng.uniform(2.0, 6.0)
     return base * rng.uniform(0.7, 1.4)
 
 
 def declare(rng: random.Random, run: float) -> TaskSpec:
-    """Declare a run time that is often far off."""
+    """Return a task that declares an often very inaccurate run time."""
     return TaskSpec(run_ms=run * 1000.0 * rng.lognormvariate(0.0, 0.7))
 
 
@@ -133,11 +133,11 @@
     rng: random.Random,
     admission: AdmissionController | None = None,
 ) -> list[Ended]:
-    """Run jobs on `SLOTS` equal slots and return each admitted one with its ratio."""
+    """Run jobs on `SLOTS` equal slots and return the admitted ones."""
     pending = list(jobs)[::-1]
     times = RunTimeEstimator()
     ends: list[tuple[float, int, NextTask]] = []
-    left: dict[int, int] = {}
+    remaining: dict[int, int] = {}
     known: dict[int, Arrival] = {}
     ended: list[Ended] = []
     free, now, sequence = SLOTS, 0.0, 0
@@ -145,36 +145,36 @@
         if pending and (not ends or pending[-1].at <= ends[0][0]):
             job = pending.pop()
             now, sequence = job.at, sequence + 1
-            queued = _queued(sequence, job, times, rng)
-            if admission and not _admitted(admission, queue, queued, free):
+            queued = _to_queued_job(sequence, job, times, rng)
+            if admission and not _is_admitted(admission, queue, queued, free):
                 continue
-            known[sequence], left[sequence] = job, len(job.runs)
+            known[sequence], remaining[sequence] = job, len(job.run_times_s)
             queue.add(queued)
         else:
             now, _, task = heapq.heappop(ends)
             free += 1
             number = task.job.submission.sequence
             arrival = known[number]
-            run_ms = arrival.runs[task.index] * 1000.0
+            run_ms = arrival.run_times_s[task.index] * 1000.0
             queue.task_ended(task.job, task.index, run_ms)
             times.observe(arrival.customer, arrival.job_class, task.spec, run_ms)
-            left[number] -= 1
-            if not left[number]:
+            remaining[number] -= 1
+            if not remaining[number]:
                 ended.append(Ended(arrival, _ratio(arrival, now)))
         while free and (task := queue.next_task(now, lambda spec: True)):
             free -= 1
             number = task.job.submission.sequence
-            entry = (now + known[number].runs[task.index], len(ended), task)
+            entry = (now + known[number].run_times_s[task.index], len(ended), task)
             heapq.heappush(ends, _Entry(entry))
     return ended
 
 
 def _ratio(arrival: Arrival, now: float) -> float:
-    ideal = max(arrival.runs) + ROUND_TRIP_S
+    ideal = max(arrival.run_times_s) + ROUND_TRIP_S
     return (now - arrival.at + ROUND_TRIP_S) / ideal
 
 
-def _admitted(
+def _is_admitted(
     admission: AdmissionController, queue: JobQueue, job: QueuedJob, free: int
 ) -> bool:
     name = job.customer
@@ -189,7 +189,7 @@
         queue.backlog_ms(name),
         SLOTS,
         weight / (weight + others),
-        (SLOTS - free) * MEAN_RESIDUE_MS,
+        (SLOTS - free) * MEAN_REMAINING_MS,
     )
     customer = Customer(name, SLOTS)
     return isinstance(
@@ -198,7 +198,7 @@
 
 
 class _Entry(tuple):
-    """Order ends by time alone."""
+    """An end of a task, ordered by its time only."""
 
     __slots__ = ()
 
@@ -209,45 +209,47 @@
         return self[0] < other[0]
 
 
-def _queued(
+def _to_queued_job(
     sequence: int, job: Arrival, times: RunTimeEstimator, rng: random.Random
 ) -> QueuedJob:
-    tasks = tuple(declare(rng, run) for run in job.runs)
+    tasks = tuple(declare(rng, run) for run in job.run_times_s)
     estimates = times.estimates_ms(job.customer, job.job_class, tasks)
     submission = SubmissionId(OWNER, sequence)
     return QueuedJob(submission, job.customer, tasks, estimates, job.at, NO_DEADLINE)
 
 
-def quantile(values: Iterable[float], part: float) -> float:
-    """Return the value below which a part of the values lies."""
+def quantile(values: Iterable[float], fraction: float) -> float:
+    """Return the value below which the given fraction of the values lies."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def with_burst(
     jobs: list[Arrival], rng: random.Random, count: int = 200
 ) -> list[Arrival]:
-    """Let one customer send 20 jobs a second on top of its own."""
+    """Add a burst of 20 additional jobs per second by one customer."""
     start = jobs[len(jobs) // 4].at
     extra = [
-        Arrival(start + place / 20.0, BURSTING, "k0", job.runs)
-        for place, job in enumerate(rng.sample(jobs, count))
+        Arrival(start + index / 20.0, BURST_CUSTOMER, "k0", job.run_times_s)
+        for index, job in enumerate(rng.sample(jobs, count))
     ]
     return sorted(jobs + extra, key=lambda job: job.at)
 
 
 def report(name: str, ended: list[Ended], offered: int) -> None:
-    """Print one line of figures."""
+    """Print one line of results."""
     ratios = [end.ratio for end in ended]
-    figures = [quantile(ratios, part) for part in (0.5, 0.99, 0.999)]
-    line = " ".join(f"{figure:8.2f}" for figure in figures)
-    late = sum(ratio > BOUND for ratio in ratios) / len(ratios)
-    kept_out = 1.0 - len(ended) / offered
-    sys.stdout.write(f"{name:36} {line} over 2: {late:.4f} out: {kept_out:.4f}\n")
+    quantiles = [quantile(ratios, fraction) for fraction in (0.5, 0.99, 0.999)]
+    line = " ".join(f"{value:8.2f}" for value in quantiles)
+    late = sum(ratio > MAX_RATIO for ratio in ratios) / len(ratios)
+    refused_fraction = 1.0 - len(ended) / offered
+    sys.stdout.write(
+        f"{name:36} {line} over 2: {late:.4f} out: {refused_fraction:.4f}\n"
+    )
 
 
 def main() -> None:
-    """Print p50, p99 and p99.9, the part over the bound and the part refused."""
+    """Print p50, p99 and p99.9, the fraction over the bound and that refused."""
     for load in (0.7, 0.9):
         jobs = arrivals(random.Random(7), load, COUNT)
         for name, make in ORDERS.items():
@@ -260,7 +262,7 @@
     jobs = with_burst(arrivals(random.Random(7), 0.7, COUNT), random.Random(9))
     for name, make in ORDERS.items():
         ended = run(make(), jobs, random.Random(8))
-        ended = [end for end in ended if end.arrival.customer != BURSTING]
+        ended = [end for end in ended if end.arrival.customer != BURST_CUSTOMER]
         report(f"70% and burst, others: {name}", ended, len(ended))
 
 
