--- a/jackdawspur/platform/__init__.py
+++ b/jackdawspur/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translation between the customers' platform and the product."""
+"""Adapters between the customers' platform and this product."""
 
 from jackdawspur.platform._callers import PlatformCallerCodec
 from jackdawspur.platform._settings import SETTINGS_VARIABLE, load_platform_settings
--- a/jackdawspur/platform/_bodies.py
+++ b/jackdawspur/platform/_bodies.py
@@ -1,7 +1,7 @@
-"""Bodies as the platform spells them.
+"""Wire formats of the platform's JSON bodies.
 
-Every name of a field here is the platform's; the types of the product say what each
-holds. Unknown fields are ignored, as the platform may add some.
+All field names are the platform's. The product's types into which these are translated
+document the fields. Unknown fields are ignored, as the platform may add some.
 """
 
 import msgspec
@@ -21,7 +21,7 @@
 
 
 class StepBody(msgspec.Struct):
-    """Spell a step of a job; `requires` and `affinity` are labels of upstreams."""
+    """Wire format of a job's step; `requires` and `affinity` are upstream labels."""
 
     count: int
     cpu: int = 0
@@ -38,7 +38,7 @@
 
 
 class JobBody(msgspec.Struct):
-    """Spell a job; `best_effort` means that it need not outlive its request."""
+    """Wire format of a job; with `best_effort` it needn't outlive its request."""
 
     steps: list[StepBody]
     spec: str = ""
@@ -48,7 +48,10 @@
 
 
 class RouteBody(msgspec.Struct):
-    """Spell a route; `slo_ms` is what the objective adds to the stretched work."""
+    """Wire format of a route.
+
+    The objective for a response is the work times `stretch`, plus `slo_ms`.
+    """
 
     name: str
     host: str
@@ -62,13 +65,13 @@
 
 
 class LimitsBody(msgspec.Struct, frozen=True):
-    """Spell the limits of requests."""
+    """Wire format of the limits of requests."""
 
     max_body_bytes: int = 262_144
 
 
 class ConfigurationBody(msgspec.Struct):
-    """Spell a configuration."""
+    """Wire format of a configuration."""
 
     version: int
     routes: list[RouteBody] = []
@@ -76,7 +79,7 @@
 
 
 class CapacityBody(msgspec.Struct, frozen=True):
-    """Spell what an upstream has; `cpu` in thousandths of a core."""
+    """Wire format of an upstream's resources; `cpu` in thousandths of a core."""
 
     cpu: int = 0
     mem_mb: int = 0
@@ -84,7 +87,7 @@
 
 
 class ServerBody(msgspec.Struct):
-    """Spell an upstream's entry."""
+    """Wire format of an upstream's entry in the store."""
 
     service: str
     address: str
@@ -95,7 +98,7 @@
 
 
 class RunStartBody(msgspec.Struct):
-    """Spell a start."""
+    """Wire format of a request to start a run."""
 
     task: str
     run: int
@@ -105,7 +108,7 @@
 
 
 class RunStopBody(msgspec.Struct):
-    """Spell a stop."""
+    """Wire format of a request to stop a run."""
 
     task: str
     run: int
@@ -113,7 +116,7 @@
 
 
 class HoldBody(msgspec.Struct, omit_defaults=True):
-    """Spell a look; `last_seen` takes note of the ends up to it."""
+    """Wire format of a poll; `last_seen` acknowledges all ended runs up to it."""
 
     fencing_token: int
     last_seen: int
@@ -122,9 +125,9 @@
 
 
 class HoldReply(msgspec.Struct):
-    """Spell what an upstream runs and what ended there, as rows.
+    """Wire format of a reply to a poll, with running and ended runs as rows.
 
-    `born` is when it started, in milliseconds since 1970.
+    `born` is the time when the upstream started, in milliseconds since 1970.
     """
 
     clock_ms: int
@@ -134,13 +137,13 @@
 
 
 class RefusalBody(msgspec.Struct):
-    """Spell why a call was refused."""
+    """Wire format of the reason for a refused call."""
 
     reason: str = ""
 
 
 class NewestItem(msgspec.Struct):
-    """Spell the newest record of a key; `value` is in base64."""
+    """Wire format of the newest record of a key; `value` is in base64."""
 
     key: str
     value: bytes = b""
@@ -148,7 +151,7 @@
 
 
 class NewestPage(msgspec.Struct):
-    """Spell a page of newest records."""
+    """Wire format of a page of newest records."""
 
     items: list[NewestItem] = []
     more: bool = False
@@ -156,7 +159,7 @@
 
 
 class HostBody(msgspec.Struct):
-    """Spell a host's own announcement, which only hosts read."""
+    """Wire format of a host's announcement, which only other hosts read."""
 
     name: str
     zone: str
--- a/jackdawspur/platform/_callers.py
+++ b/jackdawspur/platform/_callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests and replies as the platform's clients speak them."""
+"""HTTP requests and replies of callers in the platform's format."""
 
 import math
 
@@ -22,16 +22,16 @@
 MAX_SPEC_BYTES = 4000
 MAX_TASKS = 10_000
 JOB_ID_DIGITS = 16
-MOST_WAIT_DIGITS = 9
+MAX_WAIT_DIGITS = 9
 MS_PER_S = 1000.0
-STATUS_OF_END = {
+STATUS_BY_END = {
     JobEnd.COMPLETE: 200,
     JobEnd.FAILED: 200,
     JobEnd.REFUSED: 429,
     JobEnd.OUT_OF_TIME: 504,
     JobEnd.LOST: 502,
 }
-STATE_OF_END = {JobEnd.COMPLETE: "completed", JobEnd.FAILED: "failed"}
+STATE_BY_END = {JobEnd.COMPLETE: "completed", JobEnd.FAILED: "failed"}
 
 _decode_job = msgspec.json.Decoder(JobBody).decode
 _decode_configuration = msgspec.json.Decoder(ConfigurationBody).decode
@@ -51,49 +51,53 @@
 
 
 class PlatformCallerCodec(CallerPort):
-    """Read clients' calls and write their replies."""
+    """Decodes callers' requests and encodes the replies."""
 
     def decode_call(
         self, call: Call, routes: RouteTable
     ) -> CallerRequest | HttpResponse:
-        """Return what a caller asks, or the refusal of what can't be understood."""
+        """Return the decoded request, or the refusal of an invalid one."""
         host = call.headers.get("Host", "").partition(":")[0]
         route = routes.find(host, call.path)
         if route is None:
-            return _error(404, "no route has this host and path")
-        job = call.path[len(route.path_prefix) :]
-        if not job:
+            return _error_response(404, "no route matches this host and path")
+        job_id = call.path[len(route.path_prefix) :]
+        if not job_id:
             if call.method != "GET":
-                return _error(405, "expected GET of a route, or a job's id")
+                return _error_response(405, "expected GET, or a job id in the path")
             return CallerRequest(RequestKind.COUNT, route, "", None, None)
-        if not _is_id(job):
-            return _error(400, f"id: {JOB_ID_DIGITS} hexadecimal digits expected")
-        return self._read_job_call(call, route, job)
+        if not _is_job_id(job_id):
+            return _error_response(
+                400, f"id: {JOB_ID_DIGITS} hexadecimal digits expected"
+            )
+        return self._read_job_call(call, route, job_id)
 
     def _read_job_call(
-        self, call: Call, route: Route, job: str
+        self, call: Call, route: Route, job_id: str
     ) -> CallerRequest | HttpResponse:
         if call.method == "GET":
-            return CallerRequest(RequestKind.STATE, route, job, None, None)
+            return CallerRequest(RequestKind.STATE, route, job_id, None, None)
         if call.method == "DELETE":
-            return CallerRequest(RequestKind.CANCEL, route, job, None, None)
+            return CallerRequest(RequestKind.CANCEL, route, job_id, None, None)
         if call.method != "POST":
-            return _error(405, "expected POST, GET or DELETE")
+            return _error_response(405, "expected POST, GET or DELETE")
         try:
-            request = _request(job, route, _decode_job(call.body))
+            request = _to_job_request(job_id, route, _decode_job(call.body))
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
-            return _error(400, str(error))
+            return _error_response(400, str(error))
         if isinstance(request, HttpResponse):
             return request
-        patience = _patience_s(call.headers.get("X-Deadline-Ms"))
-        return CallerRequest(RequestKind.SUBMIT, route, job, request, patience)
+        caller_timeout_s = _caller_timeout_s(call.headers.get("X-Deadline-Ms"))
+        return CallerRequest(
+            RequestKind.SUBMIT, route, job_id, request, caller_timeout_s
+        )
 
     def encode_outcome(self, outcome: JobOutcome) -> HttpResponse:
         """Return the reply to a submission."""
-        status = STATUS_OF_END[outcome.end]
+        status = STATUS_BY_END[outcome.end]
         if outcome.not_run and outcome.end is JobEnd.OUT_OF_TIME:
             status = 503
-        state = STATE_OF_END.get(outcome.end)
+        state = STATE_BY_END.get(outcome.end)
         if state is not None:
             return HttpResponse(status, msgspec.json.encode(_StateReply(state)))
         body = _ErrorReply(outcome.reason, outcome.not_run)
@@ -101,19 +105,19 @@
         return HttpResponse(status, msgspec.json.encode(body), retry)
 
     def encode_waiting_count(self, waiting: int) -> HttpResponse:
-        """Return the reply to a question how many jobs wait."""
+        """Return the reply to a request for the number of waiting jobs."""
         return HttpResponse(200, msgspec.json.encode(_WaitingReply(waiting)))
 
     def encode_unknown_job(self) -> HttpResponse:
-        """Return the reply to a question about a job that is not here."""
-        return _error(410, "no such job")
+        """Return the reply to a request for a job that this host doesn't know."""
+        return _error_response(410, "no such job")
 
     def encode_cancelled(self) -> HttpResponse:
-        """Return the reply to a cancel that was carried out."""
+        """Return the reply to a successful cancellation."""
         return HttpResponse(200, msgspec.json.encode(_StateReply("cancelled")))
 
     def encode_not_ready(self, reason: str) -> HttpResponse:
-        """Return the refusal of a host that can't serve yet."""
+        """Return the refusal by a host that isn't ready."""
         body = msgspec.json.encode(_ErrorReply(reason))
         return HttpResponse(503, body, retry_after_s=1)
 
@@ -123,11 +127,11 @@
             body = _decode_configuration(document)
         except (msgspec.DecodeError, RecursionError) as error:
             raise ConfigurationDecodeError(str(error)) from error
-        routes = tuple(_route(one) for one in body.routes)
+        routes = tuple(_to_route(route) for route in body.routes)
         return RouteTable(body.version, routes, body.limits.max_body_bytes)
 
 
-def _route(body: RouteBody) -> Route:
+def _to_route(body: RouteBody) -> Route:
     return Route(
         name=body.name,
         host=body.host,
@@ -141,28 +145,30 @@
     )
 
 
-def _request(job: str, route: Route, body: JobBody) -> JobRequest | HttpResponse:
+def _to_job_request(
+    job_id: str, route: Route, body: JobBody
+) -> JobRequest | HttpResponse:
     if len(body.spec.encode()) > MAX_SPEC_BYTES:
         raise ValueError(f"spec: at most {MAX_SPEC_BYTES} bytes expected")
     if not body.steps:
         raise ValueError("steps: at least one expected")
-    lasting = body.long_running or any(step.long_running for step in body.steps)
-    together = any(step.gang or step.speculative for step in body.steps)
-    if not body.best_effort or body.repeat_count or lasting or together:
-        return _error(503, "this kind of job is not served here")
-    steps = tuple(_step(number, step) for number, step in enumerate(body.steps))
+    long_running = body.long_running or any(step.long_running for step in body.steps)
+    gang_or_speculative = any(step.gang or step.speculative for step in body.steps)
+    if not body.best_effort or body.repeat_count or long_running or gang_or_speculative:
+        return _error_response(503, "this host doesn't serve jobs of this kind")
+    steps = tuple(_to_step(number, step) for number, step in enumerate(body.steps))
     if sum(step.count for step in steps) > MAX_TASKS:
         raise ValueError(f"steps: at most {MAX_TASKS} tasks expected")
-    return JobRequest(job, body.spec, steps, route)
+    return JobRequest(job_id, body.spec, steps, route)
 
 
-def _step(number: int, body: StepBody) -> JobStep:
+def _to_step(number: int, body: StepBody) -> JobStep:
     if body.count < 1:
         raise ValueError(f"steps[{number}].count: at least 1 expected")
     if min(body.cpu, body.mem_mb, body.gpus, body.max_per_server) < 0:
-        raise ValueError(f"steps[{number}]: negative numbers are not taken")
+        raise ValueError(f"steps[{number}]: numbers must not be negative")
     if any(not 0 <= earlier < number for earlier in body.after):
-        raise ValueError(f"steps[{number}].after: numbers of earlier steps expected")
+        raise ValueError(f"steps[{number}].after: indexes of earlier steps expected")
     return JobStep(
         count=body.count,
         resources=Resources(body.cpu, body.mem_mb, body.gpus),
@@ -174,17 +180,17 @@
     )
 
 
-def _is_id(text: str) -> bool:
+def _is_job_id(text: str) -> bool:
     digits = "0123456789abcdefABCDEF"
     return len(text) == JOB_ID_DIGITS and all(c in digits for c in text)
 
 
-def _patience_s(text: str | None) -> float | None:
+def _caller_timeout_s(text: str | None) -> float | None:
     digits = (text or "").strip()
-    if not (digits.isascii() and digits.isdigit() and len(digits) <= MOST_WAIT_DIGITS):
+    if not (digits.isascii() and digits.isdigit() and len(digits) <= MAX_WAIT_DIGITS):
         return None
     return int(digits) / MS_PER_S
 
 
-def _error(status: int, text: str) -> HttpResponse:
+def _error_response(status: int, text: str) -> HttpResponse:
     return HttpResponse(status, msgspec.json.encode(_ErrorReply(text)))
--- a/jackdawspur/platform/_settings.py
+++ b/jackdawspur/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as the product's own settings."""
+"""Loading of the platform's settings file into the product's settings."""
 
 import os
 from pathlib import Path
@@ -8,15 +8,15 @@
 __all__ = ["SETTINGS_VARIABLE", "load_platform_settings"]
 
 SETTINGS_VARIABLE = "JACKDAWSPUR_CONFIG"
-# Where the deploy file says that counters are served; links use the first port of the
-# range that is free for hosts.
+# Port of the metrics endpoint, as given in the deploy file. Links between hosts use the
+# first port of `port_range`, which hosts may use freely.
 METRICS_PORT = 9464
 
 
 def load_platform_settings(path: str | None = None) -> HostSettings:
-    """Return the checked settings of a file; raise `SettingsError`.
+    """Return the validated settings in a file; raise `SettingsError` if invalid.
 
-    Without a path the environment names the file.
+    Without `path` the file is taken from the environment variable.
     """
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
@@ -25,13 +25,16 @@
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
-    return settings_of(_fields(text), path)
+    return to_host_settings(_parse_fields(text), path)
 
 
-def settings_of(fields: dict[str, str], path: str) -> HostSettings:
-    """Return the product's settings of the platform's fields; name all wrong ones."""
+def to_host_settings(fields: dict[str, str], path: str) -> HostSettings:
+    """Return the product's settings for the platform's fields.
+
+    Raise `SettingsError` that names all invalid fields.
+    """
     ip, ports = fields.get("ip", ""), fields.get("port_range", "")
-    data = {
+    values = {
         "name": fields.get("node_name"),
         "zone": fields.get("zone"),
         "callers": fields.get("listen.front"),
@@ -40,17 +43,17 @@
         "metrics": f"{ip}:{METRICS_PORT}",
         "store": fields.get("platform.address"),
         "grace_s": fields.get("bounds.grace_s"),
-        "processor": _processor(fields),
+        "processor": _processor_cores(fields),
         "link_mbps": fields.get("limits.link_mbps"),
     }
-    given = {name: value for name, value in data.items() if value}
+    set_values = {name: value for name, value in values.items() if value}
     return check_host_settings(
-        given, path, display_names=_FIELD_OF, numbers_as_text=True
+        set_values, path, display_names=_PLATFORM_FIELD_NAMES, numbers_as_text=True
     )
 
 
-# What the product calls differently, for messages about wrong values.
-_FIELD_OF = {
+# The platform's names of fields that the product names differently, for error messages.
+_PLATFORM_FIELD_NAMES = {
     "name": "node_name",
     "callers": "listen.front",
     "ready": "listen.ready",
@@ -63,8 +66,8 @@
 }
 
 
-def _processor(fields: dict[str, str]) -> float | str | None:
-    """Return the host's cores; a text that is no number is left to the checks."""
+def _processor_cores(fields: dict[str, str]) -> float | str | None:
+    """Return the number of cores, or a text that validation will reject."""
     share, cores = fields.get("limits.cpu_share"), fields.get("limits.cores")
     if not share:
         return None
@@ -74,6 +77,8 @@
         return f"{share} x {cores}"
 
 
-def _fields(text: str) -> dict[str, str]:
+def _parse_fields(text: str) -> dict[str, str]:
     pairs = (line.partition("=") for line in text.splitlines())
-    return {name.strip(): value.strip() for name, sep, value in pairs if sep}
+    return {
+        name.strip(): value.strip() for name, separator, value in pairs if separator
+    }
--- a/jackdawspur/platform/_topics.py
+++ b/jackdawspur/platform/_topics.py
@@ -1,4 +1,4 @@
-"""Following one keyed topic of the platform's store."""
+"""A reader that follows a keyed topic of the platform's store."""
 
 import struct
 from collections.abc import Callable
@@ -12,31 +12,34 @@
 from jackdawspur.external import PlatformError
 from jackdawspur.platform._bodies import NewestPage
 
-__all__ = ["KeyedTopic", "UnreadableRecords"]
+__all__ = ["KeyedTopic", "RecordsDecodeError"]
 
-# A long read is answered after this at the latest. One without an answer shows a
-# channel that went silent: with `ANSWER_S` that is known within the 3 s in which a host
-# counts as disturbed after such a loss, and half as many calls are made as with 1 s.
-WAIT_MS = 2000
-ANSWER_S = 0.6
-AGAIN_S = 0.15
+# The store answers a long poll after at most this time. A missing answer reveals that
+# the connection became unresponsive. With ANSWER_S added that is detected within the
+# 3 s in which a host may be disturbed after such a loss, and with half as many calls as
+# a wait of 1 s would need.
+LONG_POLL_WAIT_MS = 2000
+REPLY_TIMEOUT_S = 0.6
+RETRY_S = 0.15
 MS_PER_S = 1000.0
 GONE = 410
 
-Changed = Callable[[dict[str, bytes], bool], None]
+OnChange = Callable[[dict[str, bytes], bool], None]
 
 _decode_page = msgspec.json.Decoder(NewestPage).decode
 
 
-class UnreadableRecords(JackdawspurError):
-    """Raise when the store's bytes are no records."""
+class RecordsDecodeError(JackdawspurError):
+    """Raised when bytes from the store can't be decoded as records."""
 
 
 class KeyedTopic:
-    """Read the newest record of each key, then each change of them.
+    """Reads the newest record of each key and then follows all changes.
 
-    `changed` gets values by key, an empty one for a key that was dropped, and whether
-    these are all keys. `pause_s` tells how long to wait before the next read.
+    `on_change` gets the values by key, where an empty value means a deleted key, and a
+    flag that is true if these are all keys. `on_reachability` gets a flag and the
+    reason of a failure after each read. `pause_s` returns the seconds to wait before
+    the next read.
     """
 
     def __init__(
@@ -44,22 +47,22 @@
         topic: str,
         client: HttpClient,
         timer_queue: TimerQueue,
-        changed: Changed,
-        reached: Callable[[bool, str], None],
+        on_change: OnChange,
+        on_reachability: Callable[[bool, str], None],
         pause_s: Callable[[], float],
     ) -> None:
         self._topic = topic
         self._client = client
         self._timer_queue = timer_queue
-        self._changed = changed
-        self._reached = reached
+        self._on_change = on_change
+        self._on_reachability = on_reachability
         self._pause_s = pause_s
         self._offset: int | None = None
         self._page: dict[str, bytes] = {}
         self._page_end = 0
 
-    def begin(self) -> None:
-        """Read all keys, then follow."""
+    def start(self) -> None:
+        """Read all keys, then follow changes."""
         self._offset = None
         self._page = {}
         self._page_end = 0
@@ -69,82 +72,84 @@
         path = f"/log-newest?topic={self._topic}&part=0"
         if after is not None:
             path += f"&after={quote(after)}"
-        self._client.request("GET", path, b"", ANSWER_S, self._page_read)
+        self._client.request("GET", path, b"", REPLY_TIMEOUT_S, self._on_page)
 
-    def _page_read(self, result: Result[ClientResponse, PlatformError]) -> None:
-        if not self._answered(result):
-            self._timer_queue.call_later(AGAIN_S, self.begin)
+    def _on_page(self, result: Result[ClientResponse, PlatformError]) -> None:
+        if not self._check_reply(result):
+            self._timer_queue.call_later(RETRY_S, self.start)
             return
         try:
             page = _decode_page(result.ok_value.body)
         except msgspec.DecodeError as error:
-            self._reached(False, f"{self._topic}: {error}")
-            self._timer_queue.call_later(AGAIN_S, self.begin)
+            self._on_reachability(False, f"{self._topic}: {error}")
+            self._timer_queue.call_later(RETRY_S, self.start)
             return
-        # Pages are no snapshot: what changes meanwhile is read after the first's end.
+        # Pages are not a snapshot. Records written while they are read are followed
+        # from the end offset of the first page.
         self._page_end = self._page_end or page.end
         self._page.update({item.key: item.value for item in page.items})
         if page.more and page.items:
             self._read_page(page.items[-1].key)
             return
         self._offset = self._page_end
-        self._changed(self._page, True)
-        self._read_on()
+        self._on_change(self._page, True)
+        self._follow()
 
-    def _read_on(self) -> None:
+    def _follow(self) -> None:
         path = (
             f"/log-read?topic={self._topic}&part=0"
-            f"&from={self._offset}&wait_ms={WAIT_MS}"
+            f"&from={self._offset}&wait_ms={LONG_POLL_WAIT_MS}"
         )
-        limit_s = WAIT_MS / MS_PER_S + ANSWER_S
-        self._client.request("GET", path, b"", limit_s, self._records_read)
+        timeout_s = LONG_POLL_WAIT_MS / MS_PER_S + REPLY_TIMEOUT_S
+        self._client.request("GET", path, b"", timeout_s, self._on_records)
 
-    def _records_read(self, result: Result[ClientResponse, PlatformError]) -> None:
+    def _on_records(self, result: Result[ClientResponse, PlatformError]) -> None:
         if result.is_ok() and result.ok_value.status == GONE:
-            self.begin()
+            self.start()
             return
-        if not self._answered(result):
-            self._timer_queue.call_later(AGAIN_S, self._read_on)
+        if not self._check_reply(result):
+            self._timer_queue.call_later(RETRY_S, self._follow)
             return
         try:
-            changed, read = _records(result.ok_value.body)
-        except UnreadableRecords as error:
-            self._reached(False, f"{self._topic}: {error}")
-            self._timer_queue.call_later(AGAIN_S, self.begin)
+            changed, record_count = _decode_records(result.ok_value.body)
+        except RecordsDecodeError as error:
+            self._on_reachability(False, f"{self._topic}: {error}")
+            self._timer_queue.call_later(RETRY_S, self.start)
             return
-        self._offset += read
-        self._changed(changed, False)
-        self._timer_queue.call_later(self._pause_s(), self._read_on)
+        self._offset += record_count
+        self._on_change(changed, False)
+        self._timer_queue.call_later(self._pause_s(), self._follow)
 
-    def _answered(self, result: Result[ClientResponse, PlatformError]) -> bool:
+    def _check_reply(self, result: Result[ClientResponse, PlatformError]) -> bool:
         if result.is_err():
-            self._reached(False, f"{self._topic}: {result.err_value}")
+            self._on_reachability(False, f"{self._topic}: {result.err_value}")
             return False
         status = result.ok_value.status
-        self._reached(status == 200, f"{self._topic}: status {status}")
+        self._on_reachability(status == 200, f"{self._topic}: status {status}")
         return status == 200
 
 
-def _records(data: bytes) -> tuple[dict[str, bytes], int]:
-    """Return the newest value by key and the number of records; raise on nonsense.
+def _decode_records(data: bytes) -> tuple[dict[str, bytes], int]:
+    """Return the newest value by key and the number of records.
 
-    The first 16 bytes are the end and the first offset kept; each record is a length
-    of four bytes, the length of its key in one, the key and the value.
+    The first 16 bytes are the end offset and the first retained offset. Each record has
+    its length in four bytes, the length of its key in one byte, the key and the value.
+    Raise `RecordsDecodeError` if the data is malformed.
     """
     if len(data) < 16:
-        raise UnreadableRecords("shorter than its head")
+        raise RecordsDecodeError("shorter than the header")
     changed: dict[str, bytes] = {}
-    at, count = 16, 0
-    while at < len(data):
-        if at + 5 > len(data):
-            raise UnreadableRecords("a record's head is cut off")
-        (length,) = struct.unpack_from(">I", data, at)
-        record = data[at + 4 : at + 4 + length]
+    position, count = 16, 0
+    while position < len(data):
+        if position + 5 > len(data):
+            raise RecordsDecodeError("truncated record header")
+        (length,) = struct.unpack_from(">I", data, position)
+        record = data[position + 4 : position + 4 + length]
         if len(record) < length or length < 1 or record[0] + 1 > length:
-            raise UnreadableRecords("a record is cut off")
+            raise RecordsDecodeError("truncated record")
         key = record[1 : 1 + record[0]].decode(errors="replace")
         changed.pop(key, None)
         changed[key] = record[1 + record[0] :]
-        at += 4 + length
+        position += 4 + length
         count += 1
     return changed, count
--- a/jackdawspur/platform/tests/__init__.py
+++ b/jackdawspur/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of jackdawspur.platform."""
+"""Tests of the adapters to the customers' platform."""
--- a/jackdawspur/platform/tests/test_callers.py
+++ b/jackdawspur/platform/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Clients' requests are understood or refused with the field's name."""
+"""Tests that callers' requests are decoded, or refused with the field's name."""
 
 import json
 
@@ -43,46 +43,46 @@
 
 
 @pytest.fixture
-def callers() -> PlatformCallerCodec:
+def codec() -> PlatformCallerCodec:
     return PlatformCallerCodec()
 
 
 @pytest.fixture
-def routes(callers: PlatformCallerCodec) -> RouteTable:
-    return callers.decode_configuration(json.dumps(CONFIGURATION).encode())
+def routes(codec: PlatformCallerCodec) -> RouteTable:
+    return codec.decode_configuration(json.dumps(CONFIGURATION).encode())
 
 
 def call(method: str, path: str, body: object = None, host="a.example", **headers):
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    every = Headers([("Host", host), *headers.items()])
-    return Call(1, method, path, "", every, data)
+    all_headers = Headers([("Host", host), *headers.items()])
+    return Call(1, method, path, "", all_headers, data)
 
 
-def test_a_job_is_read_with_its_route_and_patience(callers, routes):
-    asked = callers.decode_call(
+def test_job_is_decoded_with_its_route_and_timeout(codec, routes):
+    request = codec.decode_call(
         call("POST", f"/p/{ID}", JOB, **{"X-Deadline-Ms": "700"}), routes
     )
-    assert asked.kind is RequestKind.SUBMIT
-    assert asked.caller_timeout_s == 0.7
-    assert asked.request.steps[0].resources.cpu_millis == 500
-    assert asked.request.route.margin_ms == 60
+    assert request.kind is RequestKind.SUBMIT
+    assert request.caller_timeout_s == 0.7
+    assert request.request.steps[0].resources.cpu_millis == 500
+    assert request.request.route.margin_ms == 60
 
 
-# Guards against a request without any reply, for a header that is no number.
-@pytest.mark.parametrize("stated", ["", "soon", "-5", "1.5", "\u00b2", "9" * 5000])
-def test_an_unreadable_wait_counts_as_none_stated(callers, routes, stated):
-    headers = {"X-Deadline-Ms": stated}
-    asked = callers.decode_call(call("POST", f"/p/{ID}", JOB, **headers), routes)
-    assert asked.caller_timeout_s is None
+# Guards against a request that is never answered because its header is not a number.
+@pytest.mark.parametrize("header", ["", "soon", "-5", "1.5", "\u00b2", "9" * 5000])
+def test_invalid_timeout_header_is_ignored(codec, routes, header):
+    headers = {"X-Deadline-Ms": header}
+    request = codec.decode_call(call("POST", f"/p/{ID}", JOB, **headers), routes)
+    assert request.caller_timeout_s is None
 
 
-def test_the_longest_prefix_wins(callers, routes):
-    asked = callers.decode_call(call("GET", "/p/deep/"), routes)
-    assert asked.route.name == "r-2"
+def test_the_longest_prefix_wins(codec, routes):
+    request = codec.decode_call(call("GET", "/p/deep/"), routes)
+    assert request.route.name == "r-2"
 
 
 @pytest.mark.parametrize(
-    ("body", "named"),
+    ("body", "expected_text"),
     [
         (b"no json", "JSON"),
         ([], "object"),
@@ -96,11 +96,13 @@
         ({**JOB, "steps": [{"count": 20_000}]}, "tasks"),
     ],
 )
-def test_a_body_that_is_no_job_is_refused_by_name(callers, routes, body, named):
-    reply = callers.decode_call(call("POST", f"/p/{ID}", body), routes)
+def test_invalid_job_is_refused_with_the_name_of_the_field(
+    codec, routes, body, expected_text
+):
+    reply = codec.decode_call(call("POST", f"/p/{ID}", body), routes)
     assert isinstance(reply, HttpResponse)
     assert reply.status == 400
-    assert named in json.loads(reply.body)["error"]
+    assert expected_text in json.loads(reply.body)["error"]
 
 
 @pytest.mark.parametrize(
@@ -113,14 +115,16 @@
         ("POST", "/p/", "a.example", 405),
     ],
 )
-def test_what_does_not_exist_is_refused(callers, routes, method, path, host, status):
-    reply = callers.decode_call(call(method, path, JOB, host), routes)
+def test_unknown_paths_and_methods_are_refused(
+    codec, routes, method, path, host, status
+):
+    reply = codec.decode_call(call(method, path, JOB, host), routes)
     assert reply.status == status
 
 
-def test_a_kind_of_job_not_served_is_refused_as_not_run(callers, routes):
+def test_unsupported_kind_of_job_is_refused_as_not_run(codec, routes):
     for change in ({"best_effort": False}, {"repeat_count": 2}):
-        reply = callers.decode_call(call("POST", f"/p/{ID}", {**JOB, **change}), routes)
+        reply = codec.decode_call(call("POST", f"/p/{ID}", {**JOB, **change}), routes)
         assert reply.status == 503
         assert json.loads(reply.body)["not_run"] is True
 
@@ -136,13 +140,13 @@
         (JobOutcome(JobEnd.LOST, False), 502),
     ],
 )
-def test_each_end_has_its_status(callers, outcome, status):
-    reply = callers.encode_outcome(outcome)
+def test_status_code_of_each_end(codec, outcome, status):
+    reply = codec.encode_outcome(outcome)
     assert reply.status == status
     assert reply.retry_after_s == (2 if outcome.retry_after_s else 0)
 
 
 @pytest.mark.parametrize("text", [b"", b"[]", b'{"version":"x"}', b'{"routes":[]}'])
-def test_an_unreadable_configuration_is_an_error(callers, text):
+def test_malformed_configuration_raises_an_error(codec, text):
     with pytest.raises(ConfigurationDecodeError):
-        callers.decode_configuration(text)
+        codec.decode_configuration(text)
--- a/jackdawspur/platform/tests/test_entries.py
+++ b/jackdawspur/platform/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer left in the store name no upstream; the others hold."""
+"""Tests that invalid entries in the store are ignored and don't affect the others."""
 
 import json
 import logging
@@ -8,7 +8,7 @@
 from circuits import Component
 
 from jackdawspur.platform import PlatformStore
-from jackdawspur.platform._entries import UnreadableEntry, read_host, read_upstream
+from jackdawspur.platform._entries import EntryDecodeError, read_host, read_upstream
 
 VALID_UPSTREAM_ENTRY = {
     "service": "roster",
@@ -38,20 +38,20 @@
 
 
 @pytest.fixture
-def seen() -> list:
+def reported_upstreams() -> list:
     return []
 
 
 @pytest.fixture
-def store(seen: list) -> PlatformStore:
-    one = PlatformStore("127.0.0.1:1", Component(), SimpleNamespace(now=1.0))
-    one._listener = SimpleNamespace(
-        on_upstreams=seen.append, on_hosts=lambda hosts: None
+def store(reported_upstreams: list) -> PlatformStore:
+    store = PlatformStore("127.0.0.1:1", Component(), SimpleNamespace(now=1.0))
+    store._listener = SimpleNamespace(
+        on_upstreams=reported_upstreams.append, on_hosts=lambda hosts: None
     )
-    return one
+    return store
 
 
-def test_a_sound_entry_names_its_upstream():
+def test_valid_entry_is_decoded():
     entry = read_upstream("i-1", with_changes(VALID_UPSTREAM_ENTRY))
     assert (entry.id.name, entry.service, entry.draining) == ("i-1", "roster", False)
     assert read_upstream(
@@ -60,10 +60,10 @@
 
 
 @pytest.mark.parametrize("data", BYTES)
-def test_unreadable_bytes_name_nothing(data: bytes):
-    with pytest.raises(UnreadableEntry):
+def test_malformed_bytes_raise_an_error(data: bytes):
+    with pytest.raises(EntryDecodeError):
         read_upstream("i-1", data)
-    with pytest.raises(UnreadableEntry):
+    with pytest.raises(EntryDecodeError):
         read_host(data)
 
 
@@ -93,17 +93,17 @@
         ("labels", [1]),
     ],
 )
-def test_a_wrong_field_names_no_upstream_and_is_named(field: str, value):
-    with pytest.raises(UnreadableEntry, match=field.replace("zone", "zone|empty")):
+def test_invalid_field_raises_an_error_with_its_name(field: str, value):
+    with pytest.raises(EntryDecodeError, match=field.replace("zone", "zone|empty")):
         read_upstream("i-1", with_changes(VALID_UPSTREAM_ENTRY, **{field: value}))
 
 
 @pytest.mark.parametrize("field", ["service", "address", "zone"])
-def test_a_missing_field_names_no_upstream(field: str):
+def test_missing_field_raises_an_error_with_its_name(field: str):
     rest = {
         name: value for name, value in VALID_UPSTREAM_ENTRY.items() if name != field
     }
-    with pytest.raises(UnreadableEntry, match=field):
+    with pytest.raises(EntryDecodeError, match=field):
         read_upstream("i-1", with_changes(rest))
 
 
@@ -119,14 +119,14 @@
         ("processor", 1e300),
     ],
 )
-def test_a_wrong_host_entry_names_no_host(field: str, value):
-    with pytest.raises(UnreadableEntry):
+def test_invalid_host_entry_raises_an_error(field: str, value):
+    with pytest.raises(EntryDecodeError):
         read_host(with_changes(VALID_HOST_ENTRY, **{field: value}))
 
 
-def test_an_entry_that_became_unreadable_is_used_no_more(store, seen, caplog):
-    # Jobs go to an address that is not an upstream's any more: another writer had
-    # overwritten its entry, and what it said before was kept.
+def test_entry_that_became_invalid_is_no_longer_used(store, reported_upstreams, caplog):
+    # Guards against jobs sent to an address that no longer is an upstream's: another
+    # writer had overwritten its entry, and the previous entry stayed in use.
     names = ("i-1", "i-2")
     store._servers_wrote(
         {name: with_changes(VALID_UPSTREAM_ENTRY) for name in names}, True
@@ -136,8 +136,8 @@
             store._servers_wrote(
                 {"i-1": with_changes(VALID_UPSTREAM_ENTRY, state="?")}, False
             )
-    assert [entry.id.name for entry in seen[-1]] == ["i-2"]
+    assert [entry.id.name for entry in reported_upstreams[-1]] == ["i-2"]
     (line,) = caplog.records
     assert "state" in line.reason
     store._servers_wrote({"i-1": with_changes(VALID_UPSTREAM_ENTRY)}, False)
-    assert {entry.id.name for entry in seen[-1]} == set(names)
+    assert {entry.id.name for entry in reported_upstreams[-1]} == set(names)
--- a/jackdawspur/platform/tests/test_evacuated.py
+++ b/jackdawspur/platform/tests/test_evacuated.py
@@ -1,4 +1,4 @@
-"""The zones that the operator evacuates are read from the store, until taken back."""
+"""Tests that evacuated zones are read from the store until the operator ends that."""
 
 from types import SimpleNamespace
 
@@ -11,34 +11,34 @@
 
 
 @pytest.fixture
-def heard() -> list[frozenset[str]]:
-    """Return what the host heard, in order."""
+def reported_zones() -> list[frozenset[str]]:
+    """Return the sets of evacuated zones reported to the host, in order."""
     return []
 
 
 @pytest.fixture
-def store(heard) -> PlatformStore:
+def store(reported_zones) -> PlatformStore:
     timers = SimpleNamespace(now=0.0, call_later=lambda seconds, action: None)
-    one = PlatformStore("127.0.0.1:1", Component(), timers)
-    one._listener = SimpleNamespace(on_evacuated_zones=heard.append)
-    return one
+    store = PlatformStore("127.0.0.1:1", Component(), timers)
+    store._listener = SimpleNamespace(on_evacuated_zones=reported_zones.append)
+    return store
 
 
-def test_a_zone_is_evacuated_until_its_key_is_dropped(store, heard):
+def test_zone_is_evacuated_until_its_key_is_deleted(store, reported_zones):
     store._operator_wrote({KEY: b"{}"}, False)
     store._operator_wrote({"evacuate/z2": b"{}"}, False)
     store._operator_wrote({KEY: b""}, False)
-    assert heard == [{"z1"}, {"z1", "z2"}, {"z2"}]
+    assert reported_zones == [{"z1"}, {"z1", "z2"}, {"z2"}]
 
 
-def test_a_key_that_is_missing_when_all_are_read_has_ended(store, heard):
+def test_key_missing_in_a_snapshot_ends_the_evacuation(store, reported_zones):
     store._operator_wrote({KEY: b"{}"}, False)
     store._operator_wrote({}, True)
-    assert heard == [{"z1"}, frozenset()]
+    assert reported_zones == [{"z1"}, frozenset()]
 
 
-def test_what_does_not_change_is_told_once(store, heard):
-    for whole in (True, False, True):
-        store._operator_wrote({KEY: b"{}"}, whole)
+def test_unchanged_zones_are_reported_once(store, reported_zones):
+    for is_snapshot in (True, False, True):
+        store._operator_wrote({KEY: b"{}"}, is_snapshot)
     store._operator_wrote({"wave/1": b"{}"}, False)
-    assert heard == [{"z1"}]
+    assert reported_zones == [{"z1"}]
--- a/jackdawspur/platform/tests/test_reading.py
+++ b/jackdawspur/platform/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""How often the store is read, and by whom."""
+"""Tests of the rate at which a topic of the store is read."""
 
 import struct
 from collections.abc import Callable
@@ -15,32 +15,32 @@
 
 
 class Store:
-    """Answer each read at once, and keep what was asked for."""
+    """A store that answers each read at once and records the paths."""
 
     def __init__(self) -> None:
         self.paths: list[str] = []
 
-    def request(self, method: str, path: str, body: bytes, limit_s: float, done):
+    def request(self, method: str, path: str, body: bytes, timeout_s: float, done):
         self.paths.append(path)
         page = FIRST_PAGE if path.startswith("/log-newest") else NOTHING_NEW
         done(Ok(ClientResponse(200, page)))
 
 
 class Timers:
-    """Keep what is to be done later; time passes as it is told."""
+    """A timer queue in virtual time, which `pass_s` advances."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._later: list[tuple[float, Callable[[], None]]] = []
+        self._scheduled: list[tuple[float, Callable[[], None]]] = []
 
     def call_later(self, seconds: float, action: Callable[[], None]) -> None:
-        self._later.append((self.now + seconds, action))
+        self._scheduled.append((self.now + seconds, action))
 
     def pass_s(self, seconds: float) -> None:
         end = self.now + seconds
-        while self._later and min(at for at, _ in self._later) <= end:
-            self.now, action = min(self._later, key=lambda one: one[0])
-            self._later.remove((self.now, action))
+        while self._scheduled and min(due for due, _ in self._scheduled) <= end:
+            self.now, action = min(self._scheduled, key=lambda scheduled: scheduled[0])
+            self._scheduled.remove((self.now, action))
             action()
         self.now = end
 
@@ -55,21 +55,21 @@
     return Timers()
 
 
-def test_a_topic_is_read_as_often_as_it_is_wanted(store: Store, timers: Timers):
-    # Calls to the store are paid for: every host read the list of upstreams 2.5 times
-    # a second, though only one of them leads.
-    wanted_s = [1.5]
+def test_topic_is_read_at_the_wanted_interval(store: Store, timers: Timers):
+    # Guards against needless cost, as the store's calls are charged: every host read
+    # the list of upstreams 2.5 times a second, although only one host is the leader.
+    interval_s = [1.5]
     KeyedTopic(
         "keyed.x",
         store,
         timers,
-        lambda changed, whole: None,
+        lambda changed, is_snapshot: None,
         lambda reachable, reason: None,
-        lambda: wanted_s[0],
-    ).begin()
+        lambda: interval_s[0],
+    ).start()
     timers.pass_s(6.1)
-    followed = len(store.paths)
-    assert followed == 1 + 5
-    wanted_s[0] = 0.5
+    first_reads = len(store.paths)
+    assert first_reads == 1 + 5
+    interval_s[0] = 0.5
     timers.pass_s(6.1)
-    assert 10 <= len(store.paths) - followed <= 13
+    assert 10 <= len(store.paths) - first_reads <= 13
--- a/jackdawspur/platform/tests/test_settings.py
+++ b/jackdawspur/platform/tests/test_settings.py
@@ -1,11 +1,11 @@
-"""The platform's settings file becomes the product's settings."""
+"""Tests that the platform's settings file is translated to the product's settings."""
 
 import pytest
 
 from jackdawspur.platform import load_platform_settings
 from jackdawspur.settings import SettingsError
 
-GOOD = """node_name=front-a-1
+VALID_SETTINGS = """node_name=front-a-1
 zone=z-a
 ip=127.0.0.1
 listen.front=127.0.0.1:8161
@@ -17,14 +17,14 @@
 """
 
 
-def written(tmp_path, text: str) -> str:
+def write_settings(tmp_path, text: str) -> str:
     path = tmp_path / "boot.conf"
     path.write_text(text)
     return str(path)
 
 
 def test_all_fields_are_read_and_unknown_ones_ignored(tmp_path):
-    settings = load_platform_settings(written(tmp_path, GOOD))
+    settings = load_platform_settings(write_settings(tmp_path, VALID_SETTINGS))
     assert settings.name == "front-a-1"
     assert settings.link == "127.0.0.1:7720"
     assert settings.grace_s == 6.0
@@ -33,7 +33,7 @@
 
 def test_limits_of_the_host_are_read(tmp_path):
     limits = "limits.cpu_share=0.5\nlimits.cores=3\nlimits.link_mbps=12.5\n"
-    settings = load_platform_settings(written(tmp_path, GOOD + limits))
+    settings = load_platform_settings(write_settings(tmp_path, VALID_SETTINGS + limits))
     assert (settings.processor, settings.link_mbps) == (1.5, 12.5)
 
 
@@ -48,19 +48,21 @@
         ("unknown.field", "limits.cpu_share", "limits.cpu_share or limits.cores"),
     ],
 )
-def test_a_wrong_value_is_named_by_the_platforms_field(tmp_path, old, new, field):
-    path = written(tmp_path, GOOD.replace(old, new))
+def test_invalid_value_is_reported_under_the_platforms_name(tmp_path, old, new, field):
+    path = write_settings(tmp_path, VALID_SETTINGS.replace(old, new))
     with pytest.raises(SettingsError, match=field):
         load_platform_settings(path)
 
 
-def test_all_wrong_values_are_named_at_once(tmp_path):
-    wrong = GOOD.replace("zone=z-a\n", "").replace("grace_s=6", "grace_s=soon")
+def test_all_invalid_values_are_reported_at_once(tmp_path):
+    invalid_settings = VALID_SETTINGS.replace("zone=z-a\n", "").replace(
+        "grace_s=6", "grace_s=soon"
+    )
     with pytest.raises(SettingsError, match="zone.*bounds.grace_s"):
-        load_platform_settings(written(tmp_path, wrong))
+        load_platform_settings(write_settings(tmp_path, invalid_settings))
 
 
-def test_a_file_that_is_missing_or_no_text_is_an_error(tmp_path):
+def test_missing_or_binary_file_raises_an_error(tmp_path):
     with pytest.raises(SettingsError):
         load_platform_settings(str(tmp_path / "none"))
     path = tmp_path / "bytes"
--- a/jackdawspur/platform/tests/test_store.py
+++ b/jackdawspur/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""A host tells the others where it is as soon as the store takes that."""
+"""Tests that a host announces its address as soon as the store is available."""
 
 from types import SimpleNamespace
 
@@ -15,26 +15,30 @@
 
 
 class Timers:
-    """Keep what is to be done later, and never do it."""
+    """A timer queue that records delays and runs no action."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.later: list[float] = []
+        self.delays: list[float] = []
 
     def call_later(self, seconds: float, action) -> None:
-        self.later.append(seconds)
+        self.delays.append(seconds)
 
 
 class Store:
-    """Refuse everything while it is away."""
+    """A store that fails all requests while `unavailable`."""
 
     def __init__(self) -> None:
-        self.away = True
+        self.unavailable = True
         self.appends = 0
 
-    def request(self, method: str, path: str, body: bytes, limit_s: float, done):
+    def request(self, method: str, path: str, body: bytes, timeout_s: float, done):
         self.appends += path.startswith("/log-append")
-        done(Err(Unavailable("away")) if self.away else Ok(ClientResponse(200, b"{}")))
+        done(
+            Err(Unavailable("away"))
+            if self.unavailable
+            else Ok(ClientResponse(200, b"{}"))
+        )
 
 
 @pytest.fixture
@@ -43,21 +47,22 @@
 
 
 @pytest.fixture
-def port(store: Store) -> PlatformStore:
-    one = PlatformStore("127.0.0.1:1", Component(), Timers())
-    one._client = store
-    one._listener = SimpleNamespace(
+def platform_store(store: Store) -> PlatformStore:
+    platform_store = PlatformStore("127.0.0.1:1", Component(), Timers())
+    platform_store._client = store
+    platform_store._listener = SimpleNamespace(
         on_store_reachability=lambda reachable, reason: None
     )
-    return one
+    return platform_store
 
 
-def test_a_host_is_announced_with_the_first_answer_of_the_store(store, port):
-    # All work is handed over at a start: the store was away when hosts came, all read
-    # it before any had written where it is, and two took the lead before they met.
-    port.announce(HOST)
-    store.away = False
-    port._reached(True, "status 200")
+def test_host_is_announced_at_the_first_reply_of_the_store(store, platform_store):
+    # Guards against two leaders at startup, which forced a handover of all work. The
+    # store was unavailable when the hosts started; then all read it before any had
+    # written its address, and two were elected before they knew of each other.
+    platform_store.announce(HOST)
+    store.unavailable = False
+    platform_store._on_reachability(True, "status 200")
     assert store.appends == 2
-    port._reached(True, "status 200")
+    platform_store._on_reachability(True, "status 200")
     assert store.appends == 2
--- a/jackdawspur/platform/tests/test_topics.py
+++ b/jackdawspur/platform/tests/test_topics.py
@@ -1,10 +1,10 @@
-"""Bytes of the store become records, or a clear error."""
+"""Tests that bytes of the store are decoded to records or raise a clear error."""
 
 import struct
 
 import pytest
 
-from jackdawspur.platform._topics import UnreadableRecords, _records
+from jackdawspur.platform._topics import RecordsDecodeError, _decode_records
 
 HEAD = b"\0" * 16
 
@@ -14,8 +14,8 @@
     return struct.pack(">I", len(data)) + data
 
 
-def test_the_newest_value_of_each_key_counts():
-    changed, count = _records(
+def test_newest_value_of_each_key_is_returned():
+    changed, count = _decode_records(
         HEAD + record("a", b"1") + record("b", b"") + record("a", b"2")
     )
     assert changed == {"a": b"2", "b": b""}
@@ -32,6 +32,6 @@
         HEAD + b"\0\0\0\1\5",
     ],
 )
-def test_nonsense_is_an_error(data: bytes):
-    with pytest.raises(UnreadableRecords):
-        _records(data)
+def test_malformed_bytes_raise_a_decode_error(data: bytes):
+    with pytest.raises(RecordsDecodeError):
+        _decode_records(data)
--- a/jackdawspur/platform/tests/test_upstreams.py
+++ b/jackdawspur/platform/tests/test_upstreams.py
@@ -1,4 +1,4 @@
-"""What upstreams answer is read once, whatever of it is missing."""
+"""Tests that replies of upstreams are decoded even if optional fields are missing."""
 
 import pytest
 from result import Ok
@@ -10,7 +10,7 @@
 from jackdawspur.platform._upstreams import PlatformUpstreamClient
 from jackdawspur.runs import PollUpstream
 
-LOOK = PollUpstream(UpstreamId("z1", "u1"), "127.0.0.1:1", 1, 7, 0, None, 0, 0, 0.1)
+POLL = PollUpstream(UpstreamId("z1", "u1"), "127.0.0.1:1", 1, 7, 0, None, 0, 0, 0.1)
 
 
 class AnsweringClient:
@@ -29,27 +29,27 @@
 
 
 @pytest.fixture
-def look(monkeypatch):
-    """Return what a look at an upstream that answers a body tells."""
+def poll(monkeypatch):
+    """Return a function that polls an upstream which answers with the given body."""
     monkeypatch.setattr(_upstreams, "HttpClient", AnsweringClient)
 
-    def ask(body: bytes) -> PollReport | CallOutcome:
+    def poll_once(body: bytes) -> PollReport | CallOutcome:
         monkeypatch.setattr(AnsweringClient, "body", body)
-        told = []
-        PlatformUpstreamClient(None, None).poll_runs(LOOK, told.append)
-        return told[0]
+        reports = []
+        PlatformUpstreamClient(None, None).poll_runs(POLL, reports.append)
+        return reports[0]
 
-    return ask
+    return poll_once
 
 
-def test_a_report_names_the_boot_that_sent_it(look):
-    assert look(b'{"clock_ms":5,"born":1764748800000}').incarnation == 1764748800000
+def test_report_contains_the_incarnation(poll):
+    assert poll(b'{"clock_ms":5,"born":1764748800000}').incarnation == 1764748800000
 
 
-def test_a_report_may_name_no_boot(look):
-    assert look(b'{"clock_ms":5}') == PollReport(5, (), ())
+def test_incarnation_may_be_missing_in_a_report(poll):
+    assert poll(b'{"clock_ms":5}') == PollReport(5, (), ())
 
 
 @pytest.mark.parametrize("born", [b'"now"', b"1.5", b"null"])
-def test_a_report_with_another_type_is_no_answer(look, born: bytes):
-    assert look(b'{"clock_ms":5,"born":' + born + b"}") is CallOutcome.UNKNOWN
+def test_report_with_an_invalid_incarnation_is_rejected(poll, born: bytes):
+    assert poll(b'{"clock_ms":5,"born":' + born + b"}") is CallOutcome.UNKNOWN
--- a/jackdawspur/scheduling/_customer_queue.py
+++ b/jackdawspur/scheduling/_customer_queue.py
@@ -97,7 +97,7 @@
     """
 
     __slots__ = (
-        "_stale",
+        "_stale_entries",
         "_entries",
         "_jobs",
         "backlog_ms",
@@ -117,7 +117,7 @@
         self.entry = 0
         self._jobs: list[tuple[float, int, int, WaitingJob]] = []
         self._entries = 0
-        self._stale = 0
+        self._stale_entries = 0
 
     def head(self) -> WaitingJob | None:
         """Return the most urgent waiting job, or None."""
@@ -127,7 +127,7 @@
             if job.waiting_indexes and version == job.version:
                 return job
             heapq.heappop(jobs)
-            self._stale = max(0, self._stale - 1)
+            self._stale_entries = max(0, self._stale_entries - 1)
         return None
 
     def push(self, job: WaitingJob) -> bool:
@@ -135,7 +135,7 @@
         self._entries += 1
         job.version += 1
         if job.in_queue:
-            self._stale += 1
+            self._stale_entries += 1
         job.in_queue = True
         heapq.heappush(self._jobs, (job.key, self._entries, job.version, job))
         return self._jobs[0][3] is job
@@ -163,10 +163,12 @@
         Otherwise the first start after a burst of cancellations would have to remove
         all their entries.
         """
-        self._stale += 1
-        if self._stale > MIN_STALE_TO_COMPACT and self._stale * 2 > len(self._jobs):
+        self._stale_entries += 1
+        if self._stale_entries > MIN_STALE_TO_COMPACT and self._stale_entries * 2 > len(
+            self._jobs
+        ):
             self._jobs = [
                 e for e in self._jobs if e[3].waiting_indexes and e[2] == e[3].version
             ]
             heapq.heapify(self._jobs)
-            self._stale = 0
+            self._stale_entries = 0
