--- a/jackdawspur/callers/__init__.py
+++ b/jackdawspur/callers/__init__.py
@@ -1,9 +1,9 @@
-"""The callers' interface: request bodies, answers and status codes."""
+"""The HTTP interface to callers: request bodies, responses and status codes."""
 
 import lazy_loader
 
-# A host imports the modules that it uses: all of them cost its start a fifth of a
-# second more, and a zone that lost power waits for its hosts.
+# Modules are imported lazily: importing all of them makes a host's start a fifth of a
+# second slower, and a zone that recovers from a power loss waits for its hosts.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
--- a/jackdawspur/callers/_bodies.py
+++ b/jackdawspur/callers/_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that callers send, checked against frozen data classes."""
+"""Request bodies of callers, validated against frozen data classes."""
 
 from dataclasses import dataclass
 from typing import Annotated, ClassVar, TypeVar
@@ -26,19 +26,19 @@
 MAX_CPUS = 4096
 MAX_MEMORY_MB = 16_777_216
 MAX_ACCELERATORS = 1024
-MAX_ERRORS_SHOWN = 10
+MAX_REPORTED_ERRORS = 10
 
-# Unknown fields are refused: a misspelt "idempotent" must not run a request twice.
+# Unknown fields are rejected: with a misspelt "idempotent" a request could run twice.
 STRICT = ConfigDict(extra="forbid", strict=True)
 
 
 class BodyError(JackdawspurError):
-    """Raise when a caller's body is not what was expected; names each field."""
+    """Raised when a caller's body is invalid; the message names each wrong field."""
 
 
 @dataclass(frozen=True, slots=True)
 class TaskBody:
-    """Describe one task; times in milliseconds, memory in megabytes."""
+    """A task of a submitted job; `run_ms` in milliseconds, `memory_mb` in megabytes."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -51,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobBody:
-    """Submit a job; `deadline_ms` counts from its arrival.
+    """A submitted job; `deadline_ms` counts from its arrival.
 
-    What is left out follows the standing settings of the class.
+    Omitted fields are taken from the settings of its class.
     """
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClassSettings:
-    """Hold the standing settings of a class of jobs; `deadline_ms` in milliseconds."""
+    """Settings of a job class; `deadline_ms` in milliseconds."""
 
     deadline_ms: float
     max_tasks: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdsBody:
-    """Ask for submission ids in advance."""
+    """A request for submission ids in advance."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -88,18 +88,18 @@
 
 T = TypeVar("T")
 
-_JOB = TypeAdapter(JobBody)
-_IDS = TypeAdapter(IdsBody)
+_JOB_ADAPTER = TypeAdapter(JobBody)
+_IDS_ADAPTER = TypeAdapter(IdsBody)
 
 
 def read_job_body(body: bytes) -> JobBody:
-    """Return the job that the bytes describe; raise `BodyError`."""
-    return _read(_JOB, body)
+    """Return the job in a body; raise `BodyError` if the body is invalid."""
+    return _validate(_JOB_ADAPTER, body)
 
 
 def read_ids_body(body: bytes) -> IdsBody:
-    """Return the wish for ids that the bytes describe; raise `BodyError`."""
-    return _read(_IDS, body or b"{}")
+    """Return the request for ids in a body; raise `BodyError` if it is invalid."""
+    return _validate(_IDS_ADAPTER, body or b"{}")
 
 
 def to_request(
@@ -109,14 +109,15 @@
     key: str | None = None,
     submission: SubmissionId | None = None,
 ) -> JobRequest:
-    """Return the request that a checked body makes; raise `BodyError`.
+    """Return the job request for a validated body.
 
-    A class that is not idempotent makes all its jobs so, whatever their body says.
+    If the class is not idempotent, neither are its jobs, whatever the body says. Raise
+    `BodyError` if the job has more tasks than its class allows.
     """
     if len(body.tasks) > job_class_settings.max_tasks:
         text = (
-            f"tasks: {body.job_class} allows {job_class_settings.max_tasks}"
-            " a job at most"
+            f"tasks: {body.job_class} allows at most {job_class_settings.max_tasks}"
+            " per job"
         )
         raise BodyError(text)
     tasks = tuple(
@@ -134,7 +135,7 @@
     )
 
 
-def _read(adapter: TypeAdapter[T], body: bytes) -> T:
+def _validate(adapter: TypeAdapter[T], body: bytes) -> T:
     try:
         return adapter.validate_json(body)
     except ValidationError as error:
@@ -142,12 +143,12 @@
 
 
 def _describe(error: ValidationError) -> str:
-    """Name each wrong field and what was expected of it."""
+    """Return each invalid field with what was expected."""
     details = error.errors(include_url=False, include_input=False)
     lines = [
         f"{'.'.join(str(part) for part in detail['loc']) or 'body'}: {detail['msg']}"
-        for detail in details[:MAX_ERRORS_SHOWN]
+        for detail in details[:MAX_REPORTED_ERRORS]
     ]
-    if len(details) > MAX_ERRORS_SHOWN:
-        lines.append(f"and {len(details) - MAX_ERRORS_SHOWN} more")
+    if len(details) > MAX_REPORTED_ERRORS:
+        lines.append(f"and {len(details) - MAX_REPORTED_ERRORS} more")
     return "; ".join(lines)
--- a/jackdawspur/callers/_replies.py
+++ b/jackdawspur/callers/_replies.py
@@ -1,4 +1,4 @@
-"""Answers as HTTP status codes and JSON bodies."""
+"""HTTP responses to callers: status codes and JSON bodies of answers."""
 
 import math
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 __all__ = ["HttpResponse", "answer_response", "ids_response", "refusal_response"]
 
-STATUS_OF_CODE = {
+STATUS_BY_CODE = {
     FailureCode.INVALID: 400,
     FailureCode.UNAUTHORIZED: 401,
     FailureCode.FORBIDDEN: 403,
@@ -30,7 +30,7 @@
     FailureCode.OWNER_LOST: 504,
     FailureCode.DEADLINE: 504,
 }
-STATUS_OF_STATE = {JobState.COMPLETE: 200, JobState.PENDING: 202}
+STATUS_BY_STATE = {JobState.COMPLETE: 200, JobState.PENDING: 202}
 DOC_PAGE_BY_CODE = {
     FailureCode.INVALID: "requests",
     FailureCode.UNAUTHORIZED: "requests",
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """Carry one HTTP reply; `retry_after_s` zero sends no such header."""
+    """An HTTP response; with `retry_after_s` 0 no Retry-After header is sent."""
 
     status: int
     body: bytes
@@ -83,7 +83,7 @@
 
 
 def answer_response(answer: Answer) -> HttpResponse:
-    """Return the reply that tells a caller its answer."""
+    """Return the response with the answer to a job."""
     code = answer.code
     body = _AnswerBody(
         answer.state,
@@ -95,18 +95,18 @@
         answer.retry_after_ms,
         f"docs/operators/{DOC_PAGE_BY_CODE[code]}.md" if code else None,
     )
-    status = STATUS_OF_CODE[code] if code else STATUS_OF_STATE[answer.state]
+    status = STATUS_BY_CODE[code] if code else STATUS_BY_STATE[answer.state]
     retry_after = math.ceil(answer.retry_after_ms / MS_PER_S)
     return HttpResponse(status, msgspec.json.encode(body), retry_after)
 
 
 def refusal_response(code: FailureCode, message: str) -> HttpResponse:
-    """Return the reply to a request that was refused before it became a job."""
+    """Return the response to a request that was refused before it became a job."""
     answer = Answer(JobState.REFUSED, code=code, message=message, not_run=True)
     return answer_response(answer)
 
 
 def ids_response(ids: tuple[SubmissionId, ...]) -> HttpResponse:
-    """Return the reply that hands out submission ids."""
+    """Return the response with issued submission ids."""
     body = _IdsReplyBody(tuple(str(submission) for submission in ids))
     return HttpResponse(201, msgspec.json.encode(body))
--- a/jackdawspur/external/_errors.py
+++ b/jackdawspur/external/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the outside systems."""
+"""Errors of external systems."""
 
 from jackdawspur.exceptions import JackdawspurError
 
@@ -6,23 +6,23 @@
 
 
 class PlatformError(JackdawspurError):
-    """Base of errors met at an outside system."""
+    """Base of errors of calls to an external system."""
 
 
 class Unavailable(PlatformError):
-    """Raise when no byte of the request left this host: nothing took effect."""
+    """Raised when no byte of the request was sent, so it had no effect."""
 
 
 class OutcomeUnknown(PlatformError):
-    """Raise when the request left and no reply came: it may have taken effect."""
+    """Raised when a sent request got no reply, so it may have taken effect."""
 
 
 class LogTrimmed(PlatformError):
-    """Raise when the wanted offset was trimmed away.
+    """Raised when the requested offset is no longer in the log.
 
     `first_offset` is the oldest offset that can still be read.
     """
 
-    def __init__(self, first: int) -> None:
-        super().__init__(f"the log now starts at offset {first}")
-        self.first_offset = first
+    def __init__(self, first_offset: int) -> None:
+        super().__init__(f"the log now starts at offset {first_offset}")
+        self.first_offset = first_offset
--- a/jackdawspur/external/_hostlist.py
+++ b/jackdawspur/external/_hostlist.py
@@ -1,4 +1,4 @@
-"""The interface of the platform's lagging list of hosts."""
+"""The interface to the platform's list of hosts."""
 
 import abc
 import enum
@@ -13,7 +13,7 @@
 
 
 class HostRole(enum.StrEnum):
-    """Tell entry hosts from upstreams."""
+    """Role of a listed host."""
 
     ENTRY = "entry"
     UPSTREAM = "upstream"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
-    """Describe a host as the platform last saw it."""
+    """A host as last seen by the platform."""
 
     zone: str
     name: str
@@ -29,12 +29,12 @@
     leaving: bool = False
 
 
-Listed = Callable[[Result[tuple[ListedHost, ...], PlatformError]], None]
+HostListCallback = Callable[[Result[tuple[ListedHost, ...], PlatformError]], None]
 
 
 class HostList(abc.ABC):
-    """Read the list of hosts; it lags behind the truth."""
+    """Reads the platform's list of hosts, which lags behind their actual state."""
 
     @abc.abstractmethod
-    def fetch(self, done: Listed) -> None:
-        """Report the hosts that the platform believes live or leaving."""
+    def fetch(self, done: HostListCallback) -> None:
+        """Pass the hosts that the platform considers live or leaving to `done`."""
--- a/jackdawspur/external/_log.py
+++ b/jackdawspur/external/_log.py
@@ -1,4 +1,4 @@
-"""The interface of the platform's append-only log."""
+"""The interface to the platform's append-only log."""
 
 import abc
 import enum
@@ -13,7 +13,7 @@
 
 
 class Stream(enum.StrEnum):
-    """Name the streams this system keeps in the log."""
+    """The streams in the log that this system uses."""
 
     CONFIGURATION = "configuration"
     CLAIMS = "claims"
@@ -21,23 +21,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """Carry one record and its place; `body` is JSON text."""
+    """A record and its offset; `body` is JSON text."""
 
     offset: int
     body: str
 
 
-Appended = Callable[[Result[int, PlatformError]], None]
-Read = Callable[[Result[tuple[LogRecord, ...], PlatformError]], None]
+AppendCallback = Callable[[Result[int, PlatformError]], None]
+ReadCallback = Callable[[Result[tuple[LogRecord, ...], PlatformError]], None]
 
 
 class Log(abc.ABC):
-    """Append to and read from the log; every call returns at once."""
+    """Appends to and reads from the log; calls return at once."""
 
     @abc.abstractmethod
-    def append(self, stream: str, body: str, done: Appended) -> None:
-        """Append a record and report its offset; `OutcomeUnknown` may stand."""
+    def append(self, stream: str, body: str, done: AppendCallback) -> None:
+        """Append a record and pass its offset to `done`.
+
+        A record whose append ended with `OutcomeUnknown` may be in the log.
+        """
 
     @abc.abstractmethod
-    def read(self, stream: str, offset: int, wait_ms: float, done: Read) -> None:
-        """Report records from `offset` on, or `LogTrimmed`."""
+    def read(
+        self, stream: str, offset: int, wait_ms: float, done: ReadCallback
+    ) -> None:
+        """Pass the records from `offset` on, or `LogTrimmed`, to `done`."""
--- a/jackdawspur/external/_upstream.py
+++ b/jackdawspur/external/_upstream.py
@@ -1,4 +1,4 @@
-"""The interface of an upstream worker."""
+"""The interface to an upstream worker."""
 
 import abc
 import enum
@@ -21,7 +21,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Say why an upstream did not start a task; all mean it never ran there."""
+    """Reason why an upstream refused a start; the task never ran there."""
 
     FULL = "full"
     LEAVING = "leaving"
@@ -33,9 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStart:
-    """Ask an upstream to run one task once, under a lease.
+    """A request to run one task once, under a lease.
 
-    `lease_ms` counts from the receipt: the upstream stops the task when it lapses.
+    `lease_ms` counts from the receipt; the upstream stops the task when the lease
+    expires.
     """
 
     task: TaskId
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartVerdict:
-    """Tell whether a task started; `refusal` is None when it did."""
+    """The result of a start; `refusal` is None if the task started."""
 
     task: TaskId
     refusal: RefusalReason | None = None
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Report an upstream's load, with a lag."""
+    """An upstream's load, which may be out of date."""
 
     slots: int
     busy: int
@@ -65,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamReply:
-    """Carry one reply of an upstream; fields that do not apply are empty.
+    """A reply of an upstream; fields that do not apply are empty.
 
-    `incarnation` changes when the upstream restarts and forgets its tasks. `cursor`
-    is the place to read results from next.
+    `incarnation` changes when the upstream restarts and loses its tasks. `cursor` is
+    the position from which to read further results.
     """
 
     upstream: UpstreamId
@@ -79,33 +80,38 @@
     usage: Usage | None = None
 
 
-# A reply or the error that ended the request; called once, on the loop's thread.
-Done = Callable[[Result[UpstreamReply, PlatformError]], None]
+# Receives the reply, or the error that ended the request; called once, on the loop's
+# thread.
+ReplyCallback = Callable[[Result[UpstreamReply, PlatformError]], None]
 
 
 class UpstreamClient(abc.ABC):
-    """Talk to one upstream; every call returns at once and reports to `done`."""
+    """A client of one upstream; calls return at once and pass the result to `done`."""
 
     @abc.abstractmethod
-    def start(self, starts: Sequence[TaskStart], done: Done) -> None:
-        """Start tasks; `Unavailable` means that no byte left this host."""
+    def start(self, starts: Sequence[TaskStart], done: ReplyCallback) -> None:
+        """Start tasks; `Unavailable` means that no byte was sent."""
 
     @abc.abstractmethod
-    def results(self, cursor: int, wait_ms: float, done: Done) -> None:
-        """Wait for ended tasks of this host after `cursor`."""
+    def results(self, cursor: int, wait_ms: float, done: ReplyCallback) -> None:
+        """Get the ended tasks of this host after `cursor`; wait up to `wait_ms`."""
 
     @abc.abstractmethod
-    def status(self, tasks: Sequence[TaskId], seal: bool, done: Done) -> None:
-        """Ask how far tasks are; with `seal`, bar those not yet started for good."""
+    def status(self, tasks: Sequence[TaskId], seal: bool, done: ReplyCallback) -> None:
+        """Get the state of tasks.
+
+        With `seal` the upstream tombstones the ids of tasks that haven't started, so
+        that they can never start.
+        """
 
     @abc.abstractmethod
-    def stop(self, tasks: Sequence[TaskId], done: Done) -> None:
-        """Stop tasks that run and bar those not yet started."""
+    def stop(self, tasks: Sequence[TaskId], done: ReplyCallback) -> None:
+        """Stop running tasks, and tombstone the ids of tasks that haven't started."""
 
     @abc.abstractmethod
-    def usage(self, done: Done) -> None:
-        """Ask for the load, which may be seconds old."""
+    def usage(self, done: ReplyCallback) -> None:
+        """Get the load, which may be seconds old."""
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
--- a/jackdawspur/links/__init__.py
+++ b/jackdawspur/links/__init__.py
@@ -1,9 +1,9 @@
-"""Links between entry hosts: the codec and the guard against stale messages."""
+"""Links between entry hosts: the message codec and the filter of stale messages."""
 
 import lazy_loader
 
-# A host imports the modules that it uses: all of them cost its start a fifth of a
-# second more, and a zone that lost power waits for its hosts.
+# Modules are imported lazily: importing all of them makes a host's start a fifth of a
+# second slower, and a zone that recovers from a power loss waits for its hosts.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
@@ -11,8 +11,8 @@
             "Envelope",
             "LinkError",
             "SCHEMA_VERSION",
-            "UnknownSchema",
-            "UnreadableMessage",
+            "UnknownSchemaError",
+            "MessageDecodeError",
             "decode",
             "encode",
         ],
--- a/jackdawspur/links/_stale.py
+++ b/jackdawspur/links/_stale.py
@@ -1,4 +1,4 @@
-"""Dropping messages that waited in a queue while a link was cut."""
+"""Detection of messages that were queued while a link was partitioned."""
 
 from jackdawspur.model import HostId
 
@@ -9,36 +9,37 @@
 
 
 class StaleFilter:
-    """Tell fresh messages from ones that a healed link delivers late.
+    """Detects messages that a link delivers late, after a network partition.
 
-    A cut link keeps a few messages in its queue and hands them over when it heals. A
-    delegated job or a slot grant among them belongs to the past: its owner gave up on
-    it. The clocks of two hosts differ by some offset; the smallest seen so far is the
-    one of the fastest message, and what lies far above it was held up on the way.
+    During a partition a few messages stay in the link's queue and are delivered when it
+    ends. A delegated job or a slot grant among them is obsolete, as its owner has given
+    up on it. The clocks of two hosts differ by an offset. The smallest difference of
+    receive and send time observed so far belongs to the fastest message; a message with
+    a much larger one was delayed on its way.
     """
 
     def __init__(self) -> None:
         self._offset: dict[HostId, float] = {}
-        self._seen_at: dict[HostId, float] = {}
+        self._recorded_at: dict[HostId, float] = {}
 
     def is_stale(self, sender: HostId, sent_at: float, now: float) -> bool:
-        """Tell whether a message was held up for longer than `MAX_AGE_S`."""
+        """Return whether a message was delayed for longer than `MAX_AGE_S`."""
         offset = now - sent_at
-        least = self._least(sender, now)
-        if least is None or offset < least:
+        min_offset = self._min_offset(sender, now)
+        if min_offset is None or offset < min_offset:
             self._offset[sender] = offset
-            self._seen_at[sender] = now
+            self._recorded_at[sender] = now
             return False
-        return offset - least > MAX_AGE_S
+        return offset - min_offset > MAX_AGE_S
 
     def forget(self, sender: HostId) -> None:
-        """Drop what is kept of a host that is gone."""
+        """Drop the state of a host that is gone."""
         self._offset.pop(sender, None)
-        self._seen_at.pop(sender, None)
+        self._recorded_at.pop(sender, None)
 
-    def _least(self, sender: HostId, now: float) -> float | None:
-        """Return the smallest offset, allowing for clocks that drift apart."""
-        least = self._offset.get(sender)
-        if least is None:
+    def _min_offset(self, sender: HostId, now: float) -> float | None:
+        """Return the smallest offset, corrected for the drift between the clocks."""
+        min_offset = self._offset.get(sender)
+        if min_offset is None:
             return None
-        return least + (now - self._seen_at[sender]) * OFFSET_DRIFT_S_PER_S
+        return min_offset + (now - self._recorded_at[sender]) * OFFSET_DRIFT_S_PER_S
--- a/jackdawspur/links/tests/__init__.py
+++ b/jackdawspur/links/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of links."""
+"""Tests of the links between entry hosts."""
--- a/jackdawspur/links/tests/test_links.py
+++ b/jackdawspur/links/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Messages survive the codec; foreign and stale ones do no harm."""
+"""Tests of the codec, and of the rejection of malformed and stale messages."""
 
 import math
 from dataclasses import replace
@@ -10,9 +10,9 @@
     SCHEMA_VERSION,
     Envelope,
     LinkError,
+    MessageDecodeError,
     StaleFilter,
-    UnknownSchema,
-    UnreadableMessage,
+    UnknownSchemaError,
     decode,
     encode,
 )
@@ -35,7 +35,7 @@
 ONE = HostId("north", "e1", 5)
 TWO = HostId("south", "e2", 9)
 REQUEST = JobRequest("roster", "confirm", (TaskSpec("{}", 120.0),), 900.0, key="k")
-ENDLESS = {"deadline_ms": math.inf}
+INFINITE_DEADLINE = {"deadline_ms": math.inf}
 
 
 @pytest.mark.parametrize(
@@ -56,39 +56,45 @@
     [
         Delegate(SubmissionId(ONE, 4), REQUEST, math.nan),
         Delegate(SubmissionId(ONE, 4), replace(REQUEST, tasks=()), 1.0),
-        Forward(1, "roster", SubmissionId(ONE, 4), True, replace(REQUEST, **ENDLESS)),
+        Forward(
+            1,
+            "roster",
+            SubmissionId(ONE, 4),
+            True,
+            replace(REQUEST, **INFINITE_DEADLINE),
+        ),
         Pulse(1, 2, 3, math.nan),
     ],
 )
-def test_message_with_impossible_numbers_is_refused(message):
-    """Callers of a host wait for ever after one message of a peer.
+def test_message_with_invalid_numbers_is_rejected(message):
+    """Callers of a host wait for ever after it received one message from a peer.
 
-    A time in it is no number, and as a timer holds up all that come after it.
+    A time in the message is not a finite number, and as a timer it blocks all others.
     """
-    with pytest.raises(UnreadableMessage):
+    with pytest.raises(MessageDecodeError):
         decode(encode(Envelope(ONE, TWO, 12.25, message)))
 
 
 @settings(derandomize=True, max_examples=200)
 @given(st.binary(max_size=200))
-def test_foreign_bytes_are_refused(data):
+def test_malformed_bytes_are_rejected(data):
     with pytest.raises(LinkError):
         decode(data)
 
 
-def test_newer_schema_is_told_apart():
+def test_newer_schema_raises_its_own_error():
     data = encode(Envelope(ONE, TWO, 0.0, Delegate(SubmissionId(ONE, 4), REQUEST, 1)))
     # The frame is an array whose first element is the version.
     newer = data[:1] + bytes([SCHEMA_VERSION + 1]) + data[2:]
-    with pytest.raises(UnknownSchema):
+    with pytest.raises(UnknownSchemaError):
         decode(newer)
 
 
-def test_message_held_up_by_a_cut_is_stale():
-    """A caller was told "outcome unknown"; 30 s later its job starts all the same.
+def test_message_delayed_by_a_partition_is_stale():
+    """A job starts 30 s after its caller was answered "outcome unknown".
 
-    The owner delegates a job, the link is cut, the owner gives up. The link heals and
-    delivers what its queue held. Cause: a queue outlives the reason for its content.
+    The owner delegates the job, the link is partitioned and the owner gives up. When
+    the partition ends, the link delivers the messages that were still in its queue.
     """
     stale = StaleFilter()
     assert not stale.is_stale(ONE, sent_at=100.0, now=7.0)
--- a/jackdawspur/model/__init__.py
+++ b/jackdawspur/model/__init__.py
@@ -1,4 +1,4 @@
-"""Objects of the dispatcher's world: hosts, zones, customers, jobs and answers."""
+"""Data classes of the dispatcher: hosts, zones, customers, jobs and answers."""
 
 from jackdawspur.model._answer import (
     Answer,
--- a/jackdawspur/model/_answer.py
+++ b/jackdawspur/model/_answer.py
@@ -1,4 +1,4 @@
-"""What a caller is told."""
+"""Answers to callers and outcomes of tasks."""
 
 import enum
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class JobState(enum.StrEnum):
-    """Tell how far a job is; an answer is final unless it is `PENDING`."""
+    """State of a job; an answer is final unless its state is `PENDING`."""
 
     PENDING = "pending"
     COMPLETE = "complete"
@@ -18,10 +18,10 @@
 
 
 class TaskState(enum.StrEnum):
-    """Tell how far a task is, as its upstream reports it.
+    """State of a task as its upstream reports it.
 
-    `SEALED`: never started there, and the upstream will refuse a late start.
-    `UNKNOWN`: the upstream has no trace of it, which proves nothing.
+    `SEALED`: it never started there, and the upstream will refuse a late start.
+    `UNKNOWN`: the upstream has no record of it, but it may have run or may still start.
     """
 
     RUNNING = "running"
@@ -33,7 +33,7 @@
 
 
 class FailureCode(enum.StrEnum):
-    """Say why a job was refused or failed; each has an operators' page."""
+    """Reason why a job was refused or failed; each has a page for operators."""
 
     INVALID = "invalid"
     UNAUTHORIZED = "unauthorized"
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskOutcome:
-    """Carry the end of one task from its upstream."""
+    """The state of a task as reported by its upstream."""
 
     task: TaskId
     state: TaskState
@@ -68,10 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Tell a caller the state of its whole job.
+    """The answer to a caller, with the state of its whole job.
 
-    `not_run` is true only when nothing of the request was or will be executed.
-    `retry_after_ms` is zero when no time is suggested.
+    `not_run` is true only if no task of the request was or will be executed.
+    `retry_after_ms` is zero if no time for a retry is suggested.
     """
 
     state: JobState
--- a/jackdawspur/model/_cluster_spec.py
+++ b/jackdawspur/model/_cluster_spec.py
@@ -1,4 +1,4 @@
-"""Hosts, upstreams, customers and their contracts."""
+"""The configured hosts, upstreams and customers."""
 
 import enum
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class Objective(enum.StrEnum):
-    """Choose what weighs most where response time and messages conflict."""
+    """What to minimize where response time and number of messages conflict."""
 
     RESPONSE_TIME = "response_time"
     MESSAGES = "messages"
@@ -25,10 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """State what a customer is promised.
+    """Service levels that a customer is promised.
 
-    `tail_over_ideal` bounds response time over the longest task's time alone plus
-    the round trip; `max_wait_ms` bounds the wait before an admitted job's last start.
+    `tail_over_ideal` bounds the response time divided by the ideal one, which is the
+    run time of the longest task plus the round trip. `max_wait_ms` bounds the wait
+    until the last start of an admitted job.
     """
 
     objective: Objective = Objective.RESPONSE_TIME
@@ -38,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Describe a customer: its contract and its quota over all zones.
+    """A customer with its contract and its quota over all zones.
 
-    `quota_slots` is the number of tasks it may have running at once; `weight` its
-    share where customers compete.
+    `quota_slots` is the number of tasks that it may have running at once. `weight`
+    determines its share of the slots when customers compete.
     """
 
     name: str
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryHost:
-    """Say where an entry host listens; addresses are ``IP:port``."""
+    """An entry host and the addresses where it listens, as ``IP:port``."""
 
     zone: str
     name: str
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """Say where an upstream listens and what it can hold."""
+    """An upstream with its address and capacity."""
 
     id: UpstreamId
     address: str
@@ -76,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionPolicy:
-    """Say when an upstream that fails what it starts gets no more work.
+    """When an upstream that fails tasks is ejected, and when it is readmitted.
 
-    `max_share` is the largest part of a zone's upstreams ejected at once.
+    `max_share` is the maximum fraction of a zone's upstreams ejected at once.
     """
 
     after_failures: int = 2
@@ -88,9 +89,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSpec:
-    """Hold what one version of the configuration says of the world.
+    """The hosts, upstreams and customers in one version of the configuration.
 
-    `version` is the log offset of the confirm that put it in force.
+    `version` is the log offset of the confirm record that put the version in force.
     """
 
     version: int = -1
--- a/jackdawspur/model/_ids.py
+++ b/jackdawspur/model/_ids.py
@@ -17,21 +17,21 @@
 
 PART_SEPARATOR = "."
 TASK_SEPARATOR = "/"
-PARSED_IDS_KEPT = 4096
+MAX_CACHED_IDS = 4096
 MAX_NUMBER = 2**63 - 1
 
 
 class ModelError(JackdawspurError):
-    """Base of errors in the objects of the world."""
+    """Base of errors in the objects of the model."""
 
 
 class InvalidId(ModelError):
-    """Raise when a text is not an identifier of the expected kind."""
+    """Raised when a text is not an identifier of the expected kind."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class UpstreamId:
-    """Name an upstream within its availability zone."""
+    """An upstream's name and its availability zone."""
 
     zone: str
     name: str
@@ -41,7 +41,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier that ``str`` wrote; raise `InvalidId`."""
+        """Return the identifier in its text form; raise `InvalidId` if malformed."""
         parts = text.split(PART_SEPARATOR)
         if len(parts) != 2 or not all(parts):
             raise InvalidId(f"not an upstream id: {text!r}")
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class HostId:
-    """Name one run of an entry host.
+    """An entry host in one of its incarnations.
 
-    The incarnation grows with every start, so a restarted host is another owner.
+    The incarnation grows with every start, so a restarted host is a different owner.
     """
 
     zone: str
@@ -64,21 +64,21 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier that ``str`` wrote; raise `InvalidId`."""
+        """Return the identifier in its text form; raise `InvalidId` if malformed."""
         try:
             zone, name, incarnation = text.split(PART_SEPARATOR)
-            return cls(zone, name, _number(incarnation, 16))
+            return cls(zone, name, _parse_number(incarnation, 16))
         except ValueError as error:
             raise InvalidId(f"not a host id: {text!r}") from error
 
     def same_host(self, other: "HostId") -> bool:
-        """Tell whether both are runs of the same entry host."""
+        """Return whether both are incarnations of the same entry host."""
         return self.zone == other.zone and self.name == other.name
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SubmissionId:
-    """Name a submission by its owner and the owner's counter."""
+    """A submission, identified by its owner and the owner's counter."""
 
     owner: HostId
     sequence: int
@@ -88,17 +88,17 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier that ``str`` wrote; raise `InvalidId`."""
+        """Return the identifier in its text form; raise `InvalidId` if malformed."""
         owner, _, sequence = text.rpartition(PART_SEPARATOR)
         try:
-            return cls(HostId.parse(owner), _number(sequence, 16))
+            return cls(HostId.parse(owner), _parse_number(sequence, 16))
         except ValueError as error:
             raise InvalidId(f"not a submission id: {text!r}") from error
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class TaskId:
-    """Name a task by its submission and its place in the job."""
+    """A task, identified by its submission and its index in the job."""
 
     submission: SubmissionId
     index: int
@@ -108,19 +108,19 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier that ``str`` wrote; raise `InvalidId`."""
+        """Return the identifier in its text form; raise `InvalidId` if malformed."""
         submission, _, index = text.rpartition(TASK_SEPARATOR)
         try:
-            return cls(_parse_submission(submission), _number(index, 10))
+            return cls(_parse_submission(submission), _parse_number(index, 10))
         except ValueError as error:
             raise InvalidId(f"not a task id: {text!r}") from error
 
 
-def _number(text: str, base: int) -> int:
-    """Return a number that links can carry; raise `ValueError`.
+def _parse_number(text: str, base: int) -> int:
+    """Return a number that messages can carry; raise `ValueError` if out of range.
 
-    An id comes from callers. A larger number could not be packed into a message to
-    its owner, and the host that tried to forward it would fail.
+    Ids come from callers. A larger number couldn't be encoded in a message to the id's
+    owner, and the host that forwards the request would fail.
     """
     number = int(text, base)
     if not 0 <= number <= MAX_NUMBER:
@@ -128,7 +128,8 @@
     return number
 
 
-# The tasks of one job come back together, so their common part is parsed once.
-@lru_cache(maxsize=PARSED_IDS_KEPT)
+# Results of a job's tasks arrive together, so the submission id that they have in
+# common is cached.
+@lru_cache(maxsize=MAX_CACHED_IDS)
 def _parse_submission(text: str) -> SubmissionId:
     return SubmissionId.parse(text)
--- a/jackdawspur/model/_job.py
+++ b/jackdawspur/model/_job.py
@@ -1,4 +1,4 @@
-"""What a caller submits."""
+"""Jobs as callers submit them."""
 
 from dataclasses import dataclass
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """Describe one task: its input and what it declares to need.
+    """A task with its input and the resources that it declares to need.
 
-    Declarations are hints: `run_ms` in milliseconds, `memory_mb` in megabytes.
+    Declarations are hints; `run_ms` is in milliseconds, `memory_mb` in megabytes.
     """
 
     payload: str = ""
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """Ask for all tasks of one job to run.
+    """A request to run all tasks of a job.
 
-    `deadline_ms` counts from the arrival at the first entry host. `key` is the
-    caller's own idempotency key; `submission` an id issued earlier.
+    `deadline_ms` counts from the arrival at the first entry host. `key` is the caller's
+    idempotency key, and `submission` an id issued earlier.
     """
 
     customer: str
--- a/jackdawspur/model/tests/__init__.py
+++ b/jackdawspur/model/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the model."""
+"""Tests of the data model."""
--- a/jackdawspur/platform/_entries.py
+++ b/jackdawspur/platform/_entries.py
@@ -19,7 +19,7 @@
 
 READY = "ready"
 DRAINING = "draining"
-# Upper bound of each resource, far above that of any machine.
+# Upper bound of each resource, far above that of any machine; a larger number is wrong.
 MAX_RESOURCE = 1 << 40
 # Milliseconds since 1970 until the year 2200.
 MAX_STARTED_MS = 7_258_118_400_000
--- a/jackdawspur/platform/_settings.py
+++ b/jackdawspur/platform/_settings.py
@@ -31,7 +31,7 @@
 def to_host_settings(fields: dict[str, str], path: str) -> HostSettings:
     """Return the product's settings for the platform's fields.
 
-    Raise `SettingsError` that names all invalid fields.
+    Raise `SettingsError` with the names of all invalid fields.
     """
     ip, ports = fields.get("ip", ""), fields.get("port_range", "")
     values = {
--- a/jackdawspur/platform/tests/test_entries.py
+++ b/jackdawspur/platform/tests/test_entries.py
@@ -44,11 +44,11 @@
 
 @pytest.fixture
 def store(reported_upstreams: list) -> PlatformStore:
-    store = PlatformStore("127.0.0.1:1", Component(), SimpleNamespace(now=1.0))
-    store._listener = SimpleNamespace(
+    new_store = PlatformStore("127.0.0.1:1", Component(), SimpleNamespace(now=1.0))
+    new_store._listener = SimpleNamespace(
         on_upstreams=reported_upstreams.append, on_hosts=lambda hosts: None
     )
-    return store
+    return new_store
 
 
 def test_valid_entry_is_decoded():
--- a/jackdawspur/platform/tests/test_evacuated.py
+++ b/jackdawspur/platform/tests/test_evacuated.py
@@ -19,9 +19,9 @@
 @pytest.fixture
 def store(reported_zones) -> PlatformStore:
     timers = SimpleNamespace(now=0.0, call_later=lambda seconds, action: None)
-    store = PlatformStore("127.0.0.1:1", Component(), timers)
-    store._listener = SimpleNamespace(on_evacuated_zones=reported_zones.append)
-    return store
+    new_store = PlatformStore("127.0.0.1:1", Component(), timers)
+    new_store._listener = SimpleNamespace(on_evacuated_zones=reported_zones.append)
+    return new_store
 
 
 def test_zone_is_evacuated_until_its_key_is_deleted(store, reported_zones):
--- a/jackdawspur/platform/tests/test_store.py
+++ b/jackdawspur/platform/tests/test_store.py
@@ -48,12 +48,12 @@
 
 @pytest.fixture
 def platform_store(store: Store) -> PlatformStore:
-    platform_store = PlatformStore("127.0.0.1:1", Component(), Timers())
-    platform_store._client = store
-    platform_store._listener = SimpleNamespace(
+    new_store = PlatformStore("127.0.0.1:1", Component(), Timers())
+    new_store._client = store
+    new_store._listener = SimpleNamespace(
         on_store_reachability=lambda reachable, reason: None
     )
-    return platform_store
+    return new_store
 
 
 def test_host_is_announced_at_the_first_reply_of_the_store(store, platform_store):
--- a/jackdawspur/settings/_address.py
+++ b/jackdawspur/settings/_address.py
@@ -1,4 +1,4 @@
-"""Addresses as settings files and entries in the store give them."""
+"""Validation of addresses in settings files and in entries in the store."""
 
 import ipaddress
 
@@ -8,9 +8,9 @@
 
 
 def check_address(text: str, min_port: int = 0) -> str:
-    """Return an address in numbers with its port; raise `ValueError`.
+    """Return a numeric IPv4 address with its port; raise `ValueError` if invalid.
 
-    Port 0 lets whoever listens there have any free one.
+    Port 0 lets a server listen on any free port.
     """
     host, _, port = text.rpartition(":")
     try:
--- a/jackdawspur/settings/_entry.py
+++ b/jackdawspur/settings/_entry.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """Name an operator who may plan the first configuration."""
+    """An operator who may plan the first configuration."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """Say where another entry host listens, for a start while the log is down."""
+    """Addresses of another entry host, for a start while the log is unavailable."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -36,10 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """Say who an entry host is and where it finds the platform.
+    """Identity and addresses of an entry host, and addresses of the platform.
 
-    `drain_ms` bounds a graceful shutdown, in milliseconds. With `crosses_zones` this
-    host may start tasks on upstreams of other zones that lend it a slot.
+    `drain_ms` is the maximum duration of a graceful shutdown, in milliseconds. With
+    `crosses_zones` the host may start tasks on upstreams of other zones that lend it
+    slots.
     """
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
--- a/jackdawspur/settings/_errors.py
+++ b/jackdawspur/settings/_errors.py
@@ -1,4 +1,4 @@
-"""What goes wrong with a settings file."""
+"""Reading of settings files and their errors."""
 
 from pathlib import Path
 
@@ -8,11 +8,11 @@
 
 
 class SettingsError(JackdawspurError):
-    """Raise when a settings file can't be used; names each field."""
+    """Raised when a settings file is invalid; the message names each wrong field."""
 
 
 def read_file(path: str) -> bytes:
-    """Return the bytes of a file; raise `SettingsError`."""
+    """Return the bytes of a file; raise `SettingsError` if it can't be read."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
--- a/jackdawspur/settings/_host.py
+++ b/jackdawspur/settings/_host.py
@@ -1,7 +1,7 @@
 """Settings of a host that serves on the customers' platform.
 
-They are checked by msgspec, which hosts use for all their messages. pydantic, which
-checks what people write by hand, would add 0.15 s to each start of a host.
+They are validated with msgspec, which hosts use for all their messages. pydantic, which
+validates the other settings files, would add 0.15 s to each start of a host.
 """
 
 from collections.abc import Mapping
@@ -21,13 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """Say who a host is, where it listens and where the platform's store is.
-
-    `announced` is where other hosts reach the link, if not where it listens.
-    `grace_s` is how long after SIGTERM the platform kills, in seconds. `processor` is
-    the host's share of one, in cores: hosts with more of it lead first. `link_mbps` is
-    what its link carries each way, in Mbit/s. Where there are more than
-    `most_upstreams`, or than the leading host carries, each zone has one of its own.
+    """Identity and addresses of a host, and the address of the platform's store.
+
+    `announced` is the address at which other hosts reach the link, if it differs from
+    `link`. `grace_s` is the time from SIGTERM to SIGKILL, in seconds. `processor` is
+    the host's processor capacity in cores; hosts with more of it are preferred as
+    leader. `link_mbps` is the capacity of its link in each direction, in Mbit/s. With
+    more than `most_upstreams` upstreams, or more than the leader can handle, each zone
+    has a leader of its own.
     """
 
     name: Name
@@ -45,11 +46,11 @@
     log_level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
-ADDRESSES = ("callers", "ready", "link", "announced", "metrics", "store")
+ADDRESS_FIELDS = ("callers", "ready", "link", "announced", "metrics", "store")
 
 
 def load_host_settings(path: str) -> HostSettings:
-    """Return the checked settings of a file in JSON; raise `SettingsError`."""
+    """Return the settings in a JSON file; raise `SettingsError` if they are invalid."""
     data = read_file(path)
     try:
         values = msgspec.json.decode(data, type=dict[str, object])
@@ -64,35 +65,37 @@
     display_names: Mapping[str, str] | None = None,
     numbers_as_text: bool = False,
 ) -> HostSettings:
-    """Return settings; raise `SettingsError` with all faults at once.
+    """Return validated settings; raise `SettingsError` with all errors at once.
 
-    `display_names` has the names under which the file knows fields, where these differ.
-    With `numbers_as_text` numbers may come as text.
+    `display_names` maps fields to their names in the file, where these differ. With
+    `numbers_as_text` numbers may be given as text.
     """
     hints = get_type_hints(HostSettings, include_extras=True)
-    # A misspelt key must not leave a default in force unseen.
-    faults = {name: "unknown field" for name in values if name not in hints}
-    checked: dict[str, object] = {}
+    # Unknown fields are rejected: a misspelt one would silently leave a default in use.
+    errors = {name: "unknown field" for name in values if name not in hints}
+    validated: dict[str, object] = {}
     for field in fields(HostSettings):
         if field.name in values:
             try:
-                checked[field.name] = _convert(
+                validated[field.name] = _convert(
                     field.name, values[field.name], hints[field.name], numbers_as_text
                 )
             except (msgspec.ValidationError, ValueError) as error:
-                faults[field.name] = str(error)
+                errors[field.name] = str(error)
         elif field.default is MISSING:
-            faults[field.name] = "field required"
-    if faults:
-        names = ((display_names or {}).get(name, name) for name in faults)
-        pairs = zip(names, faults.values(), strict=True)
+            errors[field.name] = "field required"
+    if errors:
+        names = ((display_names or {}).get(name, name) for name in errors)
+        pairs = zip(names, errors.values(), strict=True)
         raise SettingsError(f"{path}: {'; '.join(f'{n}: {f}' for n, f in pairs)}")
-    return HostSettings(**checked)
+    return HostSettings(**validated)
 
 
-def _convert(name: str, value: object, kind: type, text: bool) -> object:
-    """Return a checked value; raise msgspec's or a plain `ValueError`."""
-    converted = msgspec.convert(value, kind, strict=not text)
-    if name in ADDRESSES and converted is not None:
+def _convert(
+    name: str, value: object, expected_type: type, numbers_as_text: bool
+) -> object:
+    """Return a validated value; raise `ValidationError` or `ValueError`."""
+    converted = msgspec.convert(value, expected_type, strict=not numbers_as_text)
+    if name in ADDRESS_FIELDS and converted is not None:
         return check_address(converted)
     return converted
--- a/jackdawspur/settings/_load.py
+++ b/jackdawspur/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reading a settings file, with every fault named by its field."""
+"""Loading of settings files, with errors that name the invalid fields."""
 
 from typing import Annotated, TypeVar
 
@@ -11,7 +11,7 @@
 
 T = TypeVar("T")
 
-# A misspelt key must not leave a default in force unseen.
+# Unknown fields are rejected: a misspelt one would silently leave a default in use.
 STRICT = ConfigDict(extra="forbid")
 
 
@@ -19,11 +19,11 @@
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
 
 
-def load_settings(kind: type[T], path: str) -> T:
-    """Return the checked settings of a file; raise `SettingsError`."""
+def load_settings(settings_type: type[T], path: str) -> T:
+    """Return the settings in a file; raise `SettingsError` if they are invalid."""
     data = read_file(path)
     try:
-        return TypeAdapter(kind).validate_json(data)
+        return TypeAdapter(settings_type).validate_json(data)
     except ValidationError as error:
         raise SettingsError(f"{path}: {_describe(error)}") from error
 
--- a/jackdawspur/settings/_standins.py
+++ b/jackdawspur/settings/_standins.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-ins."""
+"""Settings of the stand-ins for the platform's systems."""
 
 from dataclasses import dataclass
 from typing import Annotated, ClassVar, Literal
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerPoolStandinSettings:
-    """Serve workers on several addresses from one process."""
+    """Settings of a stand-in that serves workers on several addresses."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogStandinSettings:
-    """Serve the log; `append_delay_ms` in milliseconds, retention in seconds."""
+    """Settings of the log; `append_delay_ms` in milliseconds, retention in seconds."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -46,10 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformStandinSettings:
-    """Serve the customers' platform: a store and its workers, from one process.
+    """Settings of the customers' platform: a store and its workers in one process.
 
-    `configuration` is published as it stands; `cpu` in thousandths of a core.
-    `announced` are the addresses at which workers are reached, if not their own.
+    `configuration` is published unchanged; `cpu` is in thousandths of a core.
+    `announced` are the addresses at which workers are reached, if these differ from
+    `workers`.
     """
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHostSettings:
-    """Name a host on the list at the start."""
+    """A host that is on the list at the start."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostListStandinSettings:
-    """Serve the host list; `lag_ms` in milliseconds."""
+    """Settings of the host list; `lag_ms` in milliseconds."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
--- a/jackdawspur/settings/tests/__init__.py
+++ b/jackdawspur/settings/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of settings."""
+"""Tests of settings files."""
--- a/jackdawspur/settings/tests/test_host.py
+++ b/jackdawspur/settings/tests/test_host.py
@@ -1,4 +1,4 @@
-"""A host's settings are refused with all their faults at once."""
+"""Tests that a host's settings are rejected with all their errors at once."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from jackdawspur.settings import SettingsError, load_host_settings
 
-GOOD = {
+VALID_SETTINGS = {
     "name": "h0",
     "zone": "z1",
     "callers": "127.0.0.1:1",
@@ -18,43 +18,43 @@
 
 
 @pytest.fixture
-def written(tmp_path):
+def write_settings(tmp_path):
     path = tmp_path / "host.json"
 
     def write(**changes) -> str:
-        values = {**GOOD, **changes}
-        kept = {name: value for name, value in values.items() if value is not ...}
-        path.write_text(json.dumps(kept))
+        values = {**VALID_SETTINGS, **changes}
+        present = {name: value for name, value in values.items() if value is not ...}
+        path.write_text(json.dumps(present))
         return str(path)
 
     return write
 
 
-def test_a_good_file_is_read_with_its_defaults(written):
-    settings = load_host_settings(written())
+def test_valid_file_is_loaded_with_defaults(write_settings):
+    settings = load_host_settings(write_settings())
     assert settings.callers == "127.0.0.1:1"
     assert (settings.grace_s, settings.most_upstreams) == (6.0, 64)
 
 
-def test_limits_of_a_host_may_be_left_out(written):
-    settings = load_host_settings(written())
+def test_limits_of_a_host_are_optional(write_settings):
+    settings = load_host_settings(write_settings())
     assert (settings.processor, settings.link_mbps) == (None, None)
-    settings = load_host_settings(written(processor=0.5, link_mbps=12.5))
+    settings = load_host_settings(write_settings(processor=0.5, link_mbps=12.5))
     assert (settings.processor, settings.link_mbps) == (0.5, 12.5)
 
 
-def test_a_host_may_be_reached_elsewhere_than_it_listens(written):
-    assert load_host_settings(written()).announced is None
-    settings = load_host_settings(written(announced="127.0.0.2:3"))
+def test_announced_address_may_differ_from_the_link(write_settings):
+    assert load_host_settings(write_settings()).announced is None
+    settings = load_host_settings(write_settings(announced="127.0.0.2:3"))
     assert (settings.link, settings.announced) == ("127.0.0.1:3", "127.0.0.2:3")
 
 
-def test_a_host_may_have_no_metrics(written):
-    assert load_host_settings(written(metrics=None)).metrics is None
+def test_metrics_address_is_optional(write_settings):
+    assert load_host_settings(write_settings(metrics=None)).metrics is None
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "expected_text"),
     [
         ({"zone": ...}, "zone: field required"),
         ({"name": ""}, "name: "),
@@ -78,21 +78,21 @@
         ({"graces": 6}, "graces: unknown field"),
     ],
 )
-def test_a_fault_is_named_by_its_field(written, changes, said):
-    with pytest.raises(SettingsError) as caught:
-        load_host_settings(written(**changes))
-    assert said in str(caught.value)
+def test_error_names_the_field(write_settings, changes, expected_text):
+    with pytest.raises(SettingsError) as error_info:
+        load_host_settings(write_settings(**changes))
+    assert expected_text in str(error_info.value)
 
 
-def test_all_faults_are_named_at_once(written):
-    with pytest.raises(SettingsError) as caught:
-        load_host_settings(written(zone=..., callers="x", grace_s=-1, odd=1))
+def test_all_errors_are_reported_at_once(write_settings):
+    with pytest.raises(SettingsError) as error_info:
+        load_host_settings(write_settings(zone=..., callers="x", grace_s=-1, odd=1))
     for name in ("zone", "callers", "grace_s", "odd"):
-        assert f"{name}: " in str(caught.value)
+        assert f"{name}: " in str(error_info.value)
 
 
 @pytest.mark.parametrize("content", [b"", b"[]", b"{", b"\xff\xfe"])
-def test_a_file_that_is_no_object_is_refused(tmp_path, content):
+def test_file_that_is_not_an_object_is_rejected(tmp_path, content):
     path = tmp_path / "host.json"
     path.write_bytes(content)
     with pytest.raises(SettingsError, match="file: "):
--- a/jackdawspur/settings/tests/test_settings.py
+++ b/jackdawspur/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A wrong settings file is refused with the field and what was expected."""
+"""Tests that invalid settings are rejected with the field and what was expected."""
 
 import json
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field_name"),
     [
         ({"zonne": "x"}, "zonne"),
         ({"http": "localhost:80"}, "http: Value error, expected an address"),
@@ -42,11 +42,11 @@
         ({"operators": [{"name": "ann", "token_sha256": "x"}]}, "operators.0.token"),
     ],
 )
-def test_fault_is_named(write, change, named):
-    with pytest.raises(SettingsError, match=named):
+def test_error_names_the_field(write, change, field_name):
+    with pytest.raises(SettingsError, match=field_name):
         load_settings(EntrySettings, write(VALID_SETTINGS | change))
 
 
-def test_missing_file_is_named(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     with pytest.raises(SettingsError, match="No such file"):
         load_settings(EntrySettings, str(tmp_path / "absent.json"))
