--- a/jackdawspur/health/_health.py
+++ b/jackdawspur/health/_health.py
@@ -7,7 +7,7 @@
 from jackdawspur.health._failure_attribution import FailureAttribution
 from jackdawspur.health._limits import (
     DEFAULT_EJECTION,
-    LOST_STARTS_TO_EJECT,
+    LOST_TASKS_TO_EJECT,
     MAX_BACKOFF_S,
     MAX_SLOWDOWN,
     MIN_SAMPLES,
@@ -103,7 +103,7 @@
         self._attribution.record(job_class, upstream, True, now)
         record.failed[FailedJob(submission, job_class)] = None
         record.failed_at = now
-        self._failed_probe(record, now)
+        self._eject_after_failed_probe(record, now)
         self._eject_if_failing(upstream, now)
 
     def lost(self, upstream: UpstreamId, now: float) -> None:
@@ -111,7 +111,7 @@
         record = self._ended(upstream)
         record.lost += 1
         record.failed_at = now
-        self._failed_probe(record, now)
+        self._eject_after_failed_probe(record, now)
         self._eject_if_failing(upstream, now)
 
     def record_inconclusive(self, upstream: UpstreamId) -> None:
@@ -119,10 +119,10 @@
         self._ended(upstream)
 
     def apply_peer_report(
-        self, sender: HostId, bad: Iterable[UpstreamId], now: float
+        self, sender: HostId, unhealthy_ids: Iterable[UpstreamId], now: float
     ) -> None:
         """Apply the list of unhealthy upstreams that a peer in this zone reports."""
-        reported = set(bad)
+        reported = set(unhealthy_ids)
         for upstream, record in self._records.items():
             if upstream in reported:
                 record.reports[sender] = now
@@ -177,10 +177,12 @@
         return all(self._local_id < other for other in self._reporters(record, now))
 
     def slowness(self, upstream: UpstreamId) -> float:
-        """Return the upstream's run time over the median's, from 1 to MAX_SLOWDOWN."""
-        slowdowns = [r.slowdown for r in self._records.values() if _measured(r)]
+        """Return the slowdown relative to the median upstream, from 1 to MAX_SLOWDOWN."""
+        slowdowns = [
+            r.slowdown for r in self._records.values() if _has_enough_samples(r)
+        ]
         record = self._record(upstream)
-        if not _measured(record) or len(slowdowns) < 2:
+        if not _has_enough_samples(record) or len(slowdowns) < 2:
             return 1.0
         return min(
             MAX_SLOWDOWN, max(1.0, record.slowdown / statistics.median(slowdowns))
@@ -213,7 +215,7 @@
     def _reporters(self, record: Record, now: float) -> list[HostId]:
         return [host for host, at in record.reports.items() if now - at <= REPORT_TTL_S]
 
-    def _failed_probe(self, record: Record, now: float) -> None:
+    def _eject_after_failed_probe(self, record: Record, now: float) -> None:
         if record.ejected and now >= record.probe_at:
             self._eject(record, now)
 
@@ -241,12 +243,12 @@
         )
         if failed_jobs:
             failed_jobs += len(self._reporters(record, now))
-        enough = (
+        exceeds_limit = (
             failed_jobs >= self._ejection.after_failures
-            or record.lost >= LOST_STARTS_TO_EJECT
+            or record.lost >= LOST_TASKS_TO_EJECT
         )
         zone = upstream.zone
-        if enough and self._ejected_count(zone) < self._max_ejected(zone):
+        if exceeds_limit and self._ejected_count(zone) < self._max_ejected(zone):
             self._eject(record, now)
 
     def _ejected_count(self, zone: str) -> int:
@@ -274,5 +276,5 @@
         record.times_ejected += 1
 
 
-def _measured(record: Record) -> bool:
+def _has_enough_samples(record: Record) -> bool:
     return record.samples >= MIN_SAMPLES
--- a/jackdawspur/health/_limits.py
+++ b/jackdawspur/health/_limits.py
@@ -7,7 +7,7 @@
     "FAULTY_CLASS_UPSTREAMS",
     "ATTRIBUTION_WINDOW_S",
     "DEFAULT_EJECTION",
-    "LOST_STARTS_TO_EJECT",
+    "LOST_TASKS_TO_EJECT",
     "MAX_BACKOFF_S",
     "MAX_SLOWDOWN",
     "MIN_SAMPLES",
@@ -19,8 +19,8 @@
     "UNLIMITED",
 ]
 
-# Lost starts since the last success after which an upstream is ejected.
-LOST_STARTS_TO_EJECT = 3
+# Number of lost tasks since the last success at which an upstream is ejected.
+LOST_TASKS_TO_EJECT = 3
 # Applies until a configuration sets another policy.
 DEFAULT_EJECTION = EjectionPolicy()
 BASE_BACKOFF_S = DEFAULT_EJECTION.readmit_after_s
--- a/jackdawspur/limits/_calls.py
+++ b/jackdawspur/limits/_calls.py
@@ -70,11 +70,11 @@
         if self._open_calls >= bounds.calls:
             return self._refuse("this host has too many open calls", 1, now)
         if customer_tasks > bounds.waiting_tasks_customer:
-            over = customer_tasks - bounds.waiting_tasks_customer
-            return self._refuse("the customer has too many tasks waiting", over, now)
+            excess = customer_tasks - bounds.waiting_tasks_customer
+            return self._refuse("the customer has too many tasks waiting", excess, now)
         if host_tasks > bounds.waiting_tasks:
-            over = host_tasks - bounds.waiting_tasks
-            return self._refuse("this host has too many tasks waiting", over, now)
+            excess = host_tasks - bounds.waiting_tasks
+            return self._refuse("this host has too many tasks waiting", excess, now)
         return None
 
     def opened(self, customer: str) -> None:
@@ -128,9 +128,9 @@
         self._interval_start = now
 
 
-def _subtract(counts: dict[str, int], customer: str, by: int) -> None:
-    left = counts.get(customer, 0) - by
-    if left > 0:
-        counts[customer] = left
+def _subtract(counts: dict[str, int], customer: str, amount: int) -> None:
+    remaining = counts.get(customer, 0) - amount
+    if remaining > 0:
+        counts[customer] = remaining
     else:
         counts.pop(customer, None)
--- a/jackdawspur/limits/tests/test_quotas.py
+++ b/jackdawspur/limits/tests/test_quotas.py
@@ -212,7 +212,7 @@
     """A wide job waits a second while slots that its customer may use are idle.
 
     Its host used only its share of a quota that no number of tasks could exceed. A
-    quota of one slot less than exist is still divided.
+    quota that is one slot smaller than the number of slots is still divided.
     """
     host = HostId("z1", "e1", 1)
     cluster_spec = ClusterSpec(
--- a/jackdawspur/links/_stale.py
+++ b/jackdawspur/links/_stale.py
@@ -9,7 +9,7 @@
 
 
 class StaleFilter:
-    """Detects messages that a link delivers late, after a network partition.
+    """Detect messages that a link delivers late, after a network partition.
 
     During a partition a few messages stay in the link's queue and are delivered when it
     ends. A delegated job or a slot grant among them is obsolete, as its owner has given
--- a/jackdawspur/platform/_callers.py
+++ b/jackdawspur/platform/_callers.py
@@ -51,7 +51,7 @@
 
 
 class PlatformCallerCodec(CallerPort):
-    """Decodes callers' requests and encodes the replies."""
+    """Decode callers' requests and encode the replies."""
 
     def decode_call(
         self, call: Call, routes: RouteTable
--- a/jackdawspur/platform/_store.py
+++ b/jackdawspur/platform/_store.py
@@ -51,7 +51,7 @@
 
 
 class PlatformStore(StorePort):
-    """Watches configuration, upstreams and hosts in the store; announces this host."""
+    """Watch configuration, upstreams and hosts in the store, and announce this host."""
 
     def __init__(self, address: str, owner: Component, timer_queue: TimerQueue) -> None:
         limits = HttpClientLimits(
--- a/jackdawspur/platform/_topics.py
+++ b/jackdawspur/platform/_topics.py
@@ -34,7 +34,7 @@
 
 
 class KeyedTopic:
-    """Reads the newest record of each key and then follows all changes.
+    """Read the newest record of each key and then follow all changes.
 
     `on_change` gets the values by key, where an empty value means a deleted key, and a
     flag that is true if these are all keys. `on_reachability` gets a flag and the
--- a/jackdawspur/platform/_upstreams.py
+++ b/jackdawspur/platform/_upstreams.py
@@ -64,7 +64,7 @@
 
 
 class PlatformUpstreamClient(UpstreamPort):
-    """Calls upstreams over persistent connections, and sends each call at most once."""
+    """Call upstreams over persistent connections, sending each call at most once."""
 
     def __init__(self, owner: Component, timer_queue: TimerQueue) -> None:
         self._owner = owner
--- a/jackdawspur/scheduling/_admission.py
+++ b/jackdawspur/scheduling/_admission.py
@@ -102,7 +102,7 @@
 
 
 class AdmissionController:
-    """Decides whether a job can meet its contract despite the work already waiting."""
+    """Decide whether a job can meet its contract despite the work already waiting."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
--- a/jackdawspur/scheduling/_customer_queue.py
+++ b/jackdawspur/scheduling/_customer_queue.py
@@ -61,8 +61,8 @@
         index = self.waiting_indexes.pop()
         self.remaining_ms -= self.job.estimates_ms[index]
         self.unschedulable_since = -1.0
-        # Starts sent in one message save messages, so a job with that objective keeps
-        # its position until all its tasks have started.
+        # Tasks of a job that start together need fewer messages, so a job with that
+        # objective keeps its position until all its tasks have started.
         if (
             self.waiting_indexes
             and self.job.contract.objective is Objective.RESPONSE_TIME
--- a/jackdawspur/scheduling/_job.py
+++ b/jackdawspur/scheduling/_job.py
@@ -47,7 +47,7 @@
 class Urgency:
     """The time by which a job should start its next task, and its waiting tasks.
 
-    `latest_start` is in seconds, and later the more work the job has left.
+    `latest_start` is in seconds and grows with the remaining work of the job.
     """
 
     latest_start: float
--- a/jackdawspur/scheduling/_peer_selector.py
+++ b/jackdawspur/scheduling/_peer_selector.py
@@ -39,7 +39,7 @@
 
 
 class PeerSelector:
-    """Selects hosts by their last reported load and the work sent to them since.
+    """Select hosts by their last reported load and the work sent to them since.
 
     A job may be delegated only once; the caller of `choose` must ensure that.
     """
--- a/jackdawspur/scheduling/_queue.py
+++ b/jackdawspur/scheduling/_queue.py
@@ -141,12 +141,12 @@
     def task_ended(self, job: QueuedJob, index: int, run_ms: float) -> None:
         """Charge the customer the measured run time instead of the estimate."""
         customer_queue = self._queue_of(job.customer)
-        over_ms = run_ms - job.estimates_ms[index]
-        customer_queue.service += over_ms / MS / customer_queue.weight
+        excess_ms = run_ms - job.estimates_ms[index]
+        customer_queue.service += excess_ms / MS / customer_queue.weight
         self.capacity_changed()
         self._at_quota.discard(customer_queue.name)
         # A queue that was charged too little is moved when it reaches the top.
-        if customer_queue.waiting and (over_ms < 0 or not customer_queue.entry):
+        if customer_queue.waiting and (excess_ms < 0 or not customer_queue.entry):
             self._schedule_customer(customer_queue)
 
     def capacity_changed(self) -> None:
--- a/jackdawspur/scheduling/_run_times.py
+++ b/jackdawspur/scheduling/_run_times.py
@@ -100,19 +100,19 @@
         run_difference = run - self.run
         self.declared += step * declared_difference
         self.run += step * run_difference
-        keep = 1.0 - step
-        self.spread = keep * (
+        decay = 1.0 - step
+        self.spread = decay * (
             self.spread + step * declared_difference * declared_difference
         )
-        self.covariance = keep * (
+        self.covariance = decay * (
             self.covariance + step * declared_difference * run_difference
         )
         residual = run_difference - slope * declared_difference
-        self.noise = keep * (self.noise + step * residual * residual)
+        self.noise = decay * (self.noise + step * residual * residual)
 
 
 class RunTimeEstimator:
-    """Estimates run times by customer and class from ended tasks.
+    """Estimate run times by customer and class from ended tasks.
 
     A regression on log scale corrects a constant factor in declarations and ignores
     uninformative ones. A new class starts from the history of all its customer's tasks,
@@ -140,11 +140,11 @@
         history = self._classes.get((customer, job_class))
         overall = self._customers.get(customer)
         # Tasks of one job mostly declare the same run time.
-        known: dict[float, float] = {}
+        estimates: dict[float, float] = {}
         for spec in tasks:
-            if spec.run_ms not in known:
-                known[spec.run_ms] = _estimate(history, overall, spec.run_ms)
-        return tuple(known[spec.run_ms] for spec in tasks)
+            if spec.run_ms not in estimates:
+                estimates[spec.run_ms] = _estimate(history, overall, spec.run_ms)
+        return tuple(estimates[spec.run_ms] for spec in tasks)
 
     def observe(
         self, customer: str, job_class: str, spec: TaskSpec, run_ms: float
--- a/jackdawspur/scheduling/tests/__init__.py
+++ b/jackdawspur/scheduling/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this package."""
+"""Tests of admission, order and run time estimation of waiting jobs."""
--- a/jackdawspur/scheduling/tests/test_admission.py
+++ b/jackdawspur/scheduling/tests/test_admission.py
@@ -61,7 +61,7 @@
     assert 7_366.0 < decision.retry_after_ms < 1.5 * 7_366.0
 
 
-def test_light_customer_is_admitted_past_a_heavy_backlog(admission):
+def test_customer_without_backlog_is_admitted_despite_others_backlog(admission):
     """The backlog of one customer makes the host refuse all customers.
 
     The backlog is 7.8 s of work, but a customer without backlog would wait only for its
