--- a/jackdawspur/health/_health.py
+++ b/jackdawspur/health/_health.py
@@ -177,7 +177,7 @@
         return all(self._local_id < other for other in self._reporters(record, now))
 
     def slowness(self, upstream: UpstreamId) -> float:
-        """Return the slowdown relative to the median upstream, from 1 to MAX_SLOWDOWN."""
+        """Return the slowdown relative to the median, from 1 to MAX_SLOWDOWN."""
         slowdowns = [
             r.slowdown for r in self._records.values() if _has_enough_samples(r)
         ]
