--- a/jackdawspur/dispatch/__init__.py
+++ b/jackdawspur/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of one entry host: events and the time in, effects out."""
+"""Dispatch logic of one entry host: events and the time in, effects out."""
 
 from jackdawspur.dispatch._core import TICK_S, EntryCore
 from jackdawspur.dispatch._effects import (
--- a/jackdawspur/dispatch/_answers.py
+++ b/jackdawspur/dispatch/_answers.py
@@ -1,4 +1,4 @@
-"""Ending jobs and telling every caller of them, once."""
+"""Ending jobs and answering each of their callers once."""
 
 from collections import defaultdict
 from dataclasses import replace
@@ -14,7 +14,7 @@
     "complete_job",
     "end_job",
     "failure",
-    "give_up",
+    "abort_job",
     "pending",
     "refusal",
     "without_not_run",
@@ -27,7 +27,7 @@
     retry_after_ms: float = 0.0,
     submission: SubmissionId | None = None,
 ) -> Answer:
-    """Return an answer that says nothing was or will be executed."""
+    """Return an answer which states that nothing has run or will run."""
     return Answer(
         JobState.REFUSED,
         submission,
@@ -39,27 +39,27 @@
 
 
 def failure(code: FailureCode, message: str, submission: SubmissionId) -> Answer:
-    """Return an answer of a job of which something may have been executed."""
+    """Return the answer of a failed job, tasks of which may have run."""
     return Answer(JobState.FAILED, submission, code=code, message=message)
 
 
 def without_not_run(answer: Answer) -> Answer:
-    """Take "not run" back from a refusal whose key was not claimed.
+    """Return a refusal without "not run", for a request whose key was not claimed.
 
-    This attempt started nothing. But an earlier one with the same key may have run
-    at another host whose claim has not reached this one, so "not run" could be false.
+    This attempt started nothing. However, an earlier one with the same key may have
+    run at another host whose claim has not been read here, so "not run" may be false.
     """
     text = f"{answer.message}; an earlier request with this key may have run"
     return replace(answer, not_run=False, message=text)
 
 
 def pending(submission: SubmissionId) -> Answer:
-    """Return the state of a job that has not ended."""
+    """Return the answer for a job that has not ended."""
     return Answer(JobState.PENDING, submission)
 
 
 def answer_call(state: State, call: int, answer: Answer) -> None:
-    """Answer a caller here, or through the host that forwarded its call."""
+    """Answer a call, through the host that forwarded it if there is one."""
     remote = state.remote_calls.pop(call, None)
     if remote is None:
         state.emit(AnswerCall(call, answer))
@@ -68,12 +68,12 @@
 
 
 def complete_job(state: State, job: Job, now: float) -> None:
-    """End a job whose tasks all have their output."""
+    """End a job of which every task has its output."""
     outputs = tuple(job.outputs[i] for i in range(len(job.request.tasks)))
     end_job(state, job, Answer(JobState.COMPLETE, job.submission, outputs), now)
 
 
-def give_up(
+def abort_job(
     state: State,
     job: Job,
     code: FailureCode,
@@ -81,8 +81,8 @@
     now: float,
     retry_after_ms: float = 0.0,
 ) -> None:
-    """End a job without its result; says "not run" only if nothing was sent."""
-    if job.untouched:
+    """End a job without its result, as "not run" only if nothing was sent."""
+    if job.nothing_sent:
         answer = refusal(code, message, retry_after_ms, job.submission)
         if job.unclaimed:
             answer = without_not_run(answer)
@@ -92,7 +92,7 @@
 
 
 def end_job(state: State, job: Job, answer: Answer, now: float) -> None:
-    """Fix a job's answer, stop what still runs and tell all its callers."""
+    """Set the answer of a job, stop its running tasks and answer all its callers."""
     if job.stage is Stage.ENDED:
         return
     job.stage = Stage.ENDED
@@ -100,7 +100,7 @@
     state.queue.remove(job.submission)
     state.claiming.pop(job.submission, None)
     _stop_running(state, job)
-    state.keep_answer(job, now)
+    state.store_answer(job, now)
     if job.origin is not None:
         state.emit(SendPeerMessage(job.origin, DelegateAnswer(job.submission, answer)))
     for call in state.detach_all(job):
--- a/jackdawspur/dispatch/_core.py
+++ b/jackdawspur/dispatch/_core.py
@@ -1,4 +1,4 @@
-"""The decisions of one entry host, behind one function."""
+"""Entry point of the dispatch logic of one entry host."""
 
 import random
 
@@ -27,45 +27,47 @@
     Tick,
     UsageReplied,
 )
-from jackdawspur.dispatch._in_flight import note_incarnation
+from jackdawspur.dispatch._in_flight import record_incarnation
 from jackdawspur.dispatch._loads import divide_slots, refresh_view
 from jackdawspur.dispatch._peers import (
-    lend_urgently,
-    receive,
+    grant_urgent_requests,
+    handle_peer_message,
+    request_and_return_slots,
     send_heartbeats,
-    trade_slots,
 )
-from jackdawspur.dispatch._resolve import lose_status, reply_status
+from jackdawspur.dispatch._resolve import handle_status_failure, handle_status_reply
 from jackdawspur.dispatch._run import (
-    lose_starts,
-    reply_results,
-    reply_starts,
-    start_waiting,
+    handle_results,
+    handle_start_failure,
+    handle_start_reply,
+    start_waiting_tasks,
 )
 from jackdawspur.dispatch._state import State
 from jackdawspur.dispatch._submit import (
-    ask_cancel,
     close_call,
-    end_claim,
+    handle_claim_appended,
+    handle_claims_read,
     issue_ids,
     poll,
-    read_claims,
+    request_cancel,
     submit,
 )
 from jackdawspur.model import ClusterSpec, HostId
 
 __all__ = ["TICK_S", "EntryCore"]
 
-# Ticks must not come less often than this while the host runs.
+# Longest interval between two `Tick` events while the host runs, in seconds.
 TICK_S = 0.05
-RESUME_HOLD_S = 0.5
+# How long starts are held back after a pause of the process, in seconds.
+STARTS_HOLD_S = 0.5
 
 
 class EntryCore:
-    """Turn what happens to an entry host into what it shall do.
+    """Turn the events of an entry host into effects for its adapters.
 
-    All times are seconds on one monotonic clock; randomness comes from `rng` alone.
-    With `crosses_zones` upstreams of other zones must be reachable from here too.
+    All times are seconds on one monotonic clock; `rng` is the only source of
+    randomness. `crosses_zones` requires that upstreams of other zones can be reached
+    from this host.
     """
 
     def __init__(
@@ -79,70 +81,71 @@
 
     @property
     def host(self) -> HostId:
-        """Return the run of the host that decides here."""
-        return self._state.own
+        """Return the id of this host, with its incarnation."""
+        return self._state.local_id
 
     @property
     def state(self) -> State:
-        """Return the memory behind the decisions, to be read only."""
+        """Return the state of the dispatch logic; callers must not change it."""
         return self._state
 
     @property
     def counters(self) -> Counters:
-        """Return what was counted since the start."""
+        """Return the counters since the start of the host."""
         return self._state.counters
 
     @property
     def ready(self) -> bool:
-        """Tell whether new jobs are accepted."""
+        """Return whether new jobs are accepted."""
         return self._state.cluster_spec is not None and not self._state.draining
 
     @property
     def drained(self) -> bool:
-        """Tell whether a host that shuts down may exit."""
+        """Return whether a host that is shutting down may exit."""
         return is_drained(self._state)
 
     def next_wake(self) -> float | None:
-        """Return when the next `Tick` is needed at the latest, if one is."""
+        """Return the latest time of the next `Tick`, or None if none is needed."""
         return self._state.next_wake()
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Return what to do about an event that happens now."""
+        """Return the effects of one event."""
         return self.handle_all((event,), now)
 
     def handle_all(self, events: tuple[Event, ...], now: float) -> list[Effect]:
-        """Return what to do about events that came together.
+        """Return the effects of events that arrived together.
 
-        Starts that they make possible travel together.
+        Starts that become possible are sent in common batches.
         """
         state = self._state
-        self._notice_gap(now)
+        self._detect_pause(now)
         state.run_due(now)
         for event in events:
             _HANDLERS[type(event)](state, event, now)
-        lend_urgently(state, now)
-        start_waiting(state, now)
-        trade_slots(state, now)
+        grant_urgent_requests(state, now)
+        start_waiting_tasks(state, now)
+        request_and_return_slots(state, now)
         return state.take_effects()
 
-    def _notice_gap(self, now: float) -> None:
-        """Give up old beliefs when this host was paused.
+    def _detect_pause(self, now: float) -> None:
+        """Reset the view of other hosts if this process was paused.
 
-        Ticks come every `TICK_S`, so a long silence means that the process stood
-        still. Others may have taken its slots over; deadlines passed unseen. The view
-        starts afresh, and due timers run before anything is sent.
+        Ticks arrive every `TICK_S`, so a long gap means that the process was paused.
+        Meanwhile other hosts may have taken over its slots, and deadlines may have
+        passed. Due timers run before anything is sent.
         """
         state = self._state
         gap = now - state.last_event_at
         state.last_event_at = now
         if state.view.reset_after_pause(now, gap):
             refresh_view(state, now)
-            # Siblings tell within this time which upstreams began to leave meanwhile.
-            state.hold_until = now + RESUME_HOLD_S
+            # Within this time the heartbeats of hosts in the zone report which
+            # upstreams started to leave during the pause.
+            state.starts_held_until = now + STARTS_HOLD_S
 
 
-def _set_world(state: State, event: ClusterSpecUpdated, now: float) -> None:
-    """Take a version into force; an older one changes nothing."""
+def _set_cluster_spec(state: State, event: ClusterSpecUpdated, now: float) -> None:
+    """Apply a version of the cluster spec, unless it is older than the present one."""
     if (
         state.cluster_spec is not None
         and event.cluster_spec.version < state.cluster_spec.version
@@ -153,11 +156,11 @@
     divide_slots(state, now)
 
 
-def _name_hosts(state: State, event: BootstrapHostsLoaded, now: float) -> None:
-    """Let the view count hosts that no configuration names yet.
+def _set_bootstrap_hosts(state: State, event: BootstrapHostsLoaded, now: float) -> None:
+    """Add the hosts named in the settings to the view until a configuration is read.
 
-    Else a host that starts while the log is down would know of no peer to ask for
-    the configuration, though its siblings' heartbeats arrive.
+    Without them, a host that starts while the log is down would know no peer to ask
+    for the configuration, although heartbeats of its zone arrive.
     """
     if state.cluster_spec is None:
         state.view.set_cluster_spec(ClusterSpec(entry_hosts=event.hosts), now)
@@ -171,13 +174,13 @@
     send_heartbeats(state, now)
 
 
-def _list_hosts(state: State, event: HostListUpdated, now: float) -> None:
+def _record_host_list(state: State, event: HostListUpdated, now: float) -> None:
     state.view.record_host_list(event.hosts, now)
 
 
-def _note_usage(state: State, event: UsageReplied, now: float) -> None:
+def _record_usage(state: State, event: UsageReplied, now: float) -> None:
     reply = event.reply
-    note_incarnation(state, reply.upstream, reply.incarnation, now)
+    record_incarnation(state, reply.upstream, reply.incarnation, now)
     if reply.usage is None:
         return
     if reply.usage.leaving:
@@ -190,21 +193,21 @@
 _HANDLERS = {
     Submitted: submit,
     Polled: poll,
-    CancelRequested: ask_cancel,
+    CancelRequested: request_cancel,
     SubmissionIdsRequested: issue_ids,
     CallClosed: close_call,
-    StartsReplied: reply_starts,
-    StartRequestFailed: lose_starts,
-    ResultsReplied: reply_results,
-    StatusReplied: reply_status,
-    StatusQueryFailed: lose_status,
-    UsageReplied: _note_usage,
-    PeerMessageReceived: receive,
-    BootstrapHostsLoaded: _name_hosts,
-    ClusterSpecUpdated: _set_world,
-    HostListUpdated: _list_hosts,
-    ClaimAppendCompleted: end_claim,
-    ClaimsRead: read_claims,
+    StartsReplied: handle_start_reply,
+    StartRequestFailed: handle_start_failure,
+    ResultsReplied: handle_results,
+    StatusReplied: handle_status_reply,
+    StatusQueryFailed: handle_status_failure,
+    UsageReplied: _record_usage,
+    PeerMessageReceived: handle_peer_message,
+    BootstrapHostsLoaded: _set_bootstrap_hosts,
+    ClusterSpecUpdated: _set_cluster_spec,
+    HostListUpdated: _record_host_list,
+    ClaimAppendCompleted: handle_claim_appended,
+    ClaimsRead: handle_claims_read,
     DrainRequested: drain,
     Tick: _tick,
 }
--- a/jackdawspur/dispatch/_counters.py
+++ b/jackdawspur/dispatch/_counters.py
@@ -1,4 +1,4 @@
-"""What one entry host has done since its start, for operators."""
+"""Counters of one entry host since its start, for operators."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Count jobs, starts and messages; response times in milliseconds."""
+    """Counts of jobs, starts and messages; response times in milliseconds."""
 
     complete: int = 0
     failed: int = 0
@@ -28,7 +28,7 @@
     responses: Histograms = field(default_factory=Histograms)
 
     def count_end(self, job: Job, now: float) -> None:
-        """Count a job's end, and its response time where it completed."""
+        """Count the end of a job, and record its response time if it completed."""
         answer = job.answer
         if answer.state is JobState.COMPLETE:
             self.complete += 1
--- a/jackdawspur/dispatch/_drain.py
+++ b/jackdawspur/dispatch/_drain.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: no new jobs, and an answer to all that were accepted."""
+"""Graceful shutdown: no new jobs, and an answer to every accepted one."""
 
-from jackdawspur.dispatch._answers import give_up
+from jackdawspur.dispatch._answers import abort_job
 from jackdawspur.dispatch._events import DrainRequested
 from jackdawspur.dispatch._job import Stage
 from jackdawspur.dispatch._state import State
@@ -12,14 +12,14 @@
 
 
 def drain(state: State, event: DrainRequested, now: float) -> None:
-    """Take no more jobs; end what has not ended within the bound."""
+    """Accept no more jobs, and end those that are left after the timeout."""
     state.draining = True
-    bound = now + event.drain_timeout_ms / MS_PER_S
-    state.schedule(bound, lambda at: _end_all(state, at))
+    end_at = now + event.drain_timeout_ms / MS_PER_S
+    state.schedule(end_at, lambda at: _end_all(state, at))
 
 
 def is_drained(state: State) -> bool:
-    """Tell whether every caller has its answer."""
+    """Return whether every caller has its answer."""
     return (
         state.draining
         and not state.live_jobs
@@ -33,6 +33,6 @@
     for job in list(state.jobs.values()):
         if job.stage is Stage.ENDED:
             continue
-        unsure = not job.untouched and job.unsure
-        code = FailureCode.OUTCOME_UNKNOWN if unsure else FailureCode.SHUTDOWN
-        give_up(state, job, code, text, now)
+        unknown = not job.nothing_sent and job.outcome_unknown
+        code = FailureCode.OUTCOME_UNKNOWN if unknown else FailureCode.SHUTDOWN
+        abort_job(state, job, code, text, now)
--- a/jackdawspur/dispatch/_effects.py
+++ b/jackdawspur/dispatch/_effects.py
@@ -1,4 +1,4 @@
-"""What an entry host's decisions ask its adapters to do."""
+"""Effects: actions that the dispatch logic requests from the adapters."""
 
 from dataclasses import dataclass
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTasks:
-    """Send starts to an upstream, once."""
+    """Send starts to an upstream, without retries."""
 
     upstream: UpstreamId
     starts: tuple[TaskStart, ...]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryTaskStatus:
-    """Ask an upstream how far tasks are, and bar what it has not started."""
+    """Query the status of tasks, and seal those that the upstream has not started."""
 
     upstream: UpstreamId
     tasks: tuple[TaskId, ...]
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTasks:
-    """Stop tasks whose results nobody needs."""
+    """Stop tasks whose results are no longer needed."""
 
     upstream: UpstreamId
     tasks: tuple[TaskId, ...]
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerCall:
-    """Answer a caller; each call is answered once."""
+    """Answer a call of a caller; each call is answered once."""
 
     call: int
     answer: Answer
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IssueIds:
-    """Hand submission ids to a caller."""
+    """Answer a call for submission ids."""
 
     call: int
     ids: tuple[SubmissionId, ...]
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send a message to another entry host; it may be lost."""
+    """Send a message to another entry host; delivery is not guaranteed."""
 
     to: HostId
     message: Message
--- a/jackdawspur/dispatch/_events.py
+++ b/jackdawspur/dispatch/_events.py
@@ -1,4 +1,4 @@
-"""What happens to an entry host; the time is passed beside the event."""
+"""Events of an entry host; the time is passed separately."""
 
 from dataclasses import dataclass
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submitted:
-    """A caller submits a job; without `wait` it is answered `PENDING` at once."""
+    """A caller submits a job; without `wait` the answer is `PENDING` at once."""
 
     call: int
     request: JobRequest
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Polled:
-    """A caller asks for the state of a submission, or waits for its end."""
+    """A caller requests the state of a submission; `wait` delays it until the end."""
 
     call: int
     customer: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmissionIdsRequested:
-    """A caller wants submission ids in advance."""
+    """A caller requests submission ids in advance."""
 
     call: int
     customer: str
@@ -78,22 +78,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClosed:
-    """A caller's connection closed before its answer."""
+    """The connection of a call closed before its answer."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartsReplied:
-    """An upstream answered a batch of starts."""
+    """An upstream replied to a batch of starts."""
 
     reply: UpstreamReply
 
 
 @dataclass(frozen=True, slots=True)
 class StartRequestFailed:
-    """A batch of starts got no reply; `maybe_sent` when a byte may have left this
-    host."""
+    """A batch of starts got no reply.
+
+    `maybe_sent` is true if any byte of it may have left this host.
+    """
 
     upstream: UpstreamId
     tasks: tuple[TaskId, ...]
@@ -102,21 +104,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultsReplied:
-    """An upstream reported ended tasks; repeats and disorder are possible."""
+    """An upstream reported ended tasks, possibly repeated or out of order."""
 
     reply: UpstreamReply
 
 
 @dataclass(frozen=True, slots=True)
 class StatusReplied:
-    """An upstream answered a status query, or a stop."""
+    """An upstream replied to a status query or a stop."""
 
     reply: UpstreamReply
 
 
 @dataclass(frozen=True, slots=True)
 class StatusQueryFailed:
-    """A status query got no answer."""
+    """A status query got no reply."""
 
     upstream: UpstreamId
     tasks: tuple[TaskId, ...]
@@ -124,14 +126,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReplied:
-    """An upstream reported its load; the report lags."""
+    """An upstream reported its load, with some delay."""
 
     reply: UpstreamReply
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """A message of another entry host arrived."""
+    """A message from another entry host arrived."""
 
     sender: HostId
     message: Message
@@ -139,28 +141,28 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapHostsLoaded:
-    """The settings name the entry hosts, to be heard before a configuration is."""
+    """The settings named entry hosts, used until a configuration is in force."""
 
     hosts: tuple[EntryHost, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterSpecUpdated:
-    """A newer version of the configuration came into force here."""
+    """A newer version of the configuration came into force on this host."""
 
     cluster_spec: ClusterSpec
 
 
 @dataclass(frozen=True, slots=True)
 class HostListUpdated:
-    """The platform's list of hosts was read; it lags."""
+    """The platform's host list was read; it may be out of date."""
 
     hosts: tuple[ListedHost, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Bind a caller's idempotency key to a submission."""
+    """Binding of a caller's idempotency key to a submission."""
 
     customer: str
     key: str
@@ -169,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAppendCompleted:
-    """An append of a claim ended; `appended` None when that is unknown."""
+    """The append of a claim ended; `appended` is None if the outcome is unknown."""
 
     claim: Claim
     appended: bool | None
@@ -179,7 +181,7 @@
 class ClaimsRead:
     """Claims were read from the log, in log order.
 
-    `gap` when the log had trimmed claims away that this host never read.
+    `gap` is true if the log had trimmed claims before this host read them.
     """
 
     claims: tuple[Claim, ...]
@@ -188,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """The host shall stop; what runs gets `drain_timeout_ms` to end."""
+    """The host must stop; running jobs may end within `drain_timeout_ms`."""
 
     drain_timeout_ms: float
 
--- a/jackdawspur/dispatch/_forward.py
+++ b/jackdawspur/dispatch/_forward.py
@@ -1,4 +1,4 @@
-"""Passing calls on to the owner of their submission."""
+"""Forwarding of calls to the owner of their submission."""
 
 from jackdawspur.dispatch._answers import answer_call
 from jackdawspur.dispatch._effects import SendPeerMessage
@@ -16,16 +16,16 @@
     "receive_forward_answer",
 ]
 
-# Forwards are idempotent at the owner, so one that got no answer is sent again.
+# Forwards are idempotent at the owner, so one without an answer is sent again.
 FORWARD_RETRY_S = 0.5
-FORWARD_LIMIT_S = 30.0
+FORWARD_TIMEOUT_S = 30.0
 MS_PER_S = 1000.0
 
 
 def forward_request(
     state: State, event: Submitted, submission: SubmissionId, now: float
 ) -> None:
-    """Pass a submission on to the host that owns its id."""
+    """Forward a submission to the host that owns its id."""
     request = event.request
     message = Forward(event.call, request.customer, submission, event.wait, request)
     limit = now + request.deadline_ms / MS_PER_S
@@ -33,15 +33,15 @@
 
 
 def forward_poll(state: State, event: Polled, now: float) -> None:
-    """Pass a question for the state of a submission on to its owner."""
+    """Forward a request for the state of a submission to its owner."""
     message = Forward(event.call, event.customer, event.submission, event.wait)
-    _forward(state, event.call, event.submission, message, now + FORWARD_LIMIT_S, now)
+    _forward(state, event.call, event.submission, message, now + FORWARD_TIMEOUT_S, now)
 
 
 def forward_cancel(state: State, event: CancelRequested, now: float) -> None:
-    """Pass a cancellation on to the owner of the submission."""
+    """Forward a cancellation to the owner of the submission."""
     message = CancelForward(event.call, event.customer, event.submission)
-    _forward(state, event.call, event.submission, message, now + FORWARD_LIMIT_S, now)
+    _forward(state, event.call, event.submission, message, now + FORWARD_TIMEOUT_S, now)
 
 
 def _forward(
@@ -53,31 +53,33 @@
     now: float,
 ) -> None:
     state.pending_forwards[call] = Forwarded(submission, message, limit)
-    _send(state, call, now)
+    _send_forward(state, call, now)
 
 
-def _send(state: State, call: int, now: float) -> None:
-    """Send or repeat a forward, or end it when the owner is gone.
+def _send_forward(state: State, call: int, now: float) -> None:
+    """Send or repeat a forward, or end it if the owner is gone.
 
-    A dead or restarted owner took its memory with it. Whether the job ran can't be
-    known any more, so the caller is told just that and nothing runs again.
+    A dead or restarted owner has lost its state. Whether the job ran can no longer be
+    determined, so the caller gets exactly this answer and nothing runs again.
     """
     forwarded = state.pending_forwards.get(call)
     if forwarded is None:
         return
     owner = forwarded.submission.owner
     if state.view.owner_state(owner) is OwnerState.GONE:
-        _lose(state, call, FailureCode.OWNER_LOST, "the owner of this id is gone")
+        _fail_forward(
+            state, call, FailureCode.OWNER_LOST, "the owner of this id is gone"
+        )
     elif now >= forwarded.limit:
         text = "the owner of this id did not answer in time"
-        _lose(state, call, FailureCode.OUTCOME_UNKNOWN, text)
+        _fail_forward(state, call, FailureCode.OUTCOME_UNKNOWN, text)
     else:
         state.emit(SendPeerMessage(owner, forwarded.message))
-        again = min(now + FORWARD_RETRY_S, forwarded.limit)
-        state.schedule(again, lambda at: _send(state, call, at))
+        retry_at = min(now + FORWARD_RETRY_S, forwarded.limit)
+        state.schedule(retry_at, lambda at: _send_forward(state, call, at))
 
 
-def _lose(state: State, call: int, code: FailureCode, text: str) -> None:
+def _fail_forward(state: State, call: int, code: FailureCode, text: str) -> None:
     forwarded = state.pending_forwards.pop(call)
     text = f"{text}; whether its tasks ran is unknown"
     answer = Answer(JobState.FAILED, forwarded.submission, code=code, message=text)
@@ -87,7 +89,7 @@
 def receive_forward_answer(
     state: State, sender: HostId, message: ForwardAnswer
 ) -> None:
-    """Hand the owner's answer to the caller; repeats find no caller left."""
+    """Pass the answer of the owner to the caller; ignore repeated answers."""
     forwarded = state.pending_forwards.get(message.call)
     if forwarded is None or forwarded.submission.owner != sender:
         return
@@ -96,10 +98,10 @@
 
 
 def open_remote_call(state: State, host: HostId, call: int) -> int | None:
-    """Return a call of our own for a peer's; None when that is open already."""
+    """Return a local call for a call of a peer, or None if one is open already."""
     remote = RemoteCall(host, call)
     if remote in state.remote_calls.values():
         return None
-    own_call = state.next_remote_call()
-    state.remote_calls[own_call] = remote
-    return own_call
+    local_call = state.next_remote_call()
+    state.remote_calls[local_call] = remote
+    return local_call
--- a/jackdawspur/dispatch/_job.py
+++ b/jackdawspur/dispatch/_job.py
@@ -1,4 +1,4 @@
-"""One job from its arrival to its answer."""
+"""State of one job from its arrival to its answer."""
 
 import enum
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 
 class Stage(enum.Enum):
-    """Tell where a job is on its way."""
+    """Stage of a job between its arrival and its answer."""
 
     CLAIMING = "claiming"
     QUEUED = "queued"
@@ -28,7 +28,7 @@
 
 
 class TaskPhase(enum.Enum):
-    """Tell what this host knows of one task."""
+    """State of one task as known to this host."""
 
     SENT = "sent"
     RUNNING = "running"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Say where a task was sent, when, and to which run of the upstream."""
+    """Upstream to which a task was sent, its incarnation and the time."""
 
     upstream: UpstreamId
     sent_at: float
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """Track one job; times are seconds on the caller of the logic's clock."""
+    """One job; times are seconds on the clock passed to the dispatch logic."""
 
     submission: SubmissionId
     request: JobRequest
@@ -58,9 +58,10 @@
     stage: Stage = Stage.QUEUED
     delegate: HostId | None = None
     no_delegation: bool = False
-    # Its key was claimed first by it, nobody was told "not run", and nothing ran.
-    reusable: bool = False
-    # The log never confirmed its key, so a request with that key may run elsewhere.
+    # A repeat may run: this job's claim of the key came first, nothing ran, and the
+    # answer was not "not run".
+    may_rerun: bool = False
+    # The log has not confirmed the key, so a request with it may run at another host.
     unclaimed: bool = False
     queued: QueuedJob | None = None
     calls: set[int] = field(default_factory=set)
@@ -70,34 +71,34 @@
 
     @property
     def customer(self) -> str:
-        """Return the customer's name."""
+        """Return the name of the customer."""
         return self.request.customer
 
     @property
-    def untouched(self) -> bool:
-        """Tell whether no task of this job can have started anywhere.
+    def nothing_sent(self) -> bool:
+        """Return whether no task of this job can have started anywhere.
 
-        A start that an upstream refused or barred leaves no placement behind.
+        The placement of a start that an upstream refused or sealed is removed.
         """
         return not self.placements and not self.outputs and self.delegate is None
 
     @property
-    def unsure(self) -> bool:
-        """Tell whether it is not known here if some task ever started."""
-        doubtful = (TaskPhase.SENT, TaskPhase.UNSURE)
+    def outcome_unknown(self) -> bool:
+        """Return whether the start of some task is unconfirmed on this host."""
+        unconfirmed = (TaskPhase.SENT, TaskPhase.UNSURE)
         placed = self.placements.values()
-        return self.delegate is not None or any(p.phase in doubtful for p in placed)
+        return self.delegate is not None or any(p.phase in unconfirmed for p in placed)
 
     def task(self, index: int) -> TaskId:
         """Return the id of a task."""
         return TaskId(self.submission, index)
 
     def spec(self, index: int) -> TaskSpec:
-        """Return what the caller said of a task."""
+        """Return the specification of a task."""
         return self.request.tasks[index]
 
-    def finish_task(self, outcome: TaskOutcome) -> bool:
-        """Record the output of a task; return whether it was the first report."""
+    def record_output(self, outcome: TaskOutcome) -> bool:
+        """Record the output of a task, and return whether it is the first report."""
         index = outcome.task.index
         if index in self.outputs:
             return False
@@ -105,6 +106,6 @@
         return True
 
     @property
-    def whole(self) -> bool:
-        """Tell whether every task has its output."""
+    def is_complete(self) -> bool:
+        """Return whether every task has its output."""
         return len(self.outputs) == len(self.request.tasks)
--- a/jackdawspur/dispatch/_loads.py
+++ b/jackdawspur/dispatch/_loads.py
@@ -1,4 +1,4 @@
-"""What other entry hosts and zones could take over, as last reported."""
+"""Loads of other entry hosts and zones, as last reported."""
 
 from collections.abc import Iterator
 
@@ -8,68 +8,76 @@
 from jackdawspur.model import HostId
 from jackdawspur.scheduling import HostLoad
 
-__all__ = ["note_loads", "refresh_view"]
+__all__ = ["update_peer_loads", "refresh_view"]
 
 SIBLING_ROUND_TRIP_MS = 1.0
 ZONE_ROUND_TRIP_MS = 2.0
-# A zone's summary counts waiting tasks but not their length.
-TASK_GUESS_MS = 300.0
+# The summary of a zone counts waiting tasks without their run times.
+ASSUMED_TASK_MS = 300.0
 
 
 def refresh_view(state: State, now: float) -> None:
-    """Divide slots and quotas anew when the view has changed."""
-    sharers = state.view.slot_holders()
-    if sharers != state.sharers:
-        state.sharers = sharers
+    """Divide slots and quotas again if the view has changed."""
+    slot_holders = state.view.slot_holders()
+    if slot_holders != state.slot_holders:
+        state.slot_holders = slot_holders
         divide_slots(state, now)
     peers = state.view.peers()
     if peers != state.peers:
         for gone in sorted(set(state.peers) - set(peers)):
             state.peer_selector.forget(gone)
         state.peers = peers
-        state.quotas.set_live_hosts((*peers, state.own))
+        state.quotas.set_live_hosts((*peers, state.local_id))
         if state.crosses_zones:
-            state.slots.set_remote_hosts(h for h in peers if h.zone != state.own.zone)
+            state.slots.set_remote_hosts(
+                h for h in peers if h.zone != state.local_id.zone
+            )
 
 
 def divide_slots(state: State, now: float) -> None:
-    """Take this host's share of the zone's slots."""
+    """Compute this host's share of the slots of its zone."""
     if state.cluster_spec is None:
         return
-    own = [u for u in state.cluster_spec.upstreams if u.id.zone == state.own.zone]
-    state.slots.set_members(own, state.sharers or (state.own,), now)
+    local_upstreams = [
+        u for u in state.cluster_spec.upstreams if u.id.zone == state.local_id.zone
+    ]
+    state.slots.set_members(
+        local_upstreams, state.slot_holders or (state.local_id,), now
+    )
 
 
-def note_loads(state: State, now: float) -> None:
-    """Spread the reports of siblings and zones over the hosts they stand for."""
+def update_peer_loads(state: State, now: float) -> None:
+    """Update the loads of peers from the reports of hosts and zones."""
     if state.cluster_spec is None:
         return
-    _note_siblings(state, now)
-    # In one order on every run: a set of texts has another one in each process.
-    for zone in sorted({host.zone for host in state.view.peers()} - {state.own.zone}):
-        _note_zone(state, state.view.zone_summary(zone), now)
+    _update_sibling_loads(state, now)
+    # Sorted for determinism: the order of a set of strings differs by process.
+    for zone in sorted(
+        {host.zone for host in state.view.peers()} - {state.local_id.zone}
+    ):
+        _update_zone_loads(state, state.view.zone_summary(zone), now)
 
 
-def _note_siblings(state: State, now: float) -> None:
+def _update_sibling_loads(state: State, now: float) -> None:
     share = state.slots.capacity()
     for host in state.view.siblings():
-        beat = state.view.last_heartbeat(host)
-        if beat is None:
+        heartbeat = state.view.last_heartbeat(host)
+        if heartbeat is None:
             continue
-        accepts = beat.ready and not beat.draining
+        accepts = heartbeat.ready and not heartbeat.draining
         load = HostLoad(
             host,
             share,
-            beat.free_slots,
-            beat.waiting_tasks,
-            beat.backlog_ms,
+            heartbeat.free_slots,
+            heartbeat.waiting_tasks,
+            heartbeat.backlog_ms,
             SIBLING_ROUND_TRIP_MS,
             accepts,
         )
         state.peer_selector.update_load(load, now)
 
 
-def _note_zone(state: State, summary: ZoneSummary, now: float) -> None:
+def _update_zone_loads(state: State, summary: ZoneSummary, now: float) -> None:
     hosts = state.view.ready_hosts(summary.zone)
     if not hosts:
         return
@@ -80,7 +88,7 @@
             state.zone_slots.get(summary.zone, 0) // len(hosts),
             summary.free_slots // len(hosts),
             waiting,
-            waiting * TASK_GUESS_MS,
+            waiting * ASSUMED_TASK_MS,
             ZONE_ROUND_TRIP_MS,
         )
         state.peer_selector.update_load(load, now - summary.age)
@@ -91,15 +99,15 @@
 def _split_usage(
     usage: tuple[CustomerUsage, ...], hosts: tuple[HostId, ...]
 ) -> Iterator[tuple[HostId, tuple[CustomerUsage, ...]]]:
-    """Yield each host's part of a zone's usage, so that the parts add up to it."""
+    """Yield an equal share of a zone's usage per host; the shares add up to it."""
     count = len(hosts)
-    for place, host in enumerate(hosts):
-        part = tuple(
+    for index, host in enumerate(hosts):
+        share = tuple(
             CustomerUsage(
-                one.customer,
-                (one.running + place) // count,
-                (one.waiting + place) // count,
+                entry.customer,
+                (entry.running + index) // count,
+                (entry.waiting + index) // count,
             )
-            for one in usage
+            for entry in usage
         )
-        yield host, part
+        yield host, share
--- a/jackdawspur/dispatch/_peers.py
+++ b/jackdawspur/dispatch/_peers.py
@@ -1,10 +1,9 @@
-"""Messages of other entry hosts: heartbeats, loans, forwards and delegations."""
+"""Messages between entry hosts: heartbeats, loans, forwards and delegations."""
 
 from dataclasses import replace
 
 from jackdawspur.dispatch._answers import end_job, failure
 from jackdawspur.dispatch._delegate import receive_delegate_answer
-from jackdawspur.dispatch._door import refuse_at_door
 from jackdawspur.dispatch._effects import SendPeerMessage
 from jackdawspur.dispatch._events import (
     CancelRequested,
@@ -13,11 +12,18 @@
     Submitted,
 )
 from jackdawspur.dispatch._forward import open_remote_call, receive_forward_answer
+from jackdawspur.dispatch._ingress import refuse_at_ingress
 from jackdawspur.dispatch._job import Job
-from jackdawspur.dispatch._loads import note_loads
+from jackdawspur.dispatch._loads import update_peer_loads
 from jackdawspur.dispatch._place import enqueue
 from jackdawspur.dispatch._state import State
-from jackdawspur.dispatch._submit import ask_cancel, cancel_job, expire, poll, submit
+from jackdawspur.dispatch._submit import (
+    cancel_job,
+    expire,
+    poll,
+    request_cancel,
+    submit,
+)
 from jackdawspur.health import UNLIMITED
 from jackdawspur.messages import (
     CancelForward,
@@ -34,41 +40,46 @@
 from jackdawspur.model import FailureCode, HostId, SubmissionId, UpstreamId
 from jackdawspur.sharing import SlotDemand
 
-__all__ = ["lend_urgently", "receive", "send_heartbeats", "trade_slots"]
+__all__ = [
+    "grant_urgent_requests",
+    "handle_peer_message",
+    "send_heartbeats",
+    "request_and_return_slots",
+]
 
 MS_PER_S = 1000.0
 NO_VERSION = -1
 
 
-def receive(state: State, event: PeerMessageReceived, now: float) -> None:
-    """Act on a message of another entry host."""
+def handle_peer_message(state: State, event: PeerMessageReceived, now: float) -> None:
+    """Handle a message from another entry host."""
     handler = _HANDLERS.get(type(event.message))
     if handler is not None:
         handler(state, event.sender, event.message, now)
 
 
-def _heartbeat(state: State, sender: HostId, beat: Heartbeat, now: float) -> None:
-    state.view.record_heartbeat(beat, now)
-    if sender.zone == state.own.zone:
-        state.health.apply_peer_report(sender, beat.bad_upstreams, now)
-        if beat.reports_usage:
-            state.quotas.update_peer_usage(sender, beat.usage, now)
-    note_loads(state, now)
+def _heartbeat(state: State, sender: HostId, heartbeat: Heartbeat, now: float) -> None:
+    state.view.record_heartbeat(heartbeat, now)
+    if sender.zone == state.local_id.zone:
+        state.health.apply_peer_report(sender, heartbeat.bad_upstreams, now)
+        if heartbeat.reports_usage:
+            state.quotas.update_peer_usage(sender, heartbeat.usage, now)
+    update_peer_loads(state, now)
 
 
 def _pulse(state: State, sender: HostId, pulse: Pulse, now: float) -> None:
     state.view.record_pulse(sender, pulse, now)
-    note_loads(state, now)
+    update_peer_loads(state, now)
 
 
 def _forward(state: State, sender: HostId, message: Forward, now: float) -> None:
-    """Treat a forwarded call as one of our own that is answered through its host."""
+    """Handle a forwarded call like a local one; it is answered through its host."""
     call = open_remote_call(state, sender, message.call)
     if call is None:
         return
-    if message.request is None or message.submission.owner != state.own:
-        question = Polled(call, message.customer, message.submission, message.wait)
-        poll(state, question, now)
+    if message.request is None or message.submission.owner != state.local_id:
+        polled = Polled(call, message.customer, message.submission, message.wait)
+        poll(state, polled, now)
         return
     request = replace(message.request, submission=message.submission)
     submit(state, Submitted(call, request, message.wait), now)
@@ -83,7 +94,7 @@
         return
     call = open_remote_call(state, sender, message.call)
     if call is not None:
-        ask_cancel(
+        request_cancel(
             state, CancelRequested(call, message.customer, message.submission), now
         )
 
@@ -95,30 +106,30 @@
 
 
 def _delegate(state: State, sender: HostId, message: Delegate, now: float) -> None:
-    """Run a job for its owner, once however often the owner repeats the message."""
+    """Run a job for its owner, once even if the owner repeats the message."""
     if message.submission.owner != sender:
         return
     if message.submission in state.dropped_delegations:
-        state.emit(SendPeerMessage(sender, _dropped(message.submission)))
+        state.emit(SendPeerMessage(sender, _answer_dropped(message.submission)))
         return
     known = state.jobs.get(message.submission)
     if known is not None:
         if known.answer is not None:
-            again = DelegateAnswer(known.submission, known.answer)
-            state.emit(SendPeerMessage(sender, again))
+            repeated = DelegateAnswer(known.submission, known.answer)
+            state.emit(SendPeerMessage(sender, repeated))
         return
     deadline = now + message.remaining_ms / MS_PER_S
     job = Job(message.submission, message.request, now, deadline, origin=sender)
     state.jobs[job.submission] = job
     state.schedule(deadline, lambda at: expire(state, job, at))
-    refused = refuse_at_door(state, message.request, now)
+    refused = refuse_at_ingress(state, message.request, now)
     if refused is not None:
         end_job(state, job, refused, now)
         return
     enqueue(state, job, now)
 
 
-def _dropped(submission: SubmissionId) -> DelegateAnswer:
+def _answer_dropped(submission: SubmissionId) -> DelegateAnswer:
     text = "the job ended at another host, which no longer keeps its answer"
     code = FailureCode.OUTCOME_UNKNOWN
     return DelegateAnswer(submission, failure(code, text, submission))
@@ -136,20 +147,24 @@
     state: State, sender: HostId, message: SlotRequest, now: float
 ) -> None:
     waiting = state.queue.waiting()
-    grant = state.slots.lend(sender, message, waiting, now, not_lent(state, now))
+    grant = state.slots.lend(
+        sender, message, waiting, now, unlendable_upstreams(state, now)
+    )
     if grant is not None:
         state.emit(SendPeerMessage(sender, grant))
 
 
 def _slot_grant(state: State, sender: HostId, message: SlotGrant, now: float) -> None:
-    for back in state.slots.accept_grant(sender, message, now):
-        state.emit(SendPeerMessage(back.to, back.message))
+    for outgoing in state.slots.accept_grant(sender, message, now):
+        state.emit(SendPeerMessage(outgoing.to, outgoing.message))
     state.queue.capacity_changed()
 
 
 def _slot_return(state: State, sender: HostId, message: SlotReturn, now: float) -> None:
-    for one in message.failed:
-        state.health.peer_task_failed(one.upstream, one.submission, one.job_class, now)
+    for task in message.failed:
+        state.health.peer_task_failed(
+            task.upstream, task.submission, task.job_class, now
+        )
     state.slots.accept_return(sender, message)
 
 
@@ -167,8 +182,8 @@
 }
 
 
-def not_lent(state: State, now: float) -> set[UpstreamId]:
-    """Return the upstreams whose slots are of no use to others."""
+def unlendable_upstreams(state: State, now: float) -> set[UpstreamId]:
+    """Return the upstreams whose slots must not be lent."""
     return {
         upstream
         for upstream in state.slots.available_slots(now)
@@ -178,69 +193,73 @@
     }
 
 
-def lend_urgently(state: State, now: float) -> None:
-    """Lend idle slots to hosts whose tasks are more urgent than any here."""
+def grant_urgent_requests(state: State, now: float) -> None:
+    """Lend idle slots to hosts whose tasks are more urgent than all local ones."""
     if not state.slots.has_pending_requests:
         return
     urgency = state.queue.most_urgent()
     if urgency is not None:
-        _lend(state, now, urgency.latest_start)
+        _grant_requests(state, now, urgency.latest_start)
 
 
-def _lend(state: State, now: float, latest_start: float | None) -> None:
+def _grant_requests(state: State, now: float, latest_start: float | None) -> None:
     waiting = state.queue.waiting()
-    excluded = not_lent(state, now)
-    for lend in state.slots.grant_pending_requests(
+    excluded = unlendable_upstreams(state, now)
+    for outgoing in state.slots.grant_pending_requests(
         waiting, now, excluded, latest_start
     ):
-        state.emit(SendPeerMessage(lend.to, lend.grant))
+        state.emit(SendPeerMessage(outgoing.to, outgoing.grant))
 
 
 def _startable(state: State, now: float) -> int:
-    """Return the number of waiting tasks that their customers' quotas let start."""
+    """Return the number of waiting tasks that the quotas of their customers allow."""
     return sum(
         min(count, state.quotas.headroom(customer, now))
         for customer, count in state.queue.waiting_by_customer().items()
     )
 
 
-def trade_slots(state: State, now: float) -> None:
-    """Ask others for slots that waiting tasks lack, and return unused ones."""
+def request_and_return_slots(state: State, now: float) -> None:
+    """Request missing slots from other hosts, and return borrowed ones not needed."""
     waiting = _startable(state, now)
-    if waiting and now >= state.hold_until:
+    if waiting and now >= state.starts_held_until:
         urgency = state.queue.most_urgent()
-        need = (
+        demand = (
             SlotDemand(urgency.latest_start, urgency.tasks)
             if urgency
             else SlotDemand(now)
         )
-        for ask in state.slots.request_slots(waiting, state.spare(now), now, need):
+        for outgoing in state.slots.request_slots(
+            waiting, state.spare_slots(now), now, demand
+        ):
             state.counters.loans_asked += 1
-            state.emit(SendPeerMessage(ask.to, ask.request))
+            state.emit(SendPeerMessage(outgoing.to, outgoing.request))
     if state.slots.has_pending_requests:
-        _lend(state, now, None)
-    for back in state.slots.release_idle_slots(waiting, now):
-        state.emit(SendPeerMessage(back.to, _with_failures(state, back.message)))
+        _grant_requests(state, now, None)
+    for outgoing in state.slots.release_idle_slots(waiting, now):
+        state.emit(
+            SendPeerMessage(outgoing.to, _with_failures(state, outgoing.message))
+        )
     state.failed.clear()
 
 
 def _with_failures(state: State, message: SlotReturn) -> SlotReturn:
-    """Tell the lender what failed on its slots, or it would lend them on."""
+    """Add the failed tasks to a return, or the lender would lend these slots again."""
     failed = (state.failed.get(item.upstream, ()) for item in message.slots)
-    return replace(message, failed=tuple(one for tasks in failed for one in tasks))
+    return replace(message, failed=tuple(task for tasks in failed for task in tasks))
 
 
 def send_heartbeats(state: State, now: float) -> None:
-    """Tell the peers whose turn it is that this host lives and how busy it is."""
+    """Send the heartbeats that are due."""
     state.heartbeats += 1
-    for addressed in state.view.heartbeats_due(_own_heartbeat(state, now), now):
-        state.emit(SendPeerMessage(addressed.to, addressed.message))
+    for outgoing in state.view.heartbeats_due(_local_heartbeat(state, now), now):
+        state.emit(SendPeerMessage(outgoing.to, outgoing.message))
 
 
-def _own_heartbeat(state: State, now: float) -> Heartbeat:
+def _local_heartbeat(state: State, now: float) -> Heartbeat:
     waiting = state.queue.waiting_by_customer()
     return Heartbeat(
-        state.own,
+        state.local_id,
         state.heartbeats,
         state.cluster_spec is not None,
         state.draining,
--- a/jackdawspur/dispatch/_resolve.py
+++ b/jackdawspur/dispatch/_resolve.py
@@ -1,10 +1,10 @@
-"""Finding out about starts whose reply was lost."""
+"""Resolution of starts whose reply was lost, by status queries."""
 
-from jackdawspur.dispatch._answers import give_up
+from jackdawspur.dispatch._answers import abort_job
 from jackdawspur.dispatch._effects import QueryTaskStatus
-from jackdawspur.dispatch._ends import end_task, take_back
+from jackdawspur.dispatch._ends import end_task, requeue_task
 from jackdawspur.dispatch._events import StatusQueryFailed, StatusReplied
-from jackdawspur.dispatch._in_flight import land, note_incarnation
+from jackdawspur.dispatch._in_flight import record_incarnation, remove_in_flight
 from jackdawspur.dispatch._job import Stage, TaskPhase
 from jackdawspur.dispatch._state import InFlightTask, State
 from jackdawspur.model import (
@@ -15,7 +15,7 @@
     UpstreamId,
 )
 
-__all__ = ["lose_status", "query_task_status", "reply_status"]
+__all__ = ["handle_status_failure", "query_task_status", "handle_status_reply"]
 
 FIRST_RETRY_S = 0.1
 MAX_RETRY_S = 2.0
@@ -29,18 +29,18 @@
     attempt: int,
     now: float,
 ) -> None:
-    """Ask how far tasks are, if some job still needs to know."""
-    open_tasks = tuple(task for task in tasks if _is_unsure(state, task))
+    """Query the status of tasks whose live jobs still need it."""
+    open_tasks = tuple(task for task in tasks if _is_uncertain(state, task))
     if not open_tasks:
         return
-    state.attempts[upstream] = attempt
+    state.status_attempts[upstream] = attempt
     state.counters.status_queries += 1
     state.emit(QueryTaskStatus(upstream, open_tasks))
 
 
-def lose_status(state: State, event: StatusQueryFailed, now: float) -> None:
-    """Ask again after a growing wait; the job's deadline ends it."""
-    attempt = min(state.attempts.get(event.upstream, 0) + 1, MAX_DOUBLINGS)
+def handle_status_failure(state: State, event: StatusQueryFailed, now: float) -> None:
+    """Retry a status query with exponential backoff, until the deadline of the job."""
+    attempt = min(state.status_attempts.get(event.upstream, 0) + 1, MAX_DOUBLINGS)
     wait = min(MAX_RETRY_S, FIRST_RETRY_S * 2**attempt)
     state.schedule(
         now + wait,
@@ -48,63 +48,72 @@
     )
 
 
-def reply_status(state: State, event: StatusReplied, now: float) -> None:
-    """Take in the answer to a status query or a stop."""
+def handle_status_reply(state: State, event: StatusReplied, now: float) -> None:
+    """Process the reply to a status query or a stop."""
     reply = event.reply
-    same_run = state.incarnations.get(reply.upstream) == reply.incarnation
+    same_incarnation = state.incarnations.get(reply.upstream) == reply.incarnation
     for outcome in reply.outcomes:
-        flight = state.flights.get(outcome.task)
-        # Word of an earlier send elsewhere must not free a task that was sent again.
-        if flight is not None and flight.placement.upstream == reply.upstream:
-            _settle(state, outcome, flight, same_run, now)
-    note_incarnation(state, reply.upstream, reply.incarnation, now)
+        in_flight = state.in_flight_tasks.get(outcome.task)
+        # The reply of another upstream concerns an earlier start of the task, and must
+        # not release the present one.
+        if in_flight is not None and in_flight.placement.upstream == reply.upstream:
+            _apply_outcome(state, outcome, in_flight, same_incarnation, now)
+    record_incarnation(state, reply.upstream, reply.incarnation, now)
 
 
-def _settle(
-    state: State, outcome: TaskOutcome, flight: InFlightTask, same_run: bool, now: float
+def _apply_outcome(
+    state: State,
+    outcome: TaskOutcome,
+    in_flight: InFlightTask,
+    same_incarnation: bool,
+    now: float,
 ) -> None:
-    placement = flight.placement
+    placement = in_flight.placement
     if outcome.state is TaskState.RUNNING:
         if placement.phase is TaskPhase.UNSURE:
             placement.phase = TaskPhase.RUNNING
     elif outcome.state in (TaskState.SEALED, TaskState.UNKNOWN):
-        _never_started(state, outcome, flight, same_run, now)
+        _handle_not_started(state, outcome, in_flight, same_incarnation, now)
     else:
-        end_task(state, outcome, flight, now)
+        end_task(state, outcome, in_flight, now)
 
 
-def _never_started(
-    state: State, outcome: TaskOutcome, flight: InFlightTask, same_run: bool, now: float
+def _handle_not_started(
+    state: State,
+    outcome: TaskOutcome,
+    in_flight: InFlightTask,
+    same_incarnation: bool,
+    now: float,
 ) -> None:
-    """Let a barred task wait again, if the answer proves that it never ran.
+    """Requeue a sealed task if the reply proves that it never ran.
 
-    It proves it only when the run of the upstream that answers is the one that was
-    there when the start was sent: a later run has forgotten what an earlier one did.
+    The reply proves it only if it comes from the incarnation of the upstream to which
+    the start was sent: a later incarnation does not know what an earlier one ran.
     """
-    placement = flight.placement
+    placement = in_flight.placement
     proven = (
         outcome.state is TaskState.SEALED
-        and same_run
+        and same_incarnation
         and placement.incarnation is not None
         and state.incarnations.get(placement.upstream) == placement.incarnation
     )
     if proven:
         state.health.lost(placement.upstream, now)
-        take_back(state, outcome.task, flight, now)
+        requeue_task(state, outcome.task, in_flight, now)
         return
     state.health.lost(placement.upstream, now)
-    land(state, outcome.task, flight)
-    job = flight.job
+    remove_in_flight(state, outcome.task, in_flight)
+    job = in_flight.job
     if job.stage is not Stage.ENDED:
         text = (
-            f"task {flight.index}: upstream {placement.upstream} has no trace of it "
+            f"task {in_flight.index}: upstream {placement.upstream} has no trace of it "
             "and may have restarted"
         )
-        give_up(state, job, FailureCode.OUTCOME_UNKNOWN, text, now)
+        abort_job(state, job, FailureCode.OUTCOME_UNKNOWN, text, now)
 
 
-def _is_unsure(state: State, task: TaskId) -> bool:
-    flight = state.flights.get(task)
-    if flight is None or flight.job.stage is Stage.ENDED:
+def _is_uncertain(state: State, task: TaskId) -> bool:
+    in_flight = state.in_flight_tasks.get(task)
+    if in_flight is None or in_flight.job.stage is Stage.ENDED:
         return False
-    return flight.placement.phase is TaskPhase.UNSURE
+    return in_flight.placement.phase is TaskPhase.UNSURE
--- a/jackdawspur/dispatch/_resource_tracker.py
+++ b/jackdawspur/dispatch/_resource_tracker.py
@@ -1,4 +1,4 @@
-"""Processors, memory and accelerators that running tasks occupy."""
+"""Processors, memory and accelerators occupied by running tasks."""
 
 from collections.abc import Iterable, Sequence
 
@@ -22,32 +22,32 @@
 
 
 class ResourceTracker:
-    """Tell which upstream can hold a task beside those sent there from here."""
+    """Resources of upstreams, and how much of them the tasks of this host occupy."""
 
     def __init__(self) -> None:
         self._upstreams: dict[UpstreamId, Upstream] = {}
         self._used: dict[UpstreamId, _Used] = {}
 
     def set_upstreams(self, upstreams: Iterable[Upstream]) -> None:
-        """Take the sizes of the zone's upstreams; running tasks stay counted."""
+        """Set the upstreams and their sizes; running tasks stay counted."""
         self._upstreams = {upstream.id: upstream for upstream in upstreams}
 
     def upstreams(self) -> Iterable[UpstreamId]:
-        """Return the zone's upstreams."""
+        """Return the upstreams that can be used."""
         return self._upstreams.keys()
 
-    def take(self, upstream: UpstreamId, spec: TaskSpec) -> None:
-        """Count a task that was sent to an upstream."""
+    def acquire(self, upstream: UpstreamId, spec: TaskSpec) -> None:
+        """Add the resources of a task that was sent to an upstream."""
         self._used.setdefault(upstream, _Used()).add(spec, 1)
 
     def release(self, upstream: UpstreamId, spec: TaskSpec) -> None:
-        """Count a task off."""
+        """Subtract the resources of a task that ended."""
         used = self._used.get(upstream)
         if used is not None:
             used.add(spec, -1)
 
     def fits(self, upstream: UpstreamId, spec: TaskSpec) -> bool:
-        """Tell whether an upstream has room for one more task."""
+        """Return whether an upstream has free capacity for the task."""
         size = self._upstreams.get(upstream)
         if size is None:
             return False
@@ -60,8 +60,8 @@
             and used.accelerators + spec.accelerators <= size.accelerators
         )
 
-    def could_hold(self, upstream: UpstreamId, spec: TaskSpec) -> bool:
-        """Tell whether an upstream has room once it is empty."""
+    def fits_when_empty(self, upstream: UpstreamId, spec: TaskSpec) -> bool:
+        """Return whether the task would fit into the upstream if it were empty."""
         size = self._upstreams[upstream]
         return (
             spec.cpus <= size.cpus
@@ -69,30 +69,37 @@
             and spec.accelerators <= size.accelerators
         )
 
-    def emptiest(
+    def least_utilized(
         self, upstreams: Iterable[UpstreamId], spec: TaskSpec
     ) -> UpstreamId | None:
-        """Return the upstream that will soonest have room for a task."""
-        able = [name for name in upstreams if self.could_hold(name, spec)]
-        return min(able, key=lambda name: (self._held(name, spec), name), default=None)
+        """Return the least utilized upstream that could fit the task, or None."""
+        suitable = [name for name in upstreams if self.fits_when_empty(name, spec)]
+        return min(
+            suitable,
+            key=lambda name: (self._utilization(name, spec), name),
+            default=None,
+        )
 
-    def _held(self, upstream: UpstreamId, spec: TaskSpec) -> float:
-        """Return how much of the scarcest thing that the task needs is taken."""
+    def _utilization(self, upstream: UpstreamId, spec: TaskSpec) -> float:
+        """Return the highest utilization among the resources that the task needs."""
         used = self._used.get(upstream)
         if used is None:
             return 0.0
         size = self._upstreams[upstream]
-        parts = (
+        resources = (
             (spec.cpus, used.cpus, size.cpus),
             (spec.memory_mb, used.memory_mb, size.memory_mb),
             (spec.accelerators, used.accelerators, size.accelerators),
         )
-        return max((held / most for needs, held, most in parts if needs), default=0.0)
+        return max(
+            (in_use / total for needed, in_use, total in resources if needed),
+            default=0.0,
+        )
 
     def first_fit(
         self, upstreams: Sequence[UpstreamId], spec: TaskSpec
     ) -> UpstreamId | None:
-        """Return the first of the upstreams that has room."""
+        """Return the first of the upstreams that fits the task, or None."""
         for upstream in upstreams:
             if self.fits(upstream, spec):
                 return upstream
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -1,4 +1,4 @@
-"""All that one entry host holds in memory."""
+"""In-memory state of the dispatch logic of one entry host."""
 
 import random
 from collections import Counter, OrderedDict
@@ -34,17 +34,20 @@
 
 __all__ = ["Action", "Forwarded", "InFlightTask", "RemoteCall", "Reserved", "State"]
 
-ANSWERS_KEPT_S = 600.0
-MAX_KEPT_BYTES = 8_388_608
+ANSWER_TTL_S = 600.0
+MAX_ANSWER_BYTES = 8_388_608
+# Memory of a stored answer without its outputs.
 ANSWER_BASE_BYTES = 600
+# Retry-after of refusals while the log is unavailable.
 LOG_RETRY_MS = 1000.0
-# A copy of a message can't arrive this long after the deadline: links drop old ones.
-DELEGATE_COPIES_S = 10.0
+# How long after its deadline a repeated delegation is still recognized, in seconds.
+# Links drop older messages, so no copy arrives later.
+DELEGATE_REPEAT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteCall:
-    """Name a call that another entry host forwarded here."""
+    """Call that another entry host forwarded to this one."""
 
     host: HostId
     call: int
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Forwarded:
-    """Keep a call that was forwarded until its answer; `limit` in seconds."""
+    """Call forwarded to another host, until `limit`, a time in seconds."""
 
     submission: SubmissionId
     message: Forward | CancelForward
@@ -61,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reserved:
-    """Name the upstream that is left to empty for a job's large task."""
+    """Reservation of an upstream, which gets no other starts, for a large task."""
 
     submission: SubmissionId
     upstream: UpstreamId
@@ -69,7 +72,7 @@
 
 @dataclass(slots=True)
 class InFlightTask:
-    """Tie a task that was sent to its job, until its end is known."""
+    """Task whose start was sent and whose end is not known yet."""
 
     job: Job
     index: int
@@ -77,12 +80,12 @@
 
 
 class State:
-    """Hold the decisions' memory; functions of this package change it."""
+    """State that the functions of this package read and change."""
 
     def __init__(
-        self, own: HostId, rng: random.Random, now: float, crosses_zones: bool
+        self, local_id: HostId, rng: random.Random, now: float, crosses_zones: bool
     ) -> None:
-        self.own = own
+        self.local_id = local_id
         self.crosses_zones = crosses_zones
         self.rng = rng
         self.last_event_at = now
@@ -90,62 +93,64 @@
         self.customers: dict[str, Customer] = {}
         self.pack = False
         self.zone_slots: Counter[str] = Counter()
-        self._open_parts(own, rng, now)
+        self._init_components(local_id, rng, now)
         self.jobs: dict[SubmissionId, Job] = {}
         self.claiming: dict[SubmissionId, Job] = {}
-        self.retried: dict[SubmissionId, SubmissionId] = {}
-        self.flights: dict[TaskId, InFlightTask] = {}
+        self.newer_attempts: dict[SubmissionId, SubmissionId] = {}
+        self.in_flight_tasks: dict[TaskId, InFlightTask] = {}
         self.in_flight_by_upstream: dict[UpstreamId, set[TaskId]] = {}
-        self.attempts: dict[UpstreamId, int] = {}
+        self.status_attempts: dict[UpstreamId, int] = {}
         self.incarnations: dict[UpstreamId, int] = {}
-        self._open_calls()
+        self._init_calls()
         self.dropped_delegations: OrderedDict[SubmissionId, float] = OrderedDict()
         self.log_up = True
-        self.claims_blind_until = now
+        self.claims_incomplete_until = now
         self.log_retry_ms = LOG_RETRY_MS
         self.draining = False
         self.heartbeats = 0
-        self.sharers: tuple[HostId, ...] = ()
+        self.slot_holders: tuple[HostId, ...] = ()
         self.peers: tuple[HostId, ...] = ()
-        self.hold_until = now
+        self.starts_held_until = now
         self.counters = Counters()
         self._effects: list[Effect] = []
         self._timers = Timers()
         self._remote_number = 0
-        self._kept: OrderedDict[SubmissionId, int] = OrderedDict()
-        self._kept_bytes = 0
+        self._stored_answers: OrderedDict[SubmissionId, int] = OrderedDict()
+        self._stored_bytes = 0
 
-    def _open_calls(self) -> None:
+    def _init_calls(self) -> None:
         self.pending_forwards: dict[int, Forwarded] = {}
         self.remote_calls: dict[int, RemoteCall] = {}
-        self.impatient_calls: set[int] = set()
+        self.no_wait_calls: set[int] = set()
         self._job_of_call: dict[int, Job] = {}
 
-    def _open_parts(self, own: HostId, rng: random.Random, now: float) -> None:
+    def _init_components(
+        self, local_id: HostId, rng: random.Random, now: float
+    ) -> None:
         self.reserved: Reserved | None = None
         self.failed: dict[UpstreamId, list[FailedTask]] = {}
-        self.ids = IdIssuer(own)
+        self.ids = IdIssuer(local_id)
         self.claims = IdempotencyKeyTable()
-        self.view = View(own, now)
-        self.slots = SlotPool(own)
+        self.view = View(local_id, now)
+        self.slots = SlotPool(local_id)
         self.resource_tracker = ResourceTracker()
-        self.health = UpstreamHealth(own)
+        self.health = UpstreamHealth(local_id)
         self.queue = JobQueue()
         self.run_times = RunTimeEstimator()
         self.admission = AdmissionController(rng)
-        self.peer_selector = PeerSelector(own.zone, rng)
+        self.peer_selector = PeerSelector(local_id.zone, rng)
         self.sizes = UpstreamSizes(())
-        self.quotas = Quotas(own)
+        self.quotas = Quotas(local_id)
         self.retries = RetryBudget()
         self.limits = CallLimits()
 
     @property
     def live_jobs(self) -> int:
         """Return the number of jobs that have no answer yet."""
-        return len(self.jobs) - len(self._kept)
+        return len(self.jobs) - len(self._stored_answers)
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect for the adapters to carry out."""
+        """Add an effect to be executed by the adapters."""
         self._effects.append(effect)
 
     def take_effects(self) -> list[Effect]:
@@ -154,135 +159,141 @@
         return effects
 
     def schedule(self, at: float, action: Action) -> None:
-        """Run an action once the time has come."""
+        """Schedule an action at a time."""
         self._timers.add(at, action)
 
     def next_wake(self) -> float | None:
-        """Return when the next scheduled action is due."""
+        """Return the time of the next scheduled action, or None."""
         return self._timers.next_due()
 
     def run_due(self, now: float) -> None:
-        """Run the scheduled actions whose time has come."""
+        """Run the scheduled actions that are due."""
         self._timers.run_due(now)
 
     def attach(self, call: int, job: Job) -> None:
-        """Let a call wait for a job."""
+        """Register a call that waits for the end of a job."""
         job.calls.add(call)
         self._job_of_call[call] = job
 
     def detach(self, call: int) -> None:
-        """Let a call wait no longer."""
+        """Unregister a waiting call, if it is registered."""
         job = self._job_of_call.pop(call, None)
         if job is not None:
             job.calls.discard(call)
 
     def detach_all(self, job: Job) -> list[int]:
-        """Return the calls that waited for a job, and let them wait no longer."""
+        """Unregister the calls that wait for a job, and return them."""
         calls = sorted(job.calls)
         for call in calls:
             self.detach(call)
         return calls
 
     def next_remote_call(self) -> int:
-        """Return a number for a forwarded call; callers' own are positive."""
+        """Return a negative number for a forwarded call; local calls are positive."""
         self._remote_number -= 1
         return self._remote_number
 
     def latest_attempt(self, submission: SubmissionId) -> SubmissionId:
-        """Return the attempt that took the place of one that gave up its claim."""
-        while submission in self.retried:
-            submission = self.retried[submission]
+        """Return the newest attempt of a submission whose claim was abandoned."""
+        while submission in self.newer_attempts:
+            submission = self.newer_attempts[submission]
         return submission
 
-    def spare(self, now: float) -> dict[HostId, int]:
-        """Return the slots that others last said they could lend."""
-        spare = {}
+    def spare_slots(self, now: float) -> dict[HostId, int]:
+        """Return the slots that other hosts last reported as lendable."""
+        spare_slots = {}
         for host in self.view.siblings():
             load = self.view.last_heartbeat(host)
             if load is not None:
-                spare[host] = load.free_slots
+                spare_slots[host] = load.free_slots
         if not self.crosses_zones:
-            return spare
-        for zone in sorted({host.zone for host in self.peers} - {self.own.zone}):
+            return spare_slots
+        for zone in sorted({host.zone for host in self.peers} - {self.local_id.zone}):
             hosts = self.view.ready_hosts(zone)
             free = self.view.zone_summary(zone).free_slots
-            spare.update(dict.fromkeys(hosts, free // max(1, len(hosts))))
-        return spare
+            spare_slots.update(dict.fromkeys(hosts, free // max(1, len(hosts))))
+        return spare_slots
 
     def pool_slots(self) -> int:
-        """Return the slots that hosts which share with this one hold together."""
+        """Return the total slots of the zones that share slots with this host."""
         if not self.crosses_zones:
-            return self.zone_slots[self.own.zone]
-        zones = {host.zone for host in self.peers} | {self.own.zone}
+            return self.zone_slots[self.local_id.zone]
+        zones = {host.zone for host in self.peers} | {self.local_id.zone}
         return sum(self.zone_slots[zone] for zone in zones)
 
-    def waiting_elsewhere(self) -> int:
-        """Return the tasks that wait at hosts which share with this one."""
+    def remote_waiting_tasks(self) -> int:
+        """Return the number of tasks that wait at hosts sharing slots with this one."""
         loads = (self.view.last_heartbeat(host) for host in self.view.siblings())
         waiting = sum(load.waiting_tasks for load in loads if load is not None)
         if self.crosses_zones:
-            zones = {host.zone for host in self.peers} - {self.own.zone}
+            zones = {host.zone for host in self.peers} - {self.local_id.zone}
             waiting += sum(self.view.zone_summary(z).waiting_tasks for z in zones)
         return waiting
 
     def find_job(self, submission: SubmissionId) -> Job | None:
-        """Return a job that is under way or whose answer is still kept."""
+        """Return a live job or one whose answer is still stored, or None."""
         return self.jobs.get(submission)
 
     def find_claiming(self, customer: str, key: str) -> Job | None:
-        """Return the job whose claim of the key is under way here."""
+        """Return the local job whose claim of the key is not decided yet, or None."""
         for job in self.claiming.values():
             if job.customer == customer and job.request.key == key:
                 return job
         return None
 
-    def keep_answer(self, job: Job, now: float) -> None:
-        """Keep an ended job's answer for repeats, within bounded memory."""
+    def store_answer(self, job: Job, now: float) -> None:
+        """Store the answer of an ended job for repeats, within bounded memory."""
         size = ANSWER_BASE_BYTES + sum(len(o) for o in job.answer.outputs)
-        self._kept[job.submission] = size
-        self._kept_bytes += size
+        self._stored_answers[job.submission] = size
+        self._stored_bytes += size
         job.outputs.clear()
-        self.schedule(now + ANSWERS_KEPT_S, lambda at: self._drop(job.submission, at))
-        while self._kept_bytes > MAX_KEPT_BYTES:
-            self._drop(next(iter(self._kept)), now)
-
-    def _drop(self, submission: SubmissionId, now: float) -> None:
-        size = self._kept.pop(submission, None)
+        self.schedule(
+            now + ANSWER_TTL_S, lambda at: self._drop_answer(job.submission, at)
+        )
+        while self._stored_bytes > MAX_ANSWER_BYTES:
+            self._drop_answer(next(iter(self._stored_answers)), now)
+
+    def _drop_answer(self, submission: SubmissionId, now: float) -> None:
+        size = self._stored_answers.pop(submission, None)
         if size is None:
             return
-        self._kept_bytes -= size
-        self.retried.pop(submission, None)
+        self._stored_bytes -= size
+        self.newer_attempts.pop(submission, None)
         job = self.jobs.pop(submission)
         if job.origin is not None:
-            self._remember_delegation(job, now)
+            self._record_dropped_delegation(job, now)
 
-    def _remember_delegation(self, job: Job, now: float) -> None:
-        """Remember that a job of another host ended here, though not how.
+    def _record_dropped_delegation(self, job: Job, now: float) -> None:
+        """Record that a job of another host ended here, without its answer.
 
-        Its owner repeats the message until its deadline when the answer got lost. With
-        full memory the answer is gone by then, and the job would run a second time.
+        The owner repeats the delegation until the deadline if the answer was lost. If
+        the answer was dropped for lack of memory, the repeat would run the job again.
         """
         dropped = self.dropped_delegations
         while dropped and next(iter(dropped.values())) < now:
             dropped.popitem(last=False)
-        dropped[job.submission] = max(now, job.deadline) + DELEGATE_COPIES_S
-
-    def set_cluster_spec(self, world: ClusterSpec, now: float) -> None:
-        """Take a newer version of the configuration into force."""
-        self.cluster_spec = world
-        self.customers = {customer.name: customer for customer in world.customers}
-        objectives = {c.contract.objective for c in world.customers}
+        dropped[job.submission] = max(now, job.deadline) + DELEGATE_REPEAT_S
+
+    def set_cluster_spec(self, cluster_spec: ClusterSpec, now: float) -> None:
+        """Apply a newer version of the configuration."""
+        self.cluster_spec = cluster_spec
+        self.customers = {
+            customer.name: customer for customer in cluster_spec.customers
+        }
+        objectives = {c.contract.objective for c in cluster_spec.customers}
         self.pack = objectives == {Objective.MESSAGES}
-        own = [u for u in world.upstreams if u.id.zone == self.own.zone]
+        local_upstreams = [
+            u for u in cluster_spec.upstreams if u.id.zone == self.local_id.zone
+        ]
         self.zone_slots = Counter()
-        for upstream in world.upstreams:
+        for upstream in cluster_spec.upstreams:
             self.zone_slots[upstream.id.zone] += upstream.slots
-        self.sizes = UpstreamSizes(own)
-        reached = world.upstreams if self.crosses_zones else own
-        self.resource_tracker.set_upstreams(reached)
-        self.health.set_ejection_policy(world.ejection)
-        self.health.set_upstreams(u.id for u in reached)
-        self.queue.set_customers(world.customers)
-        self.quotas.set_cluster_spec(world)
+        self.sizes = UpstreamSizes(local_upstreams)
+        reachable = cluster_spec.upstreams if self.crosses_zones else local_upstreams
+        self.resource_tracker.set_upstreams(reachable)
+        self.health.set_ejection_policy(cluster_spec.ejection)
+        self.health.set_upstreams(u.id for u in reachable)
+        self.queue.set_customers(cluster_spec.customers)
+        self.quotas.set_cluster_spec(cluster_spec)
         self.retries.set_customers(frozenset(self.customers))
-        self.view.set_cluster_spec(world, now)
+        self.view.set_cluster_spec(cluster_spec, now)
--- a/jackdawspur/dispatch/_submit.py
+++ b/jackdawspur/dispatch/_submit.py
@@ -1,17 +1,16 @@
-"""Accepting, repeating, polling and cancelling submissions."""
+"""Submitting, repeating, polling and cancelling jobs."""
 
 from dataclasses import replace
 
 from jackdawspur.dispatch._answers import (
+    abort_job,
     answer_call,
     end_job,
-    give_up,
     pending,
     refusal,
     without_not_run,
 )
 from jackdawspur.dispatch._delegate import cancel_delegated
-from jackdawspur.dispatch._door import refuse_at_door
 from jackdawspur.dispatch._effects import AppendClaim, IssueIds
 from jackdawspur.dispatch._events import (
     CallClosed,
@@ -24,6 +23,7 @@
     Submitted,
 )
 from jackdawspur.dispatch._forward import forward_cancel, forward_poll, forward_request
+from jackdawspur.dispatch._ingress import refuse_at_ingress
 from jackdawspur.dispatch._job import Job, Stage
 from jackdawspur.dispatch._place import enqueue
 from jackdawspur.dispatch._state import State
@@ -37,23 +37,24 @@
 from jackdawspur.ownership import IDEMPOTENCY_KEY_TTL_S, IdState
 
 __all__ = [
-    "ask_cancel",
+    "request_cancel",
     "cancel_job",
     "close_call",
-    "end_claim",
+    "handle_claim_appended",
     "expire",
     "issue_ids",
     "poll",
-    "read_claims",
+    "handle_claims_read",
     "submit",
 ]
 
+# Maximum wait until a claim is read back from the log.
 CLAIM_WAIT_S = 1.0
 MS_PER_S = 1000.0
 
 
 def submit(state: State, event: Submitted, now: float) -> None:
-    """Accept a job, attach to the one it repeats, or refuse it."""
+    """Accept a job, attach the call to the job that it repeats, or refuse it."""
     request = event.request
     if request.submission is not None:
         _submit_by_id(state, event, request.submission, now)
@@ -66,27 +67,28 @@
 def _submit_by_id(
     state: State, event: Submitted, submission: SubmissionId, now: float
 ) -> None:
-    """Run a job under an id that was issued earlier, at its owner only."""
-    if submission.owner != state.own:
+    """Run a job under an id issued earlier, or forward it to the owner of the id."""
+    if submission.owner != state.local_id:
         forward_request(state, event, submission, now)
         return
     current = state.latest_attempt(submission)
     known = state.find_job(current)
     if known is not None:
-        _repeat(state, event, known, now)
+        _answer_repeat(state, event, known, now)
         return
     if state.ids.id_state(submission, event.request.customer, now) is IdState.UNUSED:
         state.ids.mark_used(submission)
         _start_new(state, event, submission, now)
         return
-    answer_call(state, event.call, _forgotten(submission))
+    answer_call(state, event.call, _id_unusable(submission))
 
 
 def _submit_by_key(state: State, event: Submitted, now: float) -> None:
-    """Bind the caller's key to one submission through the log, then run it there.
+    """Bind the caller's key to one submission through the log, then run it.
 
-    The claim is read back in log order before any task is sent. So of two hosts that
-    got the same key, also when one was paused in between, only the first claim's runs.
+    The claim is read back in log order before any task is sent. So if two hosts get
+    the same key, only the submission of the first claim runs, even if a host was
+    paused in between.
     """
     request = event.request
     owner = state.claims.find(request.customer, request.key, now)
@@ -95,13 +97,13 @@
         return
     waiting = state.find_claiming(request.customer, request.key)
     if waiting is not None:
-        _repeat(state, event, waiting, now)
+        _answer_repeat(state, event, waiting, now)
         return
     if not state.log_up and request.idempotent:
-        # Losing the key's memory is acceptable only because a repeat is harmless.
+        # Running without a recorded claim is acceptable only as a repeat is harmless.
         _start_new(state, event, state.ids.new_id(), now, unclaimed=True)
         return
-    if not state.log_up or state.claims.is_full or now < state.claims_blind_until:
+    if not state.log_up or state.claims.is_full or now < state.claims_incomplete_until:
         text = "keys can't be claimed now; use an issued submission id, or retry"
         answer = refusal(FailureCode.LOG_UNAVAILABLE, text, state.log_retry_ms)
         answer_call(state, event.call, without_not_run(answer))
@@ -111,7 +113,7 @@
 
 def _claim(state: State, event: Submitted, now: float) -> None:
     request = event.request
-    refused = refuse_at_door(state, request, now)
+    refused = refuse_at_ingress(state, request, now)
     if refused is not None:
         answer_call(state, event.call, without_not_run(refused))
         return
@@ -123,14 +125,14 @@
     state.emit(AppendClaim(Claim(request.customer, request.key, job.submission)))
     state.schedule(
         min(now + CLAIM_WAIT_S, job.deadline),
-        lambda at: _give_up_claim(state, job, at),
+        lambda at: _abandon_claim(state, job, at),
     )
 
 
-def _give_up_claim(state: State, job: Job, now: float) -> None:
-    """End a job whose claim was not read back in time; it never starts later.
+def _abandon_claim(state: State, job: Job, now: float) -> None:
+    """End a job whose claim was not read back in time, so that it never starts.
 
-    A repeat of an idempotent request is harmless, so such a job runs unclaimed.
+    An idempotent job runs without its claim instead, as a repeat of it is harmless.
     """
     if job.stage is not Stage.CLAIMING:
         return
@@ -139,59 +141,64 @@
     else:
         text = "the log did not confirm the key in time; retry with the same key"
         code = FailureCode.LOG_UNAVAILABLE
-        give_up(state, job, code, text, now, state.log_retry_ms)
+        abort_job(state, job, code, text, now, state.log_retry_ms)
 
 
-def end_claim(state: State, event: ClaimAppendCompleted, now: float) -> None:
-    """Note whether the log takes claims; an unknown end waits for the read-back."""
+def handle_claim_appended(
+    state: State, event: ClaimAppendCompleted, now: float
+) -> None:
+    """Record whether the log accepts claims; an unknown outcome changes nothing.
+
+    In the unknown case the claim may still be read back.
+    """
     if event.appended is None:
         return
     state.log_up = event.appended
     job = state.claiming.get(event.claim.submission)
     if job is not None and not event.appended:
-        _give_up_claim(state, job, now)
+        _abandon_claim(state, job, now)
 
 
-def read_claims(state: State, event: ClaimsRead, now: float) -> None:
-    """Fold claims in log order and start the jobs whose claim came first."""
+def handle_claims_read(state: State, event: ClaimsRead, now: float) -> None:
+    """Apply claims in log order, and start the jobs whose claim came first."""
     state.log_up = True
     if event.gap:
-        state.claims_blind_until = now + IDEMPOTENCY_KEY_TTL_S
+        state.claims_incomplete_until = now + IDEMPOTENCY_KEY_TTL_S
     for claim in event.claims:
         owner = state.claims.apply_claim(
             claim.customer, claim.key, claim.submission, now
         )
         job = state.claiming.get(claim.submission)
         if job is None:
-            _clear_late(state, claim, owner)
+            _allow_rerun(state, claim, owner)
         elif owner == claim.submission:
             job.unclaimed = False
             _admit(state, job, now)
         else:
-            _yield_to(state, job, owner, now)
+            _attach_to_owner(state, job, owner, now)
 
 
-def _clear_late(state: State, claim: Claim, owner: SubmissionId) -> None:
-    """Let a repeat run whose first attempt gave up before its claim was read back.
+def _allow_rerun(state: State, claim: Claim, owner: SubmissionId) -> None:
+    """Allow a repeat of a job that ended before its claim was read back.
 
-    The claim turned out to be the key's first, so nothing ran under the key at all.
+    Its claim is the first one of the key, so nothing has run under the key.
     """
     job = state.jobs.get(claim.submission)
     if job is None or job.answer is None or owner != claim.submission:
         return
     cancelled = job.answer.code is FailureCode.CANCELLED
-    if job.untouched and job.unclaimed and not cancelled:
-        job.reusable = True
+    if job.nothing_sent and job.unclaimed and not cancelled:
+        job.may_rerun = True
 
 
-def _yield_to(state: State, job: Job, owner: SubmissionId, now: float) -> None:
-    """Join the callers of a job whose key another submission claimed first."""
+def _attach_to_owner(state: State, job: Job, owner: SubmissionId, now: float) -> None:
+    """Attach the callers of a job to the submission that claimed its key first."""
     del state.claiming[job.submission]
     state.jobs.pop(job.submission, None)
     job.stage = Stage.ENDED
     for call in state.detach_all(job):
-        wait = call not in state.impatient_calls
-        state.impatient_calls.discard(call)
+        wait = call not in state.no_wait_calls
+        state.no_wait_calls.discard(call)
         _submit_by_id(state, Submitted(call, job.request, wait), owner, now)
 
 
@@ -202,8 +209,8 @@
     now: float,
     unclaimed: bool = False,
 ) -> None:
-    """Start a job, or refuse it for good: also a refusal is its id's final answer."""
-    refused = refuse_at_door(state, event.request, now)
+    """Start a job or refuse it; a refusal is the final answer of its id, too."""
+    refused = refuse_at_ingress(state, event.request, now)
     job = _new_job(state, event, submission, now)
     job.unclaimed = unclaimed
     if refused is not None:
@@ -227,12 +234,12 @@
 
 
 def _attach(state: State, event: Submitted, job: Job) -> None:
-    """Let a caller wait for the job, or tell it the id to poll."""
+    """Let a call wait for the job, or answer it with the id to poll."""
     if event.wait:
         state.attach(event.call, job)
     elif job.stage is Stage.CLAIMING:
-        # The id to poll is settled only when the claim was read back.
-        state.impatient_calls.add(event.call)
+        # The id to poll is known only after the claim was read back.
+        state.no_wait_calls.add(event.call)
         state.attach(event.call, job)
     else:
         answer_call(state, event.call, pending(job.submission))
@@ -242,8 +249,8 @@
     state.claiming.pop(job.submission, None)
     if job.stage is Stage.ENDED:
         return
-    for call in state.impatient_calls & job.calls:
-        state.impatient_calls.discard(call)
+    for call in state.no_wait_calls & job.calls:
+        state.no_wait_calls.discard(call)
         state.detach(call)
         answer_call(state, call, pending(job.submission))
     job.stage = Stage.QUEUED
@@ -251,49 +258,49 @@
 
 
 def expire(state: State, job: Job, now: float) -> None:
-    """End a job at its deadline with what is known of it."""
+    """End a job at its deadline."""
     if job.stage is Stage.ENDED:
         return
-    if job.untouched:
-        give_up(state, job, FailureCode.DEADLINE, "no task started in time", now)
+    if job.nothing_sent:
+        abort_job(state, job, FailureCode.DEADLINE, "no task started in time", now)
         return
-    code = FailureCode.OUTCOME_UNKNOWN if job.unsure else FailureCode.DEADLINE
+    code = FailureCode.OUTCOME_UNKNOWN if job.outcome_unknown else FailureCode.DEADLINE
     text = f"{len(job.outputs)} of {len(job.request.tasks)} tasks ended in time"
-    give_up(state, job, code, text, now)
+    abort_job(state, job, code, text, now)
 
 
-def _repeat(state: State, event: Submitted, job: Job, now: float) -> None:
+def _answer_repeat(state: State, event: Submitted, job: Job, now: float) -> None:
     """Answer a repeated submission from the job that it repeats.
 
-    An answer is final, "not run" too: a repeat may have been under way at a paused
-    host when its caller was told so, and must not run the job after all.
+    Every answer is final, including "not run": when the caller got it, a repeat may
+    have been in transit at a paused host, and must not run the job afterwards.
     """
     request = event.request
     if job.customer != request.customer:
-        answer_call(state, event.call, _unknown())
-    elif not _same_work(job.request, request):
+        answer_call(state, event.call, _not_found())
+    elif not _is_same_request(job.request, request):
         text = "the id or key belongs to another request"
         answer_call(state, event.call, refusal(FailureCode.CONFLICT, text))
     elif job.answer is None:
         _attach(state, event, job)
-    elif job.reusable:
+    elif job.may_rerun:
         attempt = state.ids.new_id()
-        state.retried[job.submission] = attempt
+        state.newer_attempts[job.submission] = attempt
         _start_new(state, event, attempt, now)
     else:
         answer_call(state, event.call, job.answer)
 
 
-def _same_work(first: JobRequest, second: JobRequest) -> bool:
+def _is_same_request(first: JobRequest, second: JobRequest) -> bool:
     return first.tasks == second.tasks and first.job_class == second.job_class
 
 
-def _unknown() -> Answer:
+def _not_found() -> Answer:
     return refusal(FailureCode.NOT_FOUND, "no such submission")
 
 
-def _forgotten(submission: SubmissionId) -> Answer:
-    """Say that an id can't be used: whether its job ran is not known any more."""
+def _id_unusable(submission: SubmissionId) -> Answer:
+    """Return the answer for an id whose job, if any, is no longer known."""
     return Answer(
         JobState.FAILED,
         submission,
@@ -303,19 +310,19 @@
 
 
 def issue_ids(state: State, event: SubmissionIdsRequested, now: float) -> None:
-    """Hand out submission ids for later use."""
+    """Issue submission ids for later use."""
     ids = state.ids.issue(event.customer, event.count, now)
     state.emit(IssueIds(event.call, ids))
 
 
 def poll(state: State, event: Polled, now: float) -> None:
-    """Tell a caller how far its submission is, or let it wait for the end."""
-    if event.submission.owner != state.own:
+    """Answer a call with the state of its submission, or let it wait for the end."""
+    if event.submission.owner != state.local_id:
         forward_poll(state, event, now)
         return
     job = state.find_job(state.latest_attempt(event.submission))
     if job is None or job.customer != event.customer:
-        answer_call(state, event.call, _absent(state, event, now))
+        answer_call(state, event.call, _answer_without_job(state, event, now))
     elif job.answer is not None:
         answer_call(state, event.call, job.answer)
     elif event.wait:
@@ -324,22 +331,22 @@
         answer_call(state, event.call, pending(job.submission))
 
 
-def _absent(state: State, event: Polled, now: float) -> Answer:
+def _answer_without_job(state: State, event: Polled, now: float) -> Answer:
     known = state.ids.id_state(event.submission, event.customer, now)
     if known is IdState.UNUSED:
-        # A request under it may be on its way here, so this is no "not run".
+        # A request with this id may be in transit, so "not run" could become false.
         text = "the id was not used yet"
         return replace(refusal(FailureCode.NOT_FOUND, text), not_run=False)
-    return _forgotten(event.submission)
+    return _id_unusable(event.submission)
 
 
-def ask_cancel(state: State, event: CancelRequested, now: float) -> None:
-    """Cancel a submission: what has not started never will, the rest is stopped."""
-    if event.submission.owner != state.own:
+def request_cancel(state: State, event: CancelRequested, now: float) -> None:
+    """Cancel a submission: waiting tasks never start, running ones are stopped."""
+    if event.submission.owner != state.local_id:
         forward_cancel(state, event, now)
         return
     job = state.find_job(state.latest_attempt(event.submission))
-    if job is None and _bar_unused(state, event, now):
+    if job is None and _reject_unused_id(state, event, now):
         return
     if job is None or job.customer != event.customer:
         poll(state, Polled(event.call, event.customer, event.submission), now)
@@ -351,11 +358,11 @@
     cancel_job(state, job, now)
 
 
-def _bar_unused(state: State, event: CancelRequested, now: float) -> bool:
-    """Spend an issued id that is cancelled before its request came.
+def _reject_unused_id(state: State, event: CancelRequested, now: float) -> bool:
+    """Mark an issued id as used if it is cancelled before its request arrived.
 
-    The request may be under way at a paused host. It would run although its caller
-    was told that nothing did, so the id must not start anything any more.
+    The request may be in transit at a paused host, and would run although its caller
+    was told that nothing ran. So the id must not start anything from now on.
     """
     known = state.ids.id_state(event.submission, event.customer, now)
     if known is not IdState.UNUSED:
@@ -368,15 +375,15 @@
 
 
 def cancel_job(state: State, job: Job, now: float) -> None:
-    """End a job at its caller's wish, through its delegate if it has one."""
+    """Cancel a job, through its delegate if it has one."""
     if job.stage is Stage.DELEGATED:
         cancel_delegated(state, job)
         return
-    give_up(state, job, FailureCode.CANCELLED, "cancelled by its caller", now)
+    abort_job(state, job, FailureCode.CANCELLED, "cancelled by its caller", now)
 
 
 def close_call(state: State, event: CallClosed, now: float) -> None:
-    """Forget a caller that went away; its job goes on and can be polled."""
-    state.impatient_calls.discard(event.call)
+    """Remove a call that was closed; its job goes on and can be polled."""
+    state.no_wait_calls.discard(event.call)
     state.pending_forwards.pop(event.call, None)
     state.detach(event.call)
--- a/jackdawspur/dispatch/_timers.py
+++ b/jackdawspur/dispatch/_timers.py
@@ -1,4 +1,4 @@
-"""Actions that wait for their time."""
+"""Queue of timed actions."""
 
 import heapq
 from collections.abc import Callable
@@ -10,22 +10,22 @@
 
 
 class Timers:
-    """Run actions in the order of their times, and of their adding at one time."""
+    """Run actions in order of time; those of equal time in the order added."""
 
     def __init__(self) -> None:
         self._waiting: list[tuple[float, int, Action]] = []
         self._added = 0
 
     def add(self, at: float, action: Action) -> None:
-        """Run an action once the time has come."""
+        """Add an action to run at a time."""
         self._added += 1
         heapq.heappush(self._waiting, (at, self._added, action))
 
     def next_due(self) -> float | None:
-        """Return when the next action is due, if one waits."""
+        """Return the time of the next action, or None."""
         return self._waiting[0][0] if self._waiting else None
 
     def run_due(self, now: float) -> None:
-        """Run the actions whose time has come."""
+        """Run the actions that are due."""
         while self._waiting and self._waiting[0][0] <= now:
             heapq.heappop(self._waiting)[-1](now)
--- a/jackdawspur/dispatch/tests/told.py
+++ b/jackdawspur/dispatch/tests/answer_cases.py
@@ -1,4 +1,4 @@
-"""Steps and expectations that the tables of answers share."""
+"""Steps and expected answers shared by the tables of test cases."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -14,7 +14,7 @@
     Submitted,
 )
 from jackdawspur.dispatch.tests.conftest import (
-    FIRST_RUN,
+    FIRST_INCARNATION,
     SIBLING,
     CoreHarness,
     answers_in,
@@ -32,23 +32,23 @@
 
 __all__ = [
     "COMPLETE",
-    "DEAD",
+    "RESTARTED_SIBLING",
     "DEADLINE_MS",
     "FAILED",
-    "FILL",
-    "KINDS",
+    "FILLER_TASKS",
+    "REQUEST_KINDS",
     "REFUSED",
     "SHORT_MS",
     "UNKNOWN",
     "Case",
-    "Told",
-    "begin",
+    "ExpectedAnswer",
+    "start_job",
     "check",
     "claims_in",
-    "fill",
+    "fill_slots",
     "finish",
     "last_job",
-    "lose",
+    "lose_start_reply",
     "request_of",
     "send",
     "status",
@@ -57,16 +57,16 @@
 
 COMPLETE, FAILED, REFUSED = JobState.COMPLETE, JobState.FAILED, JobState.REFUSED
 UNKNOWN = FailureCode.OUTCOME_UNKNOWN
-KINDS = ("plain", "key_idempotent", "key_once", "issued_id")
+REQUEST_KINDS = ("plain", "key_idempotent", "key_once", "issued_id")
 DEADLINE_MS = 5000.0
 SHORT_MS = 800.0
-FILL = 16
-DEAD = replace(SIBLING, incarnation=SIBLING.incarnation + 1)
+FILLER_TASKS = 16
+RESTARTED_SIBLING = replace(SIBLING, incarnation=SIBLING.incarnation + 1)
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """Say what the caller must hear last; `starts` counts sends of its task."""
+class ExpectedAnswer:
+    """Last answer that the caller must get; `starts` counts starts of its task."""
 
     state: JobState
     code: FailureCode | None = None
@@ -76,10 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """Hold one case of the table; `act` brings it about."""
+    """One case of a table; `act` runs its steps."""
 
     act: Callable
-    told: Told
+    expected: ExpectedAnswer
 
 
 def request_of(
@@ -99,26 +99,28 @@
 
 
 def send(harness: CoreHarness, request: JobRequest, call: int = 1) -> list:
-    """Submit, and let the log confirm a claim at once."""
+    """Submit a request; if it is claimed, the log confirms the claim at once."""
     effects = harness.send_event(Submitted(call, request))
     claims = claims_in(effects)
     return effects + harness.send_event(ClaimsRead(claims)) if claims else effects
 
 
-def fill(harness: CoreHarness) -> None:
-    for start in harness.submit(make_request(FILL, deadline_ms=60_000.0), call=50):
+def fill_slots(harness: CoreHarness) -> None:
+    for start in harness.submit(
+        make_request(FILLER_TASKS, deadline_ms=60_000.0), call=50
+    ):
         harness.verdicts(start)
 
 
-def begin(harness: CoreHarness, kind: str, deadline_ms: float = DEADLINE_MS):
-    """Submit a job of one task; return its request and the one batch of starts."""
+def start_job(harness: CoreHarness, kind: str, deadline_ms: float = DEADLINE_MS):
+    """Submit a job of one task; return its request and its batch of starts."""
     request = request_of(harness, kind, deadline_ms)
     (start,) = starts_in(send(harness, request))
     return request, start
 
 
 def wait_in_queue(harness: CoreHarness, kind: str, deadline_ms: float = DEADLINE_MS):
-    fill(harness)
+    fill_slots(harness)
     request = request_of(harness, kind, deadline_ms)
     send(harness, request)
     return request, last_job(harness).submission
@@ -133,24 +135,28 @@
     harness.results(start)
 
 
-def lose(harness: CoreHarness, start, left: bool = True) -> list:
+def lose_start_reply(harness: CoreHarness, start, maybe_sent: bool = True) -> list:
     tasks = tuple(s.task for s in start.starts)
-    return harness.send_event(StartRequestFailed(start.upstream, tasks, left))
+    return harness.send_event(StartRequestFailed(start.upstream, tasks, maybe_sent))
 
 
-def status(harness: CoreHarness, start, state: TaskState, run: int = FIRST_RUN) -> list:
+def status(
+    harness: CoreHarness, start, state: TaskState, incarnation: int = FIRST_INCARNATION
+) -> list:
     outcomes = tuple(TaskOutcome(s.task, state, "late") for s in start.starts)
-    reply = UpstreamReply(start.upstream, run, outcomes=outcomes)
+    reply = UpstreamReply(start.upstream, incarnation, outcomes=outcomes)
     return harness.send_event(StatusReplied(reply)) + harness.wait(0.6)
 
 
-def check(harness: CoreHarness, told: Told) -> None:
+def check(harness: CoreHarness, expected: ExpectedAnswer) -> None:
     answer = [e for e in answers_in(harness.effects)][-1]
-    own = [t for t in harness.started if t.submission != filler(harness)]
-    seen = Told(answer.state, answer.code, answer.not_run, len(own))
-    assert seen == told, answer
+    starts = [t for t in harness.started if t.submission != filler_submission(harness)]
+    actual = ExpectedAnswer(answer.state, answer.code, answer.not_run, len(starts))
+    assert actual == expected, answer
 
 
-def filler(harness: CoreHarness):
+def filler_submission(harness: CoreHarness):
     jobs = harness.core.state.jobs.values()
-    return next((j.submission for j in jobs if len(j.request.tasks) == FILL), None)
+    return next(
+        (j.submission for j in jobs if len(j.request.tasks) == FILLER_TASKS), None
+    )
--- a/jackdawspur/dispatch/tests/conftest.py
+++ b/jackdawspur/dispatch/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A host under test whose adapters are the test itself."""
+"""Harness that drives the dispatch logic of one host without adapters."""
 
 import random
 from dataclasses import dataclass, field
@@ -36,8 +36,8 @@
 
 OWN = HostId("north", "e1", 100)
 SIBLING = HostId("north", "e2", 200)
-FIRST_RUN = 7
-SECOND_RUN = 8
+FIRST_INCARNATION = 7
+SECOND_INCARNATION = 8
 UPSTREAMS = tuple(
     Upstream(UpstreamId("north", f"w{n}"), f"127.0.0.1:1820{n}", rack=f"r{n % 2}")
     for n in range(2)
@@ -58,7 +58,7 @@
 
 
 def make_request(tasks: int = 2, **changes) -> JobRequest:
-    """Return a request of equal tasks."""
+    """Return a request with equal tasks."""
     fields = {"customer": "roster", "job_class": "confirm", "deadline_ms": 5000.0}
     specs = tuple(TaskSpec(f"{n}", 100.0) for n in range(tasks))
     return JobRequest(tasks=specs, **(fields | changes))
@@ -66,20 +66,20 @@
 
 @dataclass
 class CoreHarness:
-    """Drive one core by hand and keep everything it asks for."""
+    """Send events to one core and record its effects."""
 
     core: EntryCore
     now: float = 0.0
     effects: list = field(default_factory=list)
 
     def send_event(self, event) -> list:
-        """Let an event happen now."""
+        """Handle an event now, and return its effects."""
         effects = self.core.handle(event, self.now)
         self.effects += effects
         return effects
 
     def wait(self, seconds: float, step: float = 0.05) -> list:
-        """Let time pass in ticks."""
+        """Advance the time in steps, with a tick at each."""
         effects = []
         until = self.now + seconds
         while self.now < until - 1e-9:
@@ -88,28 +88,33 @@
         return effects
 
     def submit(self, request: JobRequest, call: int = 1) -> list[StartTasks]:
-        """Submit a job and return the starts it led to."""
+        """Submit a job and return the starts that it caused."""
         return starts_in(self.send_event(Submitted(call, request)))
 
-    def verdicts(self, start: StartTasks, refusal=None, run: int = FIRST_RUN) -> list:
-        """Let an upstream answer a batch of starts."""
+    def verdicts(
+        self, start: StartTasks, refusal=None, incarnation: int = FIRST_INCARNATION
+    ) -> list:
+        """Send the reply of an upstream to a batch of starts."""
         verdicts = tuple(StartVerdict(s.task, refusal) for s in start.starts)
         return self.send_event(
-            StartsReplied(UpstreamReply(start.upstream, run, verdicts))
+            StartsReplied(UpstreamReply(start.upstream, incarnation, verdicts))
         )
 
     def results(
-        self, start: StartTasks, state=TaskState.DONE, run: int = FIRST_RUN
+        self,
+        start: StartTasks,
+        state=TaskState.DONE,
+        incarnation: int = FIRST_INCARNATION,
     ) -> list:
-        """Let an upstream report the end of a batch."""
+        """Send an upstream's report that the tasks of a batch ended."""
         outcomes = tuple(
             TaskOutcome(s.task, state, f"out-{s.payload}") for s in start.starts
         )
-        reply = UpstreamReply(start.upstream, run, outcomes=outcomes)
+        reply = UpstreamReply(start.upstream, incarnation, outcomes=outcomes)
         return self.send_event(ResultsReplied(reply))
 
-    def hear(self, host: HostId, **changes) -> list:
-        """Let a heartbeat of a peer arrive."""
+    def receive_heartbeat(self, host: HostId, **changes) -> list:
+        """Receive a heartbeat of a peer."""
         fields = {
             "sequence": int(self.now * 1000) + 1,
             "ready": True,
@@ -125,29 +130,29 @@
 
     @property
     def started(self) -> list[TaskId]:
-        """Return every task of every start sent so far, repeats included."""
+        """Return the tasks of all starts sent so far, repeated ones included."""
         return [s.task for e in starts_in(self.effects) for s in e.starts]
 
 
 def starts_in(effects) -> list[StartTasks]:
-    """Return the starts among effects."""
+    """Return the batches of starts among the effects."""
     return [e for e in effects if isinstance(e, StartTasks)]
 
 
 def answers_in(effects) -> list[Answer]:
-    """Return the answers among effects."""
+    """Return the answers to callers among the effects."""
     return [e.answer for e in effects if isinstance(e, AnswerCall)]
 
 
 def messages_in(effects, kind) -> list:
-    """Return the messages of one kind among effects."""
+    """Return the messages of one type among the effects."""
     sent = [e.message for e in effects if isinstance(e, SendPeerMessage)]
     return [message for message in sent if isinstance(message, kind)]
 
 
 @pytest.fixture
 def harness() -> CoreHarness:
-    """Return a host with a world of two upstreams, alone in its zone."""
+    """Return a host with two upstreams and no live peer in its zone."""
     harness = CoreHarness(EntryCore(OWN, random.Random(1), 0.0))
     harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
     harness.wait(1.0)
--- a/jackdawspur/dispatch/tests/test_at_most_once.py
+++ b/jackdawspur/dispatch/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""No task starts twice, and "not run" is only said when it is true."""
+"""Tests that no task starts twice, and that "not run" is answered only if true."""
 
 import pytest
 
@@ -11,8 +11,8 @@
     StopTasks,
 )
 from jackdawspur.dispatch.tests.conftest import (
-    FIRST_RUN,
-    SECOND_RUN,
+    FIRST_INCARNATION,
+    SECOND_INCARNATION,
     answers_in,
     make_request,
     starts_in,
@@ -21,14 +21,14 @@
 from jackdawspur.model import FailureCode, JobState, TaskOutcome, TaskState
 
 
-def lose(harness, start, left):
+def lose_start_reply(harness, start, maybe_sent):
     tasks = tuple(s.task for s in start.starts)
-    return harness.send_event(StartRequestFailed(start.upstream, tasks, left))
+    return harness.send_event(StartRequestFailed(start.upstream, tasks, maybe_sent))
 
 
-def status(harness, start, state, run=FIRST_RUN):
+def status(harness, start, state, incarnation=FIRST_INCARNATION):
     outcomes = tuple(TaskOutcome(s.task, state, "late") for s in start.starts)
-    reply = UpstreamReply(start.upstream, run, outcomes=outcomes)
+    reply = UpstreamReply(start.upstream, incarnation, outcomes=outcomes)
     return harness.send_event(StatusReplied(reply))
 
 
@@ -42,14 +42,13 @@
     assert answer.outputs == tuple(f"out-{n}" for n in range(5))
 
 
-def test_lost_reply_is_asked_after_and_not_sent_again(harness):
-    """A crew is sent out twice.
+def test_start_with_lost_reply_is_queried_and_not_sent_again(harness):
+    """A start whose reply was lost must not be sent again, or the task runs twice.
 
-    The upstream takes the start, its reply is lost, the entry host takes the silence
-    for a failure and sends the start again.
+    The upstream accepted the start, but the entry host got no reply to it.
     """
     (start,) = harness.submit(make_request(1))
-    effects = lose(harness, start, left=True)
+    effects = lose_start_reply(harness, start, maybe_sent=True)
     assert not starts_in(effects)
     assert [type(e) for e in effects] == [QueryTaskStatus]
     harness.wait(1.0)
@@ -58,20 +57,20 @@
     assert len(harness.started) == 1
 
 
-def test_start_that_never_left_is_sent_again(harness):
+def test_start_that_was_not_sent_is_sent_again(harness):
     (start,) = harness.submit(make_request(1))
-    lose(harness, start, left=False)
+    lose_start_reply(harness, start, maybe_sent=False)
     harness.wait(0.5)
     assert len(harness.started) == 2
 
 
-def test_barred_start_of_the_same_run_is_sent_again(harness):
+def test_start_sealed_by_the_same_incarnation_is_sent_again(harness):
     (first,) = harness.submit(make_request(1), call=1)
     harness.verdicts(first)
     harness.results(first)
     others = harness.submit(make_request(2), call=2)
     known = next(s for s in others if s.upstream == first.upstream)
-    lose(harness, known, left=True)
+    lose_start_reply(harness, known, maybe_sent=True)
     effects = status(harness, known, TaskState.SEALED)
     effects += harness.wait(0.5)
     assert [s.task for e in starts_in(effects) for s in e.starts] == [
@@ -79,17 +78,17 @@
     ]
 
 
-def test_old_word_of_another_upstream_frees_nothing(harness):
-    """A map order that ran is taken for one that never did.
+def test_repeated_status_reply_of_earlier_upstream_releases_nothing(harness):
+    """A repeated status reply must not be attributed to another upstream.
 
-    The first upstream barred the task, so it went to the second and runs there. A
-    repeat of the first one's answer comes in and is taken for the second one's.
+    The first upstream sealed the task, which now runs on the second one. The reply of
+    the first arrives again and would mark the running task as never started.
     """
     for call in (1, 2):
         (known,) = harness.submit(make_request(1), call=call)
         harness.verdicts(known)
     (first,) = harness.submit(make_request(1), call=3)
-    lose(harness, first, left=True)
+    lose_start_reply(harness, first, maybe_sent=True)
     again = status(harness, first, TaskState.SEALED) + harness.wait(0.5)
     (second,) = starts_in(again)
     assert second.upstream != first.upstream
@@ -103,16 +102,16 @@
 
 @pytest.mark.parametrize("state", [TaskState.SEALED, TaskState.UNKNOWN])
 def test_restarted_upstream_proves_nothing(harness, state):
-    """A map order is billed twice.
+    """The status reply of a restarted upstream must not count as "never started".
 
-    The upstream starts it, dies and restarts; its reply is lost. Asked, the new run
-    knows nothing of the task. Cause: "no trace" is taken for "never started".
+    The upstream starts the task and restarts, and its reply is lost. The new
+    incarnation does not know the task, and a second start would run it twice.
     """
     (start,) = harness.submit(make_request(1))
     harness.verdicts(start)
     (second,) = harness.submit(make_request(1), call=2)
-    lose(harness, second, left=True)
-    effects = status(harness, second, state, run=SECOND_RUN)
+    lose_start_reply(harness, second, maybe_sent=True)
+    effects = status(harness, second, state, incarnation=SECOND_INCARNATION)
     effects += harness.wait(1.0)
     codes = {a.code for a in answers_in(harness.effects)}
     assert FailureCode.OUTCOME_UNKNOWN in codes
@@ -121,12 +120,13 @@
 
 
 def test_unanswered_status_ends_as_unknown(harness):
-    """A dispatcher is told "not run" for a reassignment that did run.
+    """A start without any reply must not be answered as "not run".
 
-    The reply to the start is lost and the upstream stays silent to the deadline.
+    The reply to the start is lost, and the upstream does not respond until the
+    deadline, although the task may have run.
     """
     (start,) = harness.submit(make_request(1, deadline_ms=2000.0))
-    lose(harness, start, left=True)
+    lose_start_reply(harness, start, maybe_sent=True)
     tasks = tuple(s.task for s in start.starts)
     for _ in range(3):
         harness.send_event(StatusQueryFailed(start.upstream, tasks))
@@ -149,9 +149,10 @@
 
 
 def test_failed_task_fails_the_whole_job_at_once(harness):
-    """A skipper gets 359 of 360 tiles and takes the overlay for complete.
+    """A job with a failed task must not be answered with partial outputs.
 
-    One task fails; the others are stopped, and the answer is one clear failure.
+    One task fails; the others are stopped, and the answer is a single failure.
+    Otherwise a caller could take 359 of 360 outputs for a complete result.
     """
     starts = harness.submit(make_request(4))
     for start in starts:
@@ -165,10 +166,10 @@
 
 
 def test_cancelled_before_its_start_never_starts(harness):
-    """A client cancels, is told "not run", and the task runs after all."""
+    """A waiting job cancelled with the answer "not run" must never start."""
     harness.submit(make_request(16), call=1)
     assert not harness.submit(make_request(4), call=2)
-    waiting = [j for j in harness.core.state.jobs.values() if j.untouched]
+    waiting = [j for j in harness.core.state.jobs.values() if j.nothing_sent]
     effects = harness.send_event(CancelRequested(3, "roster", waiting[0].submission))
     assert all(a.not_run for a in answers_in(effects))
     assert len(answers_in(effects)) == 2
@@ -176,7 +177,7 @@
     assert all(t.submission != waiting[0].submission for t in harness.started)
 
 
-def test_cancelled_while_a_start_is_on_its_way_is_not_called_not_run(harness):
+def test_cancel_during_a_start_is_not_answered_not_run(harness):
     starts = harness.submit(make_request(1))
     submission = starts[0].starts[0].task.submission
     effects = harness.send_event(CancelRequested(2, "roster", submission))
@@ -184,10 +185,10 @@
 
 
 def test_pause_past_the_deadline_starts_nothing(harness):
-    """A reassignment runs although its dispatcher was told that it failed.
+    """A job must not start after its deadline, when its caller has its failure.
 
-    The host is paused with the job in its queue and wakes after the deadline. Cause:
-    it goes on with what it believed before the pause.
+    The host is paused with the job in its queue and resumes after the deadline, with
+    its state from before the pause.
     """
     harness.submit(make_request(16), call=1)
     harness.submit(make_request(2, deadline_ms=3000.0), call=2)
@@ -201,18 +202,18 @@
     }
 
 
-def test_late_word_of_an_earlier_upstream_frees_nothing(harness):
-    """A crew is sent out twice after a refusal that came in two copies.
+def test_late_refusal_of_earlier_upstream_releases_nothing(harness):
+    """A repeated refusal must not cause a second start.
 
-    The first upstream refuses, the second one gets the task under the same id, and a
-    late copy of the refusal, or of its loss, comes in.
+    The first upstream refuses the task, which is sent to the second one under the same
+    id. Then a copy of the refusal, or a report that the start failed, arrives late.
     """
     (first,) = harness.submit(make_request(1))
     (second,) = starts_in(harness.verdicts(first, RefusalReason.FULL))
     assert second.upstream != first.upstream
     effects = harness.verdicts(first, RefusalReason.FULL)
-    effects += lose(harness, first, left=False)
-    effects += lose(harness, first, left=True)
+    effects += lose_start_reply(harness, first, maybe_sent=False)
+    effects += lose_start_reply(harness, first, maybe_sent=True)
     assert not starts_in(effects)
     assert not any(isinstance(e, QueryTaskStatus) for e in effects)
     harness.verdicts(second)
--- a/jackdawspur/dispatch/tests/test_told_delegated.py
+++ b/jackdawspur/dispatch/tests/test_delegated_answers.py
@@ -1,4 +1,4 @@
-"""What the caller of a job is told that was moved to another host."""
+"""Answers to the callers of jobs that were delegated to another host."""
 
 import pytest
 
@@ -9,8 +9,17 @@
     StatusReplied,
     Submitted,
 )
+from jackdawspur.dispatch.tests.answer_cases import (
+    COMPLETE,
+    FAILED,
+    REFUSED,
+    RESTARTED_SIBLING,
+    UNKNOWN,
+    Case,
+    ExpectedAnswer,
+)
 from jackdawspur.dispatch.tests.conftest import (
-    FIRST_RUN,
+    FIRST_INCARNATION,
     OWN,
     SIBLING,
     CoreHarness,
@@ -19,15 +28,6 @@
     messages_in,
     starts_in,
 )
-from jackdawspur.dispatch.tests.told import (
-    COMPLETE,
-    DEAD,
-    FAILED,
-    REFUSED,
-    UNKNOWN,
-    Case,
-    Told,
-)
 from jackdawspur.external import UpstreamReply
 from jackdawspur.messages import Delegate, DelegateAnswer
 from jackdawspur.model import (
@@ -40,12 +40,12 @@
 
 
 def delegate(harness: CoreHarness) -> Delegate:
-    """Submit a job that moves whole to an idle sibling."""
-    # Jobs as small as the next one, so that it comes after them.
-    harness.hear(SIBLING, draining=True)
+    """Submit a job that is delegated to an idle host of the zone."""
+    # Jobs as small as the delegated one, so that it is queued after them.
+    harness.receive_heartbeat(SIBLING, draining=True)
     for call in range(100, 105):
         harness.submit(make_request(4, deadline_ms=60_000.0), call)
-    harness.hear(SIBLING, free_slots=8, sequence=10**6)
+    harness.receive_heartbeat(SIBLING, free_slots=8, sequence=10**6)
     (message,) = messages_in(
         harness.send_event(Submitted(1, make_request(4))), Delegate
     )
@@ -66,11 +66,11 @@
 
 def delegate_dead(harness):
     delegate(harness)
-    harness.hear(DEAD)
+    harness.receive_heartbeat(RESTARTED_SIBLING)
     harness.wait(1.0)
 
 
-def delegate_silent(harness):
+def delegate_unresponsive(harness):
     delegate(harness)
     harness.wait(6.0)
 
@@ -108,41 +108,51 @@
     harness.wait(1.2)
 
 
-DELEGATED = (
-    Case(delegate_done, Told(COMPLETE)),
-    Case(delegate_dead, Told(FAILED, UNKNOWN)),
-    Case(delegate_silent, Told(FAILED, UNKNOWN)),
-    Case(delegate_refuses, Told(REFUSED, FailureCode.OVERLOADED, True)),
-    Case(delegate_cancels_in_time, Told(REFUSED, FailureCode.CANCELLED, True)),
-    Case(delegate_answers_after_refusing, Told(REFUSED, FailureCode.OVERLOADED, True)),
-    Case(delegated_drain, Told(FAILED, UNKNOWN)),
+DELEGATED_CASES = (
+    Case(delegate_done, ExpectedAnswer(COMPLETE)),
+    Case(delegate_dead, ExpectedAnswer(FAILED, UNKNOWN)),
+    Case(delegate_unresponsive, ExpectedAnswer(FAILED, UNKNOWN)),
+    Case(delegate_refuses, ExpectedAnswer(REFUSED, FailureCode.OVERLOADED, True)),
+    Case(
+        delegate_cancels_in_time, ExpectedAnswer(REFUSED, FailureCode.CANCELLED, True)
+    ),
+    Case(
+        delegate_answers_after_refusing,
+        ExpectedAnswer(REFUSED, FailureCode.OVERLOADED, True),
+    ),
+    Case(delegated_drain, ExpectedAnswer(FAILED, UNKNOWN)),
 )
 
 
-@pytest.mark.parametrize("case", DELEGATED, ids=lambda case: case.act.__name__)
+@pytest.mark.parametrize("case", DELEGATED_CASES, ids=lambda case: case.act.__name__)
 def test_delegated(harness, case):
-    """A job moved to a busy host's sibling, which refuses, dies or stays silent.
+    """A job is delegated to a host that refuses, dies or does not respond.
 
-    Only the delegate may start it, so its owner calls it "not run" on its word alone.
+    Only the delegate may start it, so the owner answers "not run" only if the delegate
+    does.
     """
     case.act(harness)
     answer = answers_in(harness.effects)[-1]
-    own = [t for t in harness.started if t.submission == answer.submission]
-    assert Told(answer.state, answer.code, answer.not_run, len(own)) == case.told
+    starts = [t for t in harness.started if t.submission == answer.submission]
+    assert (
+        ExpectedAnswer(answer.state, answer.code, answer.not_run, len(starts))
+        == case.expected
+    )
 
 
 def test_delegate_that_dropped_an_answer_does_not_run_it_again(harness):
-    """A 360-tile overlay is drawn twice, and billed twice.
+    """A delegated job must not run again after its answer was dropped.
 
-    The delegate ends a job whose answer fills its memory and is dropped at once. Its
-    message to the owner is lost, so the owner repeats the delegation.
+    The delegate ends a job whose answer exceeds its memory bound and is dropped at
+    once, as with a job of 360 tasks. Its message to the owner is lost, so the owner
+    repeats the delegation.
     """
     message = Delegate(SubmissionId(SIBLING, 3), make_request(1), 4000.0)
     (start,) = starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
     harness.verdicts(start)
     outcome = TaskOutcome(start.starts[0].task, TaskState.DONE, "x" * 9_000_000)
     harness.send_event(
-        StatusReplied(UpstreamReply(start.upstream, FIRST_RUN, (), (outcome,)))
+        StatusReplied(UpstreamReply(start.upstream, FIRST_INCARNATION, (), (outcome,)))
     )
     harness.effects.clear()
     harness.send_event(PeerMessageReceived(SIBLING, message))
@@ -152,7 +162,10 @@
     )
 
 
-def test_only_the_owner_delegates(harness):
-    """A task runs at two hosts because a stray message named a job as delegated."""
+def test_delegation_is_accepted_from_the_owner_only(harness):
+    """A delegation that names another host's job must start nothing.
+
+    Otherwise a misdirected message could make a task run at two hosts.
+    """
     message = Delegate(SubmissionId(OWN, 3), make_request(1), 4000.0)
     assert not starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
--- a/jackdawspur/dispatch/tests/test_large_tasks.py
+++ b/jackdawspur/dispatch/tests/test_large_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that need most of an upstream's memory, beside small ones."""
+"""Tests of tasks that need all memory of an upstream, beside small ones."""
 
 from dataclasses import replace
 
@@ -7,8 +7,9 @@
 HALF_MB = 65_536
 ALL_MB = 131_072
 SMALL_JOBS = 40
-# Two until the wait is too long, and then at most all that run at both upstreams.
-MOST_ENDS = 8
+# Two tasks end until the wait of the large one is too long, and then at most all that
+# run on both upstreams.
+MAX_ENDED = 8
 
 
 def _with_memory(memory_mb: int, deadline_ms: float = 60_000.0):
@@ -18,10 +19,10 @@
 
 
 def test_a_large_task_starts_before_the_small_ones_run_out(harness):
-    """A caller's one large task waits until its deadline while small ones run.
+    """A large task must not wait until its deadline while small ones run.
 
-    Four small tasks fill the memory of both upstreams and more wait. Whenever one
-    ends, another of its size fits and the large one doesn't, so it never starts.
+    Four small tasks fill the memory of both upstreams, and more of them wait. Whenever
+    one ends, another small one fits but the large one does not.
     """
     running = []
     for call in range(4):
@@ -38,9 +39,9 @@
         effects = harness.results(running.pop(0))
         ended += 1
         new = starts_in(effects)
-        if any(task.memory_mb == ALL_MB for one in new for task in one.starts):
+        if any(task.memory_mb == ALL_MB for batch in new for task in batch.starts):
             break
         for start in new:
             harness.verdicts(start)
         running += new
-    assert ended <= MOST_ENDS
+    assert ended <= MAX_ENDED
--- a/jackdawspur/dispatch/tests/test_ownership.py
+++ b/jackdawspur/dispatch/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""One owner a submission: ids, keys, forwards and delegations."""
+"""Tests that each submission has one owner: ids, keys, forwards and delegations."""
 
 import random
 
@@ -55,8 +55,8 @@
     return effect.claim
 
 
-def restarted() -> CoreHarness:
-    """Return a bench with the next run of the same host."""
+def restarted_harness() -> CoreHarness:
+    """Return a harness with the next incarnation of the same host."""
     host = HostId(OWN.zone, OWN.name, OWN.incarnation + 1)
     harness = CoreHarness(EntryCore(host, random.Random(2), 0.0))
     harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
@@ -65,7 +65,7 @@
 
 
 def test_issued_id_runs_once_however_often_it_is_submitted(harness):
-    """A supervisor's app repeats a confirmation whose answer it never saw."""
+    """A caller that did not get the answer may repeat the request."""
     request = make_request(1, submission=issue(harness), idempotent=False)
     (start,) = harness.submit(request, call=1)
     assert not harness.submit(request, call=2)
@@ -77,23 +77,23 @@
     assert len(harness.started) == 1
 
 
-def test_issued_id_of_an_earlier_run_is_never_run_again(harness):
-    """A cooperative is billed twice after an entry host restarted.
+def test_issued_id_of_an_earlier_incarnation_never_runs_again(harness):
+    """A request must not run again after its entry host restarted.
 
-    The order ran, the host died, the caller repeats it at the restarted host, which
-    remembers nothing.
+    The request ran, the host died, and the caller repeats it at the restarted host,
+    which has lost its state.
     """
     submission = issue(harness)
-    again = restarted()
+    successor = restarted_harness()
     request = make_request(1, submission=submission, idempotent=False)
-    assert not again.submit(request, call=5)
-    again.wait(1.0)
-    (answer,) = answers_in(again.effects)
+    assert not successor.submit(request, call=5)
+    successor.wait(1.0)
+    (answer,) = answers_in(successor.effects)
     assert answer.code is FailureCode.OWNER_LOST
     assert not answer.not_run
 
 
-def test_spent_id_that_is_forgotten_does_not_run(harness):
+def test_used_id_whose_answer_expired_does_not_run(harness):
     request = make_request(1, submission=issue(harness), idempotent=False)
     (start,) = harness.submit(request, call=1)
     harness.verdicts(start)
@@ -105,17 +105,17 @@
 
 def test_id_of_another_customer_is_not_found(harness):
     submission = issue(harness)
-    foreign = make_request(1, submission=submission, customer="maps")
-    assert not harness.submit(foreign)
+    request = make_request(1, submission=submission, customer="maps")
+    assert not harness.submit(request)
     effects = harness.send_event(Polled(7, "maps", submission))
     assert {a.code for a in answers_in(effects)} == {FailureCode.NOT_FOUND}
 
 
 def test_answer_not_run_is_final_for_its_id(harness):
-    """A dispatcher reads "not run", calls a crew by hand, and a second crew comes.
+    """A request answered with "not run" must not run later.
 
-    A copy of the request was under way at a paused host. It arrives after the answer
-    and is taken for a new attempt.
+    A copy of the request was in transit at a paused host. It arrives after the answer
+    and must not count as a new attempt.
     """
     request = make_request(1, submission=issue(harness))
     harness.submit(make_request(16), call=1)
@@ -128,7 +128,7 @@
     assert len(harness.started) == before
 
 
-def test_same_id_with_other_work_is_a_conflict(harness):
+def test_same_id_with_other_tasks_is_a_conflict(harness):
     submission = issue(harness)
     harness.submit(make_request(1, submission=submission), call=1)
     harness.submit(make_request(2, submission=submission), call=2)
@@ -142,18 +142,18 @@
 
 
 def test_key_claimed_first_by_another_host_runs_there(harness):
-    """A reassignment sent to two hosts at once sends two crews.
+    """A request sent to two hosts at once must run at one of them only.
 
-    Both hosts claim its key. The log orders the other host's claim first.
+    Both hosts claim its key, and the claim of the other host comes first in the log.
     """
-    harness.hear(SIBLING)
+    harness.receive_heartbeat(SIBLING)
     claim = claim_of(harness.send_event(Submitted(1, KEYED)))
-    theirs = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
-    effects = harness.send_event(ClaimsRead((theirs, claim)))
+    earlier_claim = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
+    effects = harness.send_event(ClaimsRead((earlier_claim, claim)))
     assert not starts_in(effects)
     (forward,) = messages_in(effects, Forward)
-    assert forward.submission == theirs.submission
-    done = Answer(JobState.COMPLETE, theirs.submission, ("x",))
+    assert forward.submission == earlier_claim.submission
+    done = Answer(JobState.COMPLETE, earlier_claim.submission, ("x",))
     effects = harness.send_event(
         PeerMessageReceived(SIBLING, ForwardAnswer(forward.call, done))
     )
@@ -161,7 +161,7 @@
 
 
 def test_paused_claimer_that_lost_the_key_starts_nothing(harness):
-    """The first of two hosts is paused after its claim and wakes 20 s later."""
+    """The first of two hosts is paused for 20 s after its claim."""
     claim = claim_of(harness.send_event(Submitted(1, KEYED)))
     harness.now += 20.0
     harness.wait(0.1)
@@ -170,11 +170,11 @@
     assert not answers_in(harness.effects)[0].not_run
 
 
-def test_key_while_the_log_is_down_is_not_called_not_run(harness):
-    """A dispatcher repeats a reassignment at another host while the log is down.
+def test_key_while_the_log_is_down_is_not_answered_not_run(harness):
+    """A request with a key is repeated at another host while the log is down.
 
-    The first attempt ran, but its claim never reached this host. "Not run" would
-    make the dispatcher send a second crew.
+    The first attempt ran, but its claim never reached this host. With the answer "not
+    run" the caller would have the work done a second time.
     """
     claim = claim_of(harness.send_event(Submitted(1, KEYED)))
     harness.send_event(ClaimAppendCompleted(claim, False))
@@ -186,7 +186,7 @@
     assert not harness.started
 
 
-def test_key_given_up_runs_on_repeat_once_its_claim_shows(harness):
+def test_abandoned_key_runs_on_repeat_after_its_claim_is_read(harness):
     claim = claim_of(harness.send_event(Submitted(1, KEYED)))
     harness.send_event(ClaimAppendCompleted(claim, None))
     harness.wait(2.0)
@@ -200,16 +200,18 @@
     assert len(starts_in(harness.send_event(ClaimAppendCompleted(claim, False)))) == 1
 
 
-def test_claims_trimmed_unread_bar_new_keys(harness):
+def test_unread_trimmed_claims_prevent_new_keys(harness):
     harness.send_event(ClaimsRead((), gap=True))
     assert not harness.submit(KEYED)
     assert answers_in(harness.effects)[-1].code is FailureCode.LOG_UNAVAILABLE
 
 
 def test_forward_to_a_host_that_restarts_ends_as_unknown(harness):
-    harness.hear(SIBLING)
+    harness.receive_heartbeat(SIBLING)
     harness.send_event(Polled(1, "roster", SubmissionId(SIBLING, 9), wait=True))
-    harness.hear(HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1))
+    harness.receive_heartbeat(
+        HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1)
+    )
     harness.wait(1.0)
     (answer,) = answers_in(harness.effects)
     assert answer.code is FailureCode.OWNER_LOST
@@ -217,21 +219,23 @@
 
 
 def delegated(harness, tasks=4):
-    """Let the own slots be full and a sibling idle, and submit one more job."""
-    # Jobs as small as the next one, so that it comes after them.
-    harness.hear(SIBLING, draining=True)
+    """Submit one more job while the local slots are full and a peer is idle."""
+    # Jobs as small as the last one, so that it is queued after them.
+    harness.receive_heartbeat(SIBLING, draining=True)
     for call in range(100, 105):
         harness.submit(make_request(4, deadline_ms=60_000.0), call)
-    harness.hear(SIBLING, free_slots=8, sequence=10**6)
+    harness.receive_heartbeat(SIBLING, free_slots=8, sequence=10**6)
     effects = harness.send_event(Submitted(2, make_request(tasks)))
     return effects, messages_in(effects, Delegate)
 
 
 def test_delegate_that_dies_ends_as_unknown(harness):
-    """A job is handed to a sibling that dies; its caller must not hear "not run"."""
+    """A job whose delegate dies must not be answered as "not run"."""
     _, sent = delegated(harness)
     (message,) = sent
-    harness.hear(HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1))
+    harness.receive_heartbeat(
+        HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1)
+    )
     harness.wait(1.0)
     answer = answers_in(harness.effects)[-1]
     assert answer.submission == message.submission
@@ -241,9 +245,9 @@
 def test_job_that_the_delegate_refused_waits_here(harness):
     _, (message,) = delegated(harness)
     code = FailureCode.OVERLOADED
-    no = Answer(JobState.REFUSED, message.submission, code=code, not_run=True)
+    refusal = Answer(JobState.REFUSED, message.submission, code=code, not_run=True)
     effects = harness.send_event(
-        PeerMessageReceived(SIBLING, DelegateAnswer(message.submission, no))
+        PeerMessageReceived(SIBLING, DelegateAnswer(message.submission, refusal))
     )
     assert not messages_in(effects, Delegate)
     assert harness.core.state.jobs[message.submission].delegate is None
@@ -264,7 +268,10 @@
 
 
 def test_delegation_refused_once_stays_refused(harness):
-    """The owner took the job back; a delayed copy of the message comes in later."""
+    """A delayed copy of a refused delegation must not run.
+
+    The owner queued the job locally after the refusal.
+    """
     harness.core.state.draining = True
     message = Delegate(SubmissionId(SIBLING, 3), make_request(1), 4000.0)
     harness.send_event(PeerMessageReceived(SIBLING, message))
--- a/jackdawspur/dispatch/tests/test_told_again.py
+++ b/jackdawspur/dispatch/tests/test_repeat_answers.py
@@ -1,4 +1,4 @@
-"""What a repeat is told, and a request whose owner, log or claim is lost.
+"""Answers to repeated requests, and to requests whose owner, log or claim is lost.
 
 "Not run" must be false when an earlier request with the same key or id may have run.
 """
@@ -17,35 +17,35 @@
     Polled,
     Submitted,
 )
-from jackdawspur.dispatch.tests.conftest import (
-    OWN,
-    SIBLING,
-    answers_in,
-    make_request,
-    messages_in,
-    starts_in,
-)
-from jackdawspur.dispatch.tests.told import (
+from jackdawspur.dispatch.tests.answer_cases import (
     COMPLETE,
-    DEAD,
     FAILED,
     REFUSED,
+    RESTARTED_SIBLING,
     SHORT_MS,
     UNKNOWN,
     Case,
-    Told,
-    begin,
+    ExpectedAnswer,
     check,
     claims_in,
-    fill,
+    fill_slots,
     finish,
     last_job,
-    lose,
+    lose_start_reply,
     request_of,
     send,
+    start_job,
     status,
     wait_in_queue,
 )
+from jackdawspur.dispatch.tests.conftest import (
+    OWN,
+    SIBLING,
+    answers_in,
+    make_request,
+    messages_in,
+    starts_in,
+)
 from jackdawspur.messages import Forward, ForwardAnswer
 from jackdawspur.model import (
     Answer,
@@ -55,31 +55,31 @@
     TaskState,
 )
 
-IDENTIFIED = ("key_idempotent", "key_once", "issued_id")
+REPEATABLE_KINDS = ("key_idempotent", "key_once", "issued_id")
 
 
 def while_pending(harness, kind):
-    request, start = begin(harness, kind)
+    request, start = start_job(harness, kind)
     send(harness, request, call=2)
     finish(harness, start)
 
 
 def after_the_answer(harness, kind):
-    request, start = begin(harness, kind)
+    request, start = start_job(harness, kind)
     finish(harness, start)
     send(harness, request, call=2)
 
 
 def after_a_failure(harness, kind):
-    request, start = begin(harness, kind)
+    request, start = start_job(harness, kind)
     harness.verdicts(start)
     harness.results(start, TaskState.FAILED)
     send(harness, request, call=2)
 
 
-def after_doubt(harness, kind):
-    request, start = begin(harness, kind)
-    lose(harness, start)
+def after_unknown_outcome(harness, kind):
+    request, start = start_job(harness, kind)
+    lose_start_reply(harness, start)
     status(harness, start, TaskState.UNKNOWN)
     send(harness, request, call=2)
 
@@ -92,14 +92,14 @@
 
 
 def with_other_work(harness, kind):
-    request, _ = begin(harness, kind)
+    request, _ = start_job(harness, kind)
     other = make_request(2, idempotent=request.idempotent)
     other = replace(other, key=request.key, submission=request.submission)
     send(harness, other, call=2)
 
 
 def copies_from_two_hosts(harness, kind):
-    request, start = begin(harness, kind)
+    request, start = start_job(harness, kind)
     submission = start.starts[0].task.submission
     message = Forward(31, "roster", submission, True, request)
     harness.send_event(PeerMessageReceived(SIBLING, message))
@@ -108,36 +108,38 @@
     assert len(messages_in(harness.effects, ForwardAnswer)) == 2
 
 
-REPEATS = (
-    Case(while_pending, Told(COMPLETE, starts=1)),
-    Case(after_the_answer, Told(COMPLETE, starts=1)),
-    Case(after_a_failure, Told(FAILED, FailureCode.TASK_FAILED, starts=1)),
-    Case(after_doubt, Told(FAILED, UNKNOWN, starts=1)),
-    Case(after_not_run, Told(REFUSED, FailureCode.CANCELLED, True)),
-    Case(with_other_work, Told(REFUSED, FailureCode.CONFLICT, True, starts=1)),
-    Case(copies_from_two_hosts, Told(COMPLETE, starts=1)),
+REPEAT_CASES = (
+    Case(while_pending, ExpectedAnswer(COMPLETE, starts=1)),
+    Case(after_the_answer, ExpectedAnswer(COMPLETE, starts=1)),
+    Case(after_a_failure, ExpectedAnswer(FAILED, FailureCode.TASK_FAILED, starts=1)),
+    Case(after_unknown_outcome, ExpectedAnswer(FAILED, UNKNOWN, starts=1)),
+    Case(after_not_run, ExpectedAnswer(REFUSED, FailureCode.CANCELLED, True)),
+    Case(
+        with_other_work, ExpectedAnswer(REFUSED, FailureCode.CONFLICT, True, starts=1)
+    ),
+    Case(copies_from_two_hosts, ExpectedAnswer(COMPLETE, starts=1)),
 )
 
 
-@pytest.mark.parametrize("kind", IDENTIFIED)
-@pytest.mark.parametrize("case", REPEATS, ids=lambda case: case.act.__name__)
+@pytest.mark.parametrize("kind", REPEATABLE_KINDS)
+@pytest.mark.parametrize("case", REPEAT_CASES, ids=lambda case: case.act.__name__)
 def test_repeat_at_the_owner(harness, kind, case):
-    """A cooperative is billed twice because its app sent the order again.
+    """A repeated request must not run again.
 
-    The repeat carries the same key or id and must get the first attempt's answer.
+    The repeat has the same key or id and must get the answer of the first attempt.
     """
     case.act(harness, kind)
-    check(harness, case.told)
+    check(harness, case.expected)
 
 
-def answer_dropped(harness, kind):
-    request, start = begin(harness, "issued_id")
+def answer_evicted(harness, kind):
+    request, start = start_job(harness, "issued_id")
     finish(harness, start)
     harness.wait(700.0, step=0.4)
     send(harness, request, call=2)
 
 
-def cancelled_before_it_came(harness, kind):
+def cancelled_before_arrival(harness, kind):
     request = request_of(harness, "issued_id")
     harness.send_event(CancelRequested(2, "roster", request.submission))
     assert answers_in(harness.effects)[-1].not_run
@@ -145,7 +147,7 @@
     harness.wait(1.0)
 
 
-def polled_before_it_came(harness, kind):
+def polled_before_arrival(harness, kind):
     request = request_of(harness, "issued_id")
     harness.send_event(Polled(2, "roster", request.submission))
 
@@ -159,31 +161,35 @@
 
 
 def owner_paused(harness, kind):
-    harness.hear(SIBLING)
-    asked = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
-    harness.send_event(Submitted(1, asked))
+    harness.receive_heartbeat(SIBLING)
+    request = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    harness.send_event(Submitted(1, request))
     harness.wait(6.0)
 
 
 def owner_dead(harness, kind):
-    harness.hear(SIBLING)
-    asked = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
-    harness.send_event(Submitted(1, asked))
-    harness.hear(DEAD)
+    harness.receive_heartbeat(SIBLING)
+    request = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    harness.send_event(Submitted(1, request))
+    harness.receive_heartbeat(RESTARTED_SIBLING)
     harness.wait(1.0)
 
 
-def stranger_answers_for_owner(harness, kind):
-    harness.hear(SIBLING)
-    asked = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
-    (sent,) = messages_in(harness.send_event(Submitted(1, asked)), Forward)
-    foreign = Answer(COMPLETE, SubmissionId(SIBLING, 5), ("of another caller",))
+def other_host_answers_for_owner(harness, kind):
+    harness.receive_heartbeat(SIBLING)
+    request = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    (sent,) = messages_in(harness.send_event(Submitted(1, request)), Forward)
+    wrong_answer = Answer(COMPLETE, SubmissionId(SIBLING, 5), ("of another caller",))
     harness.send_event(
-        PeerMessageReceived(HostId("south", "e1", 5), ForwardAnswer(sent.call, foreign))
+        PeerMessageReceived(
+            HostId("south", "e1", 5), ForwardAnswer(sent.call, wrong_answer)
+        )
     )
     assert not answers_in(harness.effects)
-    mine = Answer(COMPLETE, asked.submission, ("mine",))
-    harness.send_event(PeerMessageReceived(SIBLING, ForwardAnswer(sent.call, mine)))
+    own_answer = Answer(COMPLETE, request.submission, ("mine",))
+    harness.send_event(
+        PeerMessageReceived(SIBLING, ForwardAnswer(sent.call, own_answer))
+    )
 
 
 def log_down(harness, kind):
@@ -198,7 +204,7 @@
 
 
 def log_down_idempotent_refused(harness, kind):
-    fill(harness)
+    fill_slots(harness)
     log_down(harness, "key_idempotent")
     harness.wait(6.0)
 
@@ -241,7 +247,7 @@
     harness.send_event(CancelRequested(2, "roster", last_job(harness).submission))
 
 
-def claim_comes_after_giving_up(harness, kind):
+def claim_read_after_abort(harness, kind):
     request = request_of(harness, kind)
     claims = claims_in(harness.send_event(Submitted(1, request)))
     harness.wait(2.0)
@@ -254,67 +260,92 @@
 
 
 def claim_lost_to_sibling(harness, kind):
-    harness.hear(SIBLING)
+    harness.receive_heartbeat(SIBLING)
     claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
-    theirs = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
-    (sent,) = messages_in(harness.send_event(ClaimsRead((theirs, *claims))), Forward)
-    done = Answer(COMPLETE, theirs.submission, ("x",))
+    earlier_claim = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
+    (sent,) = messages_in(
+        harness.send_event(ClaimsRead((earlier_claim, *claims))), Forward
+    )
+    done = Answer(COMPLETE, earlier_claim.submission, ("x",))
     harness.send_event(PeerMessageReceived(SIBLING, ForwardAnswer(sent.call, done)))
 
 
 def claim_lost_to_dead_host(harness, kind):
-    harness.hear(SIBLING)
+    harness.receive_heartbeat(SIBLING)
     claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
-    theirs = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
-    harness.send_event(ClaimsRead((theirs, *claims)))
-    harness.hear(DEAD)
+    earlier_claim = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
+    harness.send_event(ClaimsRead((earlier_claim, *claims)))
+    harness.receive_heartbeat(RESTARTED_SIBLING)
     harness.wait(1.0)
 
 
-LOST = Told(FAILED, FailureCode.OWNER_LOST)
-NO_LOG = Told(REFUSED, FailureCode.LOG_UNAVAILABLE)
-BY_KIND = (
-    ("issued_id", Case(answer_dropped, Told(FAILED, FailureCode.NOT_FOUND, starts=1))),
-    ("issued_id", Case(cancelled_before_it_came, Told(FAILED, FailureCode.NOT_FOUND))),
-    ("issued_id", Case(polled_before_it_came, Told(REFUSED, FailureCode.NOT_FOUND))),
-    ("issued_id", Case(owner_restarted, LOST)),
-    ("issued_id", Case(owner_paused, Told(FAILED, UNKNOWN))),
-    ("issued_id", Case(owner_dead, LOST)),
-    ("issued_id", Case(stranger_answers_for_owner, Told(COMPLETE))),
-    ("key_once", Case(log_down, NO_LOG)),
-    ("key_idempotent", Case(log_down_idempotent, Told(COMPLETE, starts=1))),
+OWNER_LOST = ExpectedAnswer(FAILED, FailureCode.OWNER_LOST)
+LOG_UNAVAILABLE = ExpectedAnswer(REFUSED, FailureCode.LOG_UNAVAILABLE)
+CASES_BY_KIND = (
+    (
+        "issued_id",
+        Case(answer_evicted, ExpectedAnswer(FAILED, FailureCode.NOT_FOUND, starts=1)),
+    ),
+    (
+        "issued_id",
+        Case(cancelled_before_arrival, ExpectedAnswer(FAILED, FailureCode.NOT_FOUND)),
+    ),
+    (
+        "issued_id",
+        Case(polled_before_arrival, ExpectedAnswer(REFUSED, FailureCode.NOT_FOUND)),
+    ),
+    ("issued_id", Case(owner_restarted, OWNER_LOST)),
+    ("issued_id", Case(owner_paused, ExpectedAnswer(FAILED, UNKNOWN))),
+    ("issued_id", Case(owner_dead, OWNER_LOST)),
+    ("issued_id", Case(other_host_answers_for_owner, ExpectedAnswer(COMPLETE))),
+    ("key_once", Case(log_down, LOG_UNAVAILABLE)),
+    ("key_idempotent", Case(log_down_idempotent, ExpectedAnswer(COMPLETE, starts=1))),
     (
         "key_idempotent",
-        Case(log_down_idempotent_refused, Told(REFUSED, FailureCode.DEADLINE)),
+        Case(
+            log_down_idempotent_refused, ExpectedAnswer(REFUSED, FailureCode.DEADLINE)
+        ),
     ),
     (
         "key_idempotent",
-        Case(log_down_idempotent_draining, Told(REFUSED, FailureCode.DRAINING)),
+        Case(
+            log_down_idempotent_draining, ExpectedAnswer(REFUSED, FailureCode.DRAINING)
+        ),
+    ),
+    ("key_once", Case(log_reply_lost, ExpectedAnswer(COMPLETE, starts=1))),
+    ("key_idempotent", Case(log_reply_lost, ExpectedAnswer(COMPLETE, starts=1))),
+    ("key_once", Case(claims_read_twice, ExpectedAnswer(COMPLETE, starts=1))),
+    (
+        "key_once",
+        Case(log_slow_past_deadline, ExpectedAnswer(REFUSED, FailureCode.DEADLINE)),
+    ),
+    (
+        "key_once",
+        Case(drain_before_claim, ExpectedAnswer(REFUSED, FailureCode.SHUTDOWN)),
+    ),
+    (
+        "key_once",
+        Case(cancelled_before_claim, ExpectedAnswer(REFUSED, FailureCode.CANCELLED)),
     ),
-    ("key_once", Case(log_reply_lost, Told(COMPLETE, starts=1))),
-    ("key_idempotent", Case(log_reply_lost, Told(COMPLETE, starts=1))),
-    ("key_once", Case(claims_read_twice, Told(COMPLETE, starts=1))),
-    ("key_once", Case(log_slow_past_deadline, Told(REFUSED, FailureCode.DEADLINE))),
-    ("key_once", Case(drain_before_claim, Told(REFUSED, FailureCode.SHUTDOWN))),
-    ("key_once", Case(cancelled_before_claim, Told(REFUSED, FailureCode.CANCELLED))),
-    ("key_once", Case(claim_comes_after_giving_up, Told(COMPLETE, starts=1))),
-    ("key_once", Case(claim_lost_to_sibling, Told(COMPLETE))),
-    ("key_idempotent", Case(claim_lost_to_sibling, Told(COMPLETE))),
-    ("key_once", Case(claim_lost_to_dead_host, LOST)),
+    ("key_once", Case(claim_read_after_abort, ExpectedAnswer(COMPLETE, starts=1))),
+    ("key_once", Case(claim_lost_to_sibling, ExpectedAnswer(COMPLETE))),
+    ("key_idempotent", Case(claim_lost_to_sibling, ExpectedAnswer(COMPLETE))),
+    ("key_once", Case(claim_lost_to_dead_host, OWNER_LOST)),
 )
 
 
 @pytest.mark.parametrize(
-    ("kind", "case"), BY_KIND, ids=lambda v: getattr(v, "act", v) and _name(v)
+    ("kind", "case"), CASES_BY_KIND, ids=lambda v: getattr(v, "act", v) and _name(v)
 )
 def test_owner_log_and_claim(harness, kind, case):
-    """A clinic gets two crews, or none, because its key or id met a lost owner.
+    """A request whose owner, log or claim is lost must run at most once.
 
-    The owner pauses, dies or restarts; the log is down, slow or loses a reply; another
-    host's claim comes first. What may have run is never called "not run".
+    The owner pauses, dies or restarts; the log is down, slow or loses a reply; the
+    claim of another host comes first. A job that may have run is never answered as
+    "not run".
     """
     case.act(harness, kind)
-    check(harness, case.told)
+    check(harness, case.expected)
 
 
 def _name(value) -> str:
