--- a/jackdawspur/membership/__init__.py
+++ b/jackdawspur/membership/__init__.py
@@ -1,18 +1,18 @@
-"""Know which hosts live, from heartbeats first and the lagging list second."""
+"""Membership: live hosts by their heartbeats, leaving upstreams by several reports."""
 
-from jackdawspur.membership._limits import GONE_AFTER, RESUME_GAP
-from jackdawspur.membership._liveness import OwnerState
-from jackdawspur.membership._pace import (
+from jackdawspur.membership._intervals import (
     HeartbeatBandwidth,
     HeartbeatIntervals,
     heartbeat_bandwidth,
     heartbeat_intervals,
 )
+from jackdawspur.membership._limits import GONE_AFTER, RESUME_GAP
+from jackdawspur.membership._liveness import OwnerState
 from jackdawspur.membership._view import View
-from jackdawspur.membership._zones import Addressed, ZoneSummary
+from jackdawspur.membership._zones import OutgoingHeartbeat, ZoneSummary
 
 __all__ = [
-    "Addressed",
+    "OutgoingHeartbeat",
     "GONE_AFTER",
     "HeartbeatBandwidth",
     "HeartbeatIntervals",
--- a/jackdawspur/membership/_heartbeat_sender.py
+++ b/jackdawspur/membership/_heartbeat_sender.py
@@ -1,16 +1,16 @@
-"""What a host's heartbeats carry, and to whom they go."""
+"""Contents and receivers of the heartbeats of a host."""
 
 from collections.abc import Callable
 from dataclasses import replace
 
 from jackdawspur.membership._limits import (
-    LINKS_A_ZONE_PAIR,
-    MISSED_BEATS,
-    OWN_USAGE_REPORTED,
+    LINKS_PER_ZONE_PAIR,
+    MAX_HOST_USAGE_ENTRIES,
+    MISSED_HEARTBEATS,
 )
 from jackdawspur.membership._members import Members
 from jackdawspur.membership._schedule import Schedule
-from jackdawspur.membership._zones import Addressed, Reports, summarize
+from jackdawspur.membership._zones import OutgoingHeartbeat, ZoneReports, summarize
 from jackdawspur.messages import CustomerUsage, Heartbeat, LivePeer, Pulse, ZoneStatus
 from jackdawspur.model import HostId, rendezvous_hash
 
@@ -20,118 +20,126 @@
 class HeartbeatSender:
     """Compose the heartbeats of one host."""
 
-    def __init__(self, members: Members, reports: Reports) -> None:
+    def __init__(self, members: Members, reports: ZoneReports) -> None:
         self._members = members
         self._reports = reports
         self._schedule = Schedule()
         self._round = 0
-        self._own_zone = members.own.zone
-        self._state = Heartbeat(members.own, 0, False, False, -1, 0, 0, 0.0)
+        self._local_zone = members.local_id.zone
+        self._state = Heartbeat(members.local_id, 0, False, False, -1, 0, 0, 0.0)
 
-    def due(self, state: Heartbeat, now: float) -> tuple[Addressed, ...]:
-        """Return what to send now, made from the host's own state."""
+    def due(self, state: Heartbeat, now: float) -> tuple[OutgoingHeartbeat, ...]:
+        """Return the heartbeats to send now, made from the state of this host."""
         self._state = state
         due = self._schedule.due(state, self._members.intervals, now)
-        out: list[Addressed] = []
+        outgoing: list[OutgoingHeartbeat] = []
         if due.relay:
-            out.extend(self._to_siblings(self._relay(due.full_relay)))
-        elif due.news:
-            out.extend(self._to_siblings(_bare(state)))
+            outgoing.extend(self._address_siblings(self._relay(due.full_relay)))
+        elif due.state_change:
+            outgoing.extend(self._address_siblings(_without_usage(state)))
         elif due.pulse:
-            out.extend(self._to_siblings(_pulse(state)))
+            outgoing.extend(self._address_siblings(_pulse(state)))
         if due.links:
             self._round += 1
-            out.extend(self._to_zones(self._link(due.full_links)))
-        return tuple(out)
+            outgoing.extend(self._address_zones(self._link(due.full_links)))
+        return tuple(outgoing)
 
-    def repeat_news(self) -> None:
-        """Tell siblings everything once more."""
-        self._schedule.repeat_news()
+    def resend_state(self) -> None:
+        """Send the full state to the hosts of the zone once more."""
+        self._schedule.resend_state()
 
     def reset(self) -> None:
-        """Send everything at once."""
+        """Make all heartbeats due now."""
         self._schedule.reset()
 
-    def own_summary(self) -> ZoneStatus:
-        """Return the summary of the own zone."""
-        beats = [one.beat for one in self._members.fresh(self._own_zone) if one.beat]
-        return summarize(self._own_zone, [self._state, *beats])
+    def local_summary(self) -> ZoneStatus:
+        """Return the summary of the local zone."""
+        heartbeats = [
+            record.heartbeat
+            for record in self._members.live_records(self._local_zone)
+            if record.heartbeat
+        ]
+        return summarize(self._local_zone, [self._state, *heartbeats])
 
     def _relay(self, full: bool) -> Heartbeat:
-        zones = [zone for zone in self._members.zones() if self._passes_on(zone)]
+        zones = [zone for zone in self._members.zones() if self._should_relay(zone)]
         reports = [self._reports.latest(zone) for zone in zones]
         if not full:
             brief = tuple(replace(report, usage=()) for report in reports)
-            return replace(_bare(self._state), zones=brief)
+            return replace(_without_usage(self._state), zones=brief)
         return replace(
             self._state,
             reports_usage=True,
-            usage=_heaviest(self._state.usage),
-            seen=tuple(one for zone in zones for one in self._linked(zone)),
+            usage=_largest_usage(self._state.usage),
+            seen=tuple(peer for zone in zones for peer in self._linked_peers(zone)),
             zones=tuple(reports),
         )
 
     def _link(self, full: bool) -> Heartbeat:
-        beat = replace(_bare(self._state), bad_upstreams=(), leaving_upstreams=())
-        summary = self.own_summary()
+        heartbeat = replace(
+            _without_usage(self._state), bad_upstreams=(), leaving_upstreams=()
+        )
+        summary = self.local_summary()
         if not full:
-            return replace(beat, zones=(replace(summary, usage=()),))
-        live = self._members.fresh(self._own_zone)
-        seen = tuple(LivePeer(one.host, one.draining) for one in live)
-        return replace(beat, reports_usage=True, seen=seen, zones=(summary,))
+            return replace(heartbeat, zones=(replace(summary, usage=()),))
+        live = self._members.live_records(self._local_zone)
+        seen = tuple(LivePeer(record.host, record.draining) for record in live)
+        return replace(heartbeat, reports_usage=True, seen=seen, zones=(summary,))
 
-    def _to_siblings(self, message: Heartbeat | Pulse) -> list[Addressed]:
-        hosts = self._members.configured(self._own_zone)
-        own = self._members.own
-        return [Addressed(host, message) for host in hosts if host != own]
+    def _address_siblings(self, message: Heartbeat | Pulse) -> list[OutgoingHeartbeat]:
+        hosts = self._members.configured(self._local_zone)
+        local_id = self._members.local_id
+        return [OutgoingHeartbeat(host, message) for host in hosts if host != local_id]
 
-    def _to_zones(self, message: Heartbeat) -> list[Addressed]:
+    def _address_zones(self, message: Heartbeat) -> list[OutgoingHeartbeat]:
         targets = (self._link_to(zone) for zone in self._members.zones())
-        return [Addressed(host, message) for host in targets if host]
+        return [OutgoingHeartbeat(host, message) for host in targets if host]
 
     def _link_to(self, zone: str) -> HostId | None:
-        rank = self._rank(zone)
-        if zone == self._own_zone or rank >= LINKS_A_ZONE_PAIR:
+        rank = self._link_rank(zone)
+        if zone == self._local_zone or rank >= LINKS_PER_ZONE_PAIR:
             return None
-        hosts = sorted(self._members.live(zone), key=self._order(zone))
+        hosts = sorted(self._members.live(zone), key=self._link_order(zone))
         if hosts:
             return hosts[rank % len(hosts)]
-        # Nobody of the zone is heard: try its configured hosts one after the other.
+        # No host of the zone is live: try its configured hosts in turn.
         hosts = self._members.configured(zone)
         return hosts[(self._round + rank) % len(hosts)] if hosts else None
 
-    def _rank(self, zone: str) -> int:
-        hosts = sorted(self._members.live(self._own_zone), key=self._order(zone))
-        return hosts.index(self._members.own)
+    def _link_rank(self, zone: str) -> int:
+        hosts = sorted(self._members.live(self._local_zone), key=self._link_order(zone))
+        return hosts.index(self._members.local_id)
 
-    def _order(self, zone: str) -> Callable[[HostId], int]:
-        pair = sorted((self._own_zone, zone))
+    def _link_order(self, zone: str) -> Callable[[HostId], int]:
+        pair = sorted((self._local_zone, zone))
         return lambda host: rendezvous_hash(*pair, host.zone, host.name)
 
-    def _passes_on(self, zone: str) -> bool:
-        pace, now = self._members.intervals, self._members.now
-        if not self._reports.linked_since(zone, now - pace.link_timeout):
+    def _should_relay(self, zone: str) -> bool:
+        intervals, now = self._members.intervals, self._members.now
+        if not self._reports.linked_since(zone, now - intervals.link_timeout):
             return False
-        # The second of the two linked hosts speaks only when the first does not.
-        told = self._reports.told_since(zone, now - MISSED_BEATS * pace.relay)
-        return self._rank(zone) == 0 or not told
+        # The second of the two linked hosts relays only if the first does not.
+        relayed = self._reports.relayed_since(
+            zone, now - MISSED_HEARTBEATS * intervals.relay
+        )
+        return self._link_rank(zone) == 0 or not relayed
 
-    def _linked(self, zone: str) -> list[LivePeer]:
+    def _linked_peers(self, zone: str) -> list[LivePeer]:
         since = self._members.now - self._members.intervals.mention_timeout
         return [
-            LivePeer(one.host, one.draining)
-            for one in self._members.sightings.of_zone(zone)
-            if one.linked_at >= since
+            LivePeer(record.host, record.draining)
+            for record in self._members.liveness_table.of_zone(zone)
+            if record.linked_at >= since
         ]
 
 
-def _bare(state: Heartbeat) -> Heartbeat:
+def _without_usage(state: Heartbeat) -> Heartbeat:
     return replace(state, usage=(), reports_usage=False)
 
 
-def _heaviest(usage: tuple[CustomerUsage, ...]) -> tuple[CustomerUsage, ...]:
-    by_weight = sorted(usage, key=lambda one: -(one.running + one.waiting))
-    return tuple(by_weight[:OWN_USAGE_REPORTED])
+def _largest_usage(usage: tuple[CustomerUsage, ...]) -> tuple[CustomerUsage, ...]:
+    by_weight = sorted(usage, key=lambda entry: -(entry.running + entry.waiting))
+    return tuple(by_weight[:MAX_HOST_USAGE_ENTRIES])
 
 
 def _pulse(state: Heartbeat) -> Pulse:
--- a/jackdawspur/membership/_leaving.py
+++ b/jackdawspur/membership/_leaving.py
@@ -1,37 +1,41 @@
-"""Which upstreams leave, by their own word, a sibling's or the platform's list."""
+"""Leaving upstreams, as reported by themselves, by hosts or by the platform's list."""
 
 from collections.abc import Iterable
 
 from jackdawspur.external import HostRole, ListedHost
-from jackdawspur.membership._limits import DIRECT_HOLD, STALE_USAGE, TOLD_HOLD
+from jackdawspur.membership._limits import (
+    DIRECT_LEAVE_TTL,
+    MAX_USAGE_LAG,
+    REPORTED_LEAVE_TTL,
+)
 from jackdawspur.model import UpstreamId
 
-__all__ = ["Leaving"]
+__all__ = ["LeavingUpstreams"]
 
 
-class Leaving:
-    """Keep the leaving upstreams; one word of leaving outweighs a silent list."""
+class LeavingUpstreams:
+    """Leaving upstreams; one report suffices, even if the host list lacks it."""
 
     def __init__(self) -> None:
         self._direct: dict[UpstreamId, float] = {}
-        self._told: dict[UpstreamId, float] = {}
+        self._reported: dict[UpstreamId, float] = {}
         self._listed: frozenset[UpstreamId] = frozenset()
 
-    def note(self, upstream: UpstreamId, now: float) -> None:
-        """Take the upstream's own word that it leaves."""
+    def mark(self, upstream: UpstreamId, now: float) -> None:
+        """Record that the upstream itself reported to be leaving."""
         self._direct[upstream] = now
 
-    def deny(self, upstream: UpstreamId, now: float) -> None:
-        """Take the upstream's word that it stays, unless that may be stale."""
-        if now - self._direct.get(upstream, now) > STALE_USAGE:
+    def clear(self, upstream: UpstreamId, now: float) -> None:
+        """Record that the upstream reported to stay, unless the report may be stale."""
+        if now - self._direct.get(upstream, now) > MAX_USAGE_LAG:
             del self._direct[upstream]
 
-    def told(self, upstreams: Iterable[UpstreamId], now: float) -> None:
-        """Take a sibling's word."""
-        self._told.update(dict.fromkeys(upstreams, now))
+    def update_reported(self, upstreams: Iterable[UpstreamId], now: float) -> None:
+        """Record the leaving upstreams reported by another host of the zone."""
+        self._reported.update(dict.fromkeys(upstreams, now))
 
-    def listed(self, hosts: Iterable[ListedHost]) -> None:
-        """Take the platform's list, which adds to what was said directly."""
+    def update_host_list(self, hosts: Iterable[ListedHost]) -> None:
+        """Replace the leaving upstreams of the host list; other reports stay."""
         self._listed = frozenset(
             UpstreamId(host.zone, host.name)
             for host in hosts
@@ -39,19 +43,24 @@
         )
 
     def tick(self, now: float) -> None:
-        """Forget words that are too old."""
-        self._direct = _younger(self._direct, now - DIRECT_HOLD)
-        self._told = _younger(self._told, now - TOLD_HOLD)
+        """Drop expired reports."""
+        self._direct = _newer_than(self._direct, now - DIRECT_LEAVE_TTL)
+        self._reported = _newer_than(self._reported, now - REPORTED_LEAVE_TTL)
 
     def contains(self, upstream: UpstreamId) -> bool:
-        """Tell whether the upstream is known to leave."""
-        known = (self._direct, self._told, self._listed)
-        return any(upstream in words for words in known)
+        """Return whether the upstream is known to be leaving."""
+        sources = (self._direct, self._reported, self._listed)
+        return any(upstream in source for source in sources)
 
-    def to_pass_on(self) -> tuple[UpstreamId, ...]:
-        """Return what to tell siblings; passing on what they said would never end."""
+    def to_report(self) -> tuple[UpstreamId, ...]:
+        """Return the upstreams to report to the hosts of the zone.
+
+        Reports of other hosts are left out, or they would circulate forever.
+        """
         return tuple(sorted(self._direct.keys() | self._listed))
 
 
-def _younger(words: dict[UpstreamId, float], since: float) -> dict[UpstreamId, float]:
-    return {upstream: at for upstream, at in words.items() if at >= since}
+def _newer_than(
+    reports: dict[UpstreamId, float], since: float
+) -> dict[UpstreamId, float]:
+    return {upstream: at for upstream, at in reports.items() if at >= since}
--- a/jackdawspur/membership/_liveness.py
+++ b/jackdawspur/membership/_liveness.py
@@ -1,4 +1,4 @@
-"""When each entry host was last heard of, and as which incarnation."""
+"""Times of the last signals of each entry host, and its incarnation."""
 
 import enum
 from collections.abc import Collection, Mapping
@@ -7,13 +7,13 @@
 from jackdawspur.messages import Heartbeat, LivePeer, Pulse
 from jackdawspur.model import HostId
 
-__all__ = ["LivenessTable", "OwnerState", "Sighting"]
+__all__ = ["LivenessTable", "OwnerState", "LivenessRecord"]
 
 NEVER = float("-inf")
 
 
 class OwnerState(enum.StrEnum):
-    """Tell whether the owner of a submission can still answer for it."""
+    """Whether the owner of a submission can still answer calls for it."""
 
     LIVE = "live"
     UNHEARD = "unheard"
@@ -21,28 +21,30 @@
 
 
 @dataclass(slots=True)
-class Sighting:
-    """Keep the latest incarnation of a host and the times of its signals.
+class LivenessRecord:
+    """Latest incarnation of a host and the times of its last signals.
 
-    `linked_at`: by itself or a host of its zone; `passed_at`: through a sibling.
+    `direct_at` is the time of its own last message, `linked_at` of the last one from
+    itself or a host of its zone, `relayed_at` of the last report by a host of the local
+    zone.
     """
 
     host: HostId
     direct_at: float = NEVER
     linked_at: float = NEVER
-    passed_at: float = NEVER
+    relayed_at: float = NEVER
     sequence: int = -1
     draining: bool = False
-    beat: Heartbeat | None = None
+    heartbeat: Heartbeat | None = None
 
     @property
     def last_at(self) -> float:
-        """Return the time of the latest signal of either kind."""
-        return max(self.linked_at, self.passed_at)
+        """Return the time of the last signal of any kind."""
+        return max(self.linked_at, self.relayed_at)
 
-    def advance(self, sequence: int, now: float) -> bool:
-        """Count a direct message; false when it was overtaken by a newer one."""
-        # Messages may overtake each other; an old one would undo a drain.
+    def accept_sequence(self, sequence: int, now: float) -> bool:
+        """Record a direct message; return False if a newer one was recorded."""
+        # Messages may arrive out of order; an old one would undo a drain.
         if sequence <= self.sequence:
             return False
         self.sequence = sequence
@@ -51,66 +53,68 @@
 
 
 class LivenessTable:
-    """Keep the latest sighting of each host."""
+    """Liveness records of all known hosts."""
 
     def __init__(self) -> None:
-        self._zones: dict[str, dict[str, Sighting]] = {}
+        self._zones: dict[str, dict[str, LivenessRecord]] = {}
 
-    def get(self, zone: str, name: str) -> Sighting | None:
-        """Return the sighting of the host of that name, in whatever incarnation."""
+    def get(self, zone: str, name: str) -> LivenessRecord | None:
+        """Return the record of the host of that name, in any incarnation."""
         return self._zones.get(zone, {}).get(name)
 
-    def of_zone(self, zone: str) -> list[Sighting]:
-        """Return the sightings of a zone in the order of host names."""
-        return [one for _, one in sorted(self._zones.get(zone, {}).items())]
+    def of_zone(self, zone: str) -> list[LivenessRecord]:
+        """Return the records of a zone in the order of host names."""
+        return [record for _, record in sorted(self._zones.get(zone, {}).items())]
 
-    def hear(self, beat: Heartbeat, now: float) -> bool:
-        """Note a heartbeat; false when a newer one was heard before."""
-        sighting = self._newest(beat.host)
-        if sighting is None or not sighting.advance(beat.sequence, now):
+    def record_direct(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Record a heartbeat; return False if a newer one was recorded."""
+        record = self._current_record(heartbeat.host)
+        if record is None or not record.accept_sequence(heartbeat.sequence, now):
             return False
-        # Usage travels in few heartbeats; between them the last one stands.
-        if not beat.reports_usage and sighting.beat:
-            beat = replace(beat, usage=sighting.beat.usage)
-        sighting.draining = beat.draining
-        sighting.beat = beat
+        # Only some heartbeats report usage; the last report holds until the next.
+        if not heartbeat.reports_usage and record.heartbeat:
+            heartbeat = replace(heartbeat, usage=record.heartbeat.usage)
+        record.draining = heartbeat.draining
+        record.heartbeat = heartbeat
         return True
 
-    def hear_pulse(self, sender: HostId, pulse: Pulse, now: float) -> None:
-        """Note a sign of life between two heartbeats."""
-        sighting = self._newest(sender)
-        if sighting is None or not sighting.advance(pulse.sequence, now):
+    def record_direct_pulse(self, sender: HostId, pulse: Pulse, now: float) -> None:
+        """Record a pulse sent between two heartbeats."""
+        record = self._current_record(sender)
+        if record is None or not record.accept_sequence(pulse.sequence, now):
             return
-        if sighting.beat:
-            sighting.beat = replace(
-                sighting.beat,
+        if record.heartbeat:
+            record.heartbeat = replace(
+                record.heartbeat,
                 sequence=pulse.sequence,
                 free_slots=pulse.free_slots,
                 waiting_tasks=pulse.waiting_tasks,
                 backlog_ms=pulse.backlog_ms,
             )
 
-    def hear_of(self, seen: LivePeer, linked: bool, now: float) -> None:
-        """Note that another host reports the host live."""
-        sighting = self._newest(seen.host)
-        if sighting is not None:
+    def record_reported(self, seen: LivePeer, linked: bool, now: float) -> None:
+        """Record that another host reported the host as live."""
+        record = self._current_record(seen.host)
+        if record is not None:
             if linked:
-                sighting.linked_at = now
+                record.linked_at = now
             else:
-                sighting.passed_at = now
-            sighting.draining = sighting.draining or seen.draining
+                record.relayed_at = now
+            record.draining = record.draining or seen.draining
 
     def forget(self, known: Mapping[str, Collection[str]]) -> None:
-        """Drop hosts that are not among those names of each zone."""
+        """Remove all hosts except those named in each zone."""
         self._zones = {
-            zone: {name: one for name, one in hosts.items() if name in known[zone]}
+            zone: {
+                name: record for name, record in hosts.items() if name in known[zone]
+            }
             for zone, hosts in self._zones.items()
             if zone in known
         }
 
-    def _newest(self, host: HostId) -> Sighting | None:
+    def _current_record(self, host: HostId) -> LivenessRecord | None:
         hosts = self._zones.setdefault(host.zone, {})
         known = hosts.get(host.name)
         if known is None or known.host.incarnation < host.incarnation:
-            known = hosts[host.name] = Sighting(host)
+            known = hosts[host.name] = LivenessRecord(host)
         return known if known.host == host else None
--- a/jackdawspur/membership/_members.py
+++ b/jackdawspur/membership/_members.py
@@ -1,49 +1,55 @@
-"""Which entry hosts live."""
+"""Liveness of entry hosts."""
 
+from jackdawspur.membership._intervals import (
+    HeartbeatIntervals,
+    heartbeat_intervals,
+)
 from jackdawspur.membership._limits import GONE_AFTER, RESUME_GAP
-from jackdawspur.membership._liveness import LivenessTable, OwnerState, Sighting
-from jackdawspur.membership._pace import HeartbeatIntervals, heartbeat_intervals
+from jackdawspur.membership._liveness import LivenessRecord, LivenessTable, OwnerState
 from jackdawspur.model import ClusterSpec, HostId
 
 __all__ = ["Members"]
 
-UNHEARD_INCARNATION = 0
+UNKNOWN_INCARNATION = 0
 
 
 class Members:
-    """Judge by the times of their signals which entry hosts live."""
+    """Determine which entry hosts are live from the times of their signals."""
 
-    def __init__(self, own: HostId, now: float) -> None:
-        self.own = own
+    def __init__(self, local_id: HostId, now: float) -> None:
+        self.local_id = local_id
         self.now = now
         self.intervals = HeartbeatIntervals()
-        self.sightings = LivenessTable()
+        self.liveness_table = LivenessTable()
         self._names: dict[str, list[str]] = {}
-        # Signals before this do not count; the view settles at the second time.
-        self._awake_at = now
+        # Signals before the first time don't count; the view is settled after the
+        # second one.
+        self._valid_since = now
         self._settled_at = now + self.intervals.sibling_timeout
 
     @property
     def settled(self) -> bool:
-        """Tell whether enough time passed since the start or a pause."""
+        """Return whether enough time has passed since the start or a pause."""
         return self.now >= self._settled_at
 
-    def set_cluster_spec(self, world: ClusterSpec, now: float) -> None:
-        """Take the configured hosts into account."""
+    def set_cluster_spec(self, cluster_spec: ClusterSpec, now: float) -> None:
+        """Set the configured hosts."""
         first = not self._names
         self._names = {}
-        for host in sorted(world.entry_hosts, key=lambda one: (one.zone, one.name)):
+        for host in sorted(
+            cluster_spec.entry_hosts, key=lambda entry: (entry.zone, entry.name)
+        ):
             self._names.setdefault(host.zone, []).append(host.name)
-        self.intervals = heartbeat_intervals(world)
-        self.sightings.forget(self._names)
+        self.intervals = heartbeat_intervals(cluster_spec)
+        self.liveness_table.forget(self._names)
         if first:
             self._settled_at = now + self.intervals.sibling_timeout
 
-    def resumed(self, now: float, gap: float) -> bool:
-        """Drop beliefs after a pause; false when the gap was too short to matter."""
+    def reset_after_pause(self, now: float, gap: float) -> bool:
+        """Ignore all signals from before a pause; return False if it was too short."""
         if gap < RESUME_GAP:
             return False
-        self._awake_at = now
+        self._valid_since = now
         self._settled_at = now + self.intervals.sibling_timeout
         return True
 
@@ -52,74 +58,85 @@
         return list(self._names)
 
     def configured(self, zone: str) -> list[HostId]:
-        """Return the configured hosts of a zone as far as their runs are known."""
+        """Return the configured hosts of a zone, with their incarnations if known."""
         return [
-            self.current(zone, name) or HostId(zone, name, UNHEARD_INCARNATION)
+            self.latest_incarnation(zone, name)
+            or HostId(zone, name, UNKNOWN_INCARNATION)
             for name in self._names.get(zone, ())
         ]
 
-    def fresh(self, zone: str) -> list[Sighting]:
-        """Return the sightings of live hosts of a zone, without this host."""
-        return [one for one in self.sightings.of_zone(zone) if self._is_fresh(one)]
+    def live_records(self, zone: str) -> list[LivenessRecord]:
+        """Return the records of the live hosts of a zone, without this host."""
+        return [
+            record
+            for record in self.liveness_table.of_zone(zone)
+            if self._is_live_record(record)
+        ]
 
     def live(self, zone: str) -> tuple[HostId, ...]:
-        """Return the live hosts of a zone, own included, in order."""
-        hosts = [one.host for one in self.fresh(zone)]
-        if zone == self.own.zone:
-            hosts.append(self.own)
+        """Return the live hosts of a zone, including this one, sorted."""
+        hosts = [record.host for record in self.live_records(zone)]
+        if zone == self.local_id.zone:
+            hosts.append(self.local_id)
         return tuple(sorted(hosts))
 
-    def sharers(self) -> tuple[HostId, ...]:
-        """Return the hosts among which the own zone's slots are divided."""
-        shared = {
-            one.host.name: one.host
-            for one in self.fresh(self.own.zone)
-            if one.beat is None or one.beat.ready or one.beat.draining
+    def slot_holders(self) -> tuple[HostId, ...]:
+        """Return the hosts that share the slots of the local zone."""
+        holders = {
+            record.host.name: record.host
+            for record in self.live_records(self.local_id.zone)
+            if record.heartbeat is None
+            or record.heartbeat.ready
+            or record.heartbeat.draining
         }
         if not self.settled:
-            for host in self.configured(self.own.zone):
-                shared.setdefault(host.name, host)
-        shared[self.own.name] = self.own
-        return tuple(sorted(shared.values()))
+            for host in self.configured(self.local_id.zone):
+                holders.setdefault(host.name, host)
+        holders[self.local_id.name] = self.local_id
+        return tuple(sorted(holders.values()))
 
     def is_live(self, host: HostId) -> bool:
-        """Tell whether this very incarnation is live."""
-        if host == self.own:
+        """Return whether this incarnation of a host is live."""
+        if host == self.local_id:
             return True
-        sighting = self.sightings.get(host.zone, host.name)
-        return bool(sighting and sighting.host == host and self._is_fresh(sighting))
+        record = self.liveness_table.get(host.zone, host.name)
+        return bool(record and record.host == host and self._is_live_record(record))
 
-    def current(self, zone: str, name: str) -> HostId | None:
-        """Return the latest incarnation known of a host, live or not."""
-        if (zone, name) == (self.own.zone, self.own.name):
-            return self.own
-        sighting = self.sightings.get(zone, name)
-        return sighting.host if sighting else None
+    def latest_incarnation(self, zone: str, name: str) -> HostId | None:
+        """Return the latest known incarnation of a host, live or not, or None."""
+        if (zone, name) == (self.local_id.zone, self.local_id.name):
+            return self.local_id
+        record = self.liveness_table.get(zone, name)
+        return record.host if record else None
 
     def owner_state(self, owner: HostId) -> OwnerState:
-        """Tell whether the owner of a submission can still answer for it."""
+        """Return whether the owner of a submission can still answer calls for it."""
         if self.is_live(owner):
             return OwnerState.LIVE
-        current = self.current(owner.zone, owner.name)
-        if current and current.incarnation > owner.incarnation:
+        latest = self.latest_incarnation(owner.zone, owner.name)
+        if latest and latest.incarnation > owner.incarnation:
             return OwnerState.GONE
-        sighting = self.sightings.get(owner.zone, owner.name)
-        last = sighting.last_at if sighting else self._awake_at
-        silence = self.now - max(last, self._awake_at)
-        # A whole zone that is cut off comes back with its hosts and their jobs.
-        reachable = owner.zone == self.own.zone or bool(self.fresh(owner.zone))
-        bound = max(GONE_AFTER, 2 * self.intervals.relayed_timeout)
-        if owner.zone == self.own.zone:
-            bound = GONE_AFTER
-        return OwnerState.GONE if silence >= bound and reachable else OwnerState.UNHEARD
-
-    def _is_fresh(self, one: Sighting) -> bool:
-        if one.last_at < self._awake_at:
+        record = self.liveness_table.get(owner.zone, owner.name)
+        last = record.last_at if record else self._valid_since
+        elapsed = self.now - max(last, self._valid_since)
+        # After a network partition a whole zone returns with its hosts and their jobs.
+        reachable = owner.zone == self.local_id.zone or bool(
+            self.live_records(owner.zone)
+        )
+        timeout = max(GONE_AFTER, 2 * self.intervals.relayed_timeout)
+        if owner.zone == self.local_id.zone:
+            timeout = GONE_AFTER
+        return (
+            OwnerState.GONE if elapsed >= timeout and reachable else OwnerState.UNHEARD
+        )
+
+    def _is_live_record(self, record: LivenessRecord) -> bool:
+        if record.last_at < self._valid_since:
             return False
-        if one.host.zone == self.own.zone:
-            return self.now - one.direct_at < self.intervals.sibling_timeout
+        if record.host.zone == self.local_id.zone:
+            return self.now - record.direct_at < self.intervals.sibling_timeout
         return (
-            self.now - one.direct_at < self.intervals.link_timeout
-            or self.now - one.linked_at < self.intervals.mention_timeout
-            or self.now - one.passed_at < self.intervals.relayed_timeout
+            self.now - record.direct_at < self.intervals.link_timeout
+            or self.now - record.linked_at < self.intervals.mention_timeout
+            or self.now - record.relayed_at < self.intervals.relayed_timeout
         )
--- a/jackdawspur/membership/_schedule.py
+++ b/jackdawspur/membership/_schedule.py
@@ -1,25 +1,25 @@
-"""When a host's heartbeats go out."""
+"""Schedule of the heartbeats of a host."""
 
 from dataclasses import dataclass
 
+from jackdawspur.membership._intervals import HeartbeatIntervals
 from jackdawspur.membership._limits import FULL_EVERY
-from jackdawspur.membership._pace import HeartbeatIntervals
 from jackdawspur.messages import Heartbeat
 from jackdawspur.model import UpstreamId
 
 __all__ = ["Due", "Schedule"]
 
-# News goes out at once, but not more often than this, in seconds.
+# Minimum interval of heartbeats that report a change of state at once, in seconds.
 URGENT_GAP = 0.05
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """Tell which rounds of heartbeats are due; full ones list hosts and usage."""
+    """Rounds of heartbeats that are due; full ones list hosts and usage."""
 
     pulse: bool
-    news: bool
+    state_change: bool
     links: bool
     full_links: bool
     relay: bool
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _News:
+class _UrgentState:
     ready: bool
     draining: bool
     version: int
@@ -36,7 +36,7 @@
 
 
 class Schedule:
-    """Keep the times of the last rounds."""
+    """Times of the last rounds of heartbeats."""
 
     def __init__(self) -> None:
         self._siblings_at = NEVER
@@ -44,25 +44,27 @@
         self._relay_at = NEVER
         self._links = 0
         self._relays = 0
-        self._news: _News | None = None
+        self._sent_state: _UrgentState | None = None
 
-    def due(self, own: Heartbeat, pace: HeartbeatIntervals, now: float) -> Due:
-        """Return the rounds to send now, and count them as sent."""
-        news = _News(
-            own.ready,
-            own.draining,
-            own.version,
-            own.bad_upstreams,
-            own.leaving_upstreams,
+    def due(
+        self, own_state: Heartbeat, intervals: HeartbeatIntervals, now: float
+    ) -> Due:
+        """Return the rounds to send now, and record them as sent."""
+        state = _UrgentState(
+            own_state.ready,
+            own_state.draining,
+            own_state.version,
+            own_state.bad_upstreams,
+            own_state.leaving_upstreams,
         )
-        urgent = news != self._news and now - self._siblings_at >= URGENT_GAP
-        relay = now - self._relay_at >= pace.relay
-        pulse = now - self._siblings_at >= pace.sibling
-        links = now - self._links_at >= pace.link
+        urgent = state != self._sent_state and now - self._siblings_at >= URGENT_GAP
+        relay = now - self._relay_at >= intervals.relay
+        pulse = now - self._siblings_at >= intervals.sibling
+        links = now - self._links_at >= intervals.link
         if urgent or relay or pulse:
             self._siblings_at = now
         if urgent or relay:
-            self._news = news
+            self._sent_state = state
         if links:
             self._links_at = now
             self._links += 1
@@ -71,18 +73,18 @@
             self._relays += 1
         return Due(
             pulse=pulse and not (urgent or relay),
-            news=urgent and not relay,
+            state_change=urgent and not relay,
             links=links,
             full_links=links and self._links % FULL_EVERY == 1,
             relay=relay,
             full_relay=relay and self._relays % FULL_EVERY == 1,
         )
 
-    def repeat_news(self) -> None:
-        """Tell siblings everything once more, as a newcomer has not heard it."""
-        self._news = None
+    def resend_state(self) -> None:
+        """Send the full state once more, for a host that has not received it."""
+        self._sent_state = None
 
     def reset(self) -> None:
-        """Make every round due at once."""
+        """Make all rounds due now."""
         self._siblings_at = self._links_at = self._relay_at = NEVER
         self._links = self._relays = 0
--- a/jackdawspur/membership/_view.py
+++ b/jackdawspur/membership/_view.py
@@ -1,15 +1,15 @@
-"""One host's view of the others."""
+"""View that one host has of the others."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
 from jackdawspur.external import ListedHost
 from jackdawspur.membership._heartbeat_sender import HeartbeatSender
-from jackdawspur.membership._leaving import Leaving
+from jackdawspur.membership._intervals import HeartbeatIntervals
+from jackdawspur.membership._leaving import LeavingUpstreams
 from jackdawspur.membership._liveness import OwnerState
 from jackdawspur.membership._members import Members
-from jackdawspur.membership._pace import HeartbeatIntervals
-from jackdawspur.membership._zones import Addressed, Reports, ZoneSummary
+from jackdawspur.membership._zones import OutgoingHeartbeat, ZoneReports, ZoneSummary
 from jackdawspur.messages import Heartbeat, Pulse
 from jackdawspur.model import ClusterSpec, HostId, UpstreamId
 
@@ -17,123 +17,133 @@
 
 
 class View:
-    """Tell which hosts live and which upstreams leave, as far as this host knows.
+    """Live hosts and leaving upstreams, as known to this host.
 
-    Answers hold for the latest time passed in.
+    Results refer to the latest time passed to any method.
     """
 
-    def __init__(self, own: HostId, now: float) -> None:
-        self._own = own
-        self._members = Members(own, now)
-        self._reports = Reports()
-        self._leaving = Leaving()
-        self._beats = HeartbeatSender(self._members, self._reports)
+    def __init__(self, local_id: HostId, now: float) -> None:
+        self._local_id = local_id
+        self._members = Members(local_id, now)
+        self._reports = ZoneReports()
+        self._leaving = LeavingUpstreams()
+        self._heartbeat_sender = HeartbeatSender(self._members, self._reports)
 
     @property
     def intervals(self) -> HeartbeatIntervals:
-        """Return the intervals of heartbeats in force."""
+        """Return the present intervals of heartbeats."""
         return self._members.intervals
 
     @property
     def settled(self) -> bool:
-        """Tell whether enough time passed since the start or a pause to trust it."""
+        """Return whether enough time has passed since the start or a pause."""
         return self._members.settled
 
-    def set_cluster_spec(self, world: ClusterSpec, now: float) -> None:
-        """Take the configured hosts into account."""
-        self._advance(now)
-        self._members.set_cluster_spec(world, now)
+    def set_cluster_spec(self, cluster_spec: ClusterSpec, now: float) -> None:
+        """Set the configured hosts."""
+        self._advance_clock(now)
+        self._members.set_cluster_spec(cluster_spec, now)
 
-    def record_heartbeat(self, beat: Heartbeat, now: float) -> None:
-        """Take a heartbeat in."""
-        self._advance(now)
-        was_live = self._members.is_live(beat.host)
-        if beat.host.same_host(self._own):
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        """Record a heartbeat."""
+        self._advance_clock(now)
+        was_live = self._members.is_live(heartbeat.host)
+        if heartbeat.host.same_host(self._local_id):
             return
-        if not self._members.sightings.hear(beat, now):
+        if not self._members.liveness_table.record_direct(heartbeat, now):
             return
-        linked = beat.host.zone != self._own.zone
+        linked = heartbeat.host.zone != self._local_id.zone
         if not linked:
-            self._leaving.told(beat.leaving_upstreams, now)
+            self._leaving.update_reported(heartbeat.leaving_upstreams, now)
             if not was_live:
-                # It started or was paused or cut off, and heard nothing from here.
-                self._beats.repeat_news()
-        self._hear_of_others(beat, linked, now)
+                # The host started, was paused or was partitioned, and so has not
+                # received the present state.
+                self._heartbeat_sender.resend_state()
+        self._process_reports(heartbeat, linked, now)
 
     def record_pulse(self, sender: HostId, pulse: Pulse, now: float) -> None:
-        """Take a sibling's sign of life in."""
-        self._advance(now)
-        if not sender.same_host(self._own):
-            self._members.sightings.hear_pulse(sender, pulse, now)
+        """Record a pulse of a host of the zone."""
+        self._advance_clock(now)
+        if not sender.same_host(self._local_id):
+            self._members.liveness_table.record_direct_pulse(sender, pulse, now)
 
     def record_host_list(self, hosts: Iterable[ListedHost], now: float) -> None:
-        """Take the platform's list in; it can add a leave, but not end a life."""
-        self._advance(now)
-        self._leaving.listed(hosts)
+        """Record the platform's list; it adds leaving upstreams, but removes no host."""
+        self._advance_clock(now)
+        self._leaving.update_host_list(hosts)
 
     def tick(self, now: float) -> None:
-        """Let time pass."""
-        self._advance(now)
+        """Advance the time, and drop expired reports."""
+        self._advance_clock(now)
         self._leaving.tick(now)
 
     def reset_after_pause(self, now: float, gap: float) -> bool:
-        """Drop beliefs after a pause; false when the gap was too short to matter.
+        """Ignore all signals from before a pause; return False if it was too short.
 
-        All peers count as unheard until their next heartbeat, and the host shares
-        as if every configured sibling lived until one silence has passed.
+        No peer counts as live until its next heartbeat. Until one timeout has passed,
+        slots are shared as if every configured host of the zone were live.
         """
-        self._advance(now)
-        paused = self._members.resumed(now, gap)
+        self._advance_clock(now)
+        paused = self._members.reset_after_pause(now, gap)
         if paused:
-            self._beats.reset()
+            self._heartbeat_sender.reset()
         return paused
 
     def live(self, zone: str) -> tuple[HostId, ...]:
-        """Return the live hosts of a zone, own included, in order."""
+        """Return the live hosts of a zone, including this one, sorted."""
         return self._members.live(zone)
 
     def siblings(self) -> tuple[HostId, ...]:
-        """Return the other live hosts of the own zone."""
-        return tuple(one.host for one in self._members.fresh(self._own.zone))
+        """Return the other live hosts of the local zone."""
+        return tuple(
+            record.host for record in self._members.live_records(self._local_id.zone)
+        )
 
     def peers(self) -> tuple[HostId, ...]:
-        """Return the live hosts of all zones but this host."""
+        """Return the live hosts of all zones, without this host."""
         zones = self._members.zones()
-        return tuple(one.host for zone in zones for one in self._members.fresh(zone))
+        return tuple(
+            record.host for zone in zones for record in self._members.live_records(zone)
+        )
 
     def slot_holders(self) -> tuple[HostId, ...]:
-        """Return the hosts among which the own zone's slots are divided."""
-        return self._members.sharers()
+        """Return the hosts that share the slots of the local zone."""
+        return self._members.slot_holders()
 
     def ready_hosts(self, zone: str) -> tuple[HostId, ...]:
-        """Return the live hosts of a zone, but not this one, that take new jobs."""
+        """Return the live hosts of a zone, without this one, that accept new jobs."""
         return tuple(
-            one.host
-            for one in self._members.fresh(zone)
-            if not one.draining and (one.beat is None or one.beat.ready)
+            record.host
+            for record in self._members.live_records(zone)
+            if not record.draining
+            and (record.heartbeat is None or record.heartbeat.ready)
         )
 
     def is_live(self, host: HostId) -> bool:
-        """Tell whether this very incarnation is live."""
+        """Return whether this incarnation of a host is live."""
         return self._members.is_live(host)
 
     def latest_incarnation(self, zone: str, name: str) -> HostId | None:
-        """Return the latest incarnation known of a host, live or not."""
-        return self._members.current(zone, name)
+        """Return the latest known incarnation of a host, live or not, or None."""
+        return self._members.latest_incarnation(zone, name)
 
     def owner_state(self, owner: HostId) -> OwnerState:
-        """Tell whether the owner of a submission can still answer for it."""
+        """Return whether the owner of a submission can still answer calls for it."""
         return self._members.owner_state(owner)
 
     def last_heartbeat(self, host: HostId) -> Heartbeat | None:
-        """Return the last state that this incarnation sent here itself."""
-        sighting = self._members.sightings.get(host.zone, host.name)
-        return sighting.beat if sighting and sighting.host == host else None
+        """Return the last heartbeat received from this incarnation, or None."""
+        record = self._members.liveness_table.get(host.zone, host.name)
+        return record.heartbeat if record and record.host == host else None
 
     def zone_summary(self, zone: str) -> ZoneSummary:
-        """Return what is known of a zone as a whole."""
-        own = zone == self._own.zone
-        latest = self._beats.own_summary() if own else self._reports.latest(zone)
+        """Return the summary of a zone."""
+        is_local = zone == self._local_id.zone
+        latest = (
+            self._heartbeat_sender.local_summary()
+            if is_local
+            else self._reports.latest(zone)
+        )
         return ZoneSummary(
             zone=zone,
             hosts=len(self.live(zone)),
@@ -141,63 +151,67 @@
             waiting_tasks=latest.waiting_tasks,
             version=latest.version,
             usage=latest.usage,
-            age=0.0 if own else self._members.now - self._reports.at(zone),
+            age=0.0 if is_local else self._members.now - self._reports.at(zone),
         )
 
     def unreachable_zones(self, now: float) -> tuple[str, ...]:
-        """Return the other configured zones that lately sent no sign of life."""
-        self._advance(now)
+        """Return the other configured zones without a recent signal."""
+        self._advance_clock(now)
         return tuple(
             zone
             for zone in self._members.zones()
-            if zone != self._own.zone and not self._is_reached(zone)
+            if zone != self._local_id.zone and not self._is_reachable(zone)
         )
 
     def is_upstream_leaving(self, upstream: UpstreamId) -> bool:
-        """Tell whether an upstream must get no new work because it leaves."""
+        """Return whether an upstream is leaving and must get no new tasks."""
         return self._leaving.contains(upstream)
 
     def mark_leaving(self, upstream: UpstreamId, now: float) -> None:
-        """Take an upstream's own word that it leaves: a refusal or its usage."""
-        self._leaving.note(upstream, now)
+        """Record that an upstream reported to be leaving, by a refusal or its usage."""
+        self._leaving.mark(upstream, now)
 
     def clear_leaving(self, upstream: UpstreamId, now: float) -> None:
-        """Take an upstream's usage that says it stays; usage may be stale."""
-        self._leaving.deny(upstream, now)
+        """Record that the usage of an upstream, possibly stale, reports it to stay."""
+        self._leaving.clear(upstream, now)
 
-    def heartbeats_due(self, own: Heartbeat, now: float) -> tuple[Addressed, ...]:
-        """Return the messages to send now, made from this host's own state.
+    def heartbeats_due(
+        self, own_state: Heartbeat, now: float
+    ) -> tuple[OutgoingHeartbeat, ...]:
+        """Return the heartbeats to send now, made from the state of this host.
 
-        `own` carries a growing sequence, load, usage, readiness and bad upstreams;
-        the rest is filled in.
+        `own_state` holds an increasing sequence, the load, usage, readiness and bad
+        upstreams; the other fields are filled in.
         """
-        self._advance(now)
-        leaving = self._leaving.to_pass_on()
-        state = replace(own, host=self._own, leaving_upstreams=leaving)
-        return self._beats.due(state, now)
+        self._advance_clock(now)
+        leaving = self._leaving.to_report()
+        state = replace(own_state, host=self._local_id, leaving_upstreams=leaving)
+        return self._heartbeat_sender.due(state, now)
 
-    def _advance(self, now: float) -> None:
+    def _advance_clock(self, now: float) -> None:
         self._members.now = max(self._members.now, now)
 
-    def _hear_of_others(self, beat: Heartbeat, linked: bool, now: float) -> None:
-        # A sibling's word on siblings, or a zone's on other zones, would go round
-        # and keep the dead alive: siblings speak for themselves, zones for their own.
-        trusted = _speaks_for(beat, linked, self._own.zone)
-        for seen in beat.seen:
-            if trusted(seen.host.zone):
-                self._members.sightings.hear_of(seen, linked, now)
-        for summary in beat.zones:
-            if trusted(summary.zone):
-                self._reports.take(summary, linked, beat.reports_usage, now)
-
-    def _is_reached(self, zone: str) -> bool:
-        pace, now = self.intervals, self._members.now
-        if self._reports.linked_since(zone, now - pace.link_timeout):
+    def _process_reports(self, heartbeat: Heartbeat, linked: bool, now: float) -> None:
+        # Hosts of the local zone report on other zones, and hosts of another zone on
+        # their zone only. Other reports would circulate and keep dead hosts alive.
+        is_authoritative = _authority_filter(heartbeat, linked, self._local_id.zone)
+        for seen in heartbeat.seen:
+            if is_authoritative(seen.host.zone):
+                self._members.liveness_table.record_reported(seen, linked, now)
+        for summary in heartbeat.zones:
+            if is_authoritative(summary.zone):
+                self._reports.update(summary, linked, heartbeat.reports_usage, now)
+
+    def _is_reachable(self, zone: str) -> bool:
+        intervals, now = self.intervals, self._members.now
+        if self._reports.linked_since(zone, now - intervals.link_timeout):
             return True
-        return self._reports.told_since(zone, now - pace.relay_timeout)
+        return self._reports.relayed_since(zone, now - intervals.relay_timeout)
 
 
-def _speaks_for(beat: Heartbeat, linked: bool, own_zone: str) -> Callable[[str], bool]:
+def _authority_filter(
+    heartbeat: Heartbeat, linked: bool, own_zone: str
+) -> Callable[[str], bool]:
     if linked:
-        return lambda zone: zone == beat.host.zone
+        return lambda zone: zone == heartbeat.host.zone
     return lambda zone: zone != own_zone
--- a/jackdawspur/membership/tests/conftest.py
+++ b/jackdawspur/membership/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A handful of views joined by messages on virtual time."""
+"""Fake network that connects the views of several hosts on virtual time."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 import pytest
 
 from jackdawspur.links import Envelope, encode
-from jackdawspur.membership import Addressed, View
+from jackdawspur.membership import OutgoingHeartbeat, View
 from jackdawspur.messages import CustomerUsage, Heartbeat, Pulse
 from jackdawspur.model import ClusterSpec, EntryHost, HostId
 
@@ -15,13 +15,16 @@
 
 
 @dataclass
-class Net:
-    """Deliver heartbeats one step later, but not over cuts or to the dead."""
+class FakeNetwork:
+    """Deliver heartbeats one step later, except across partitions or to paused hosts.
 
-    world: ClusterSpec
+    `partitioned` holds the zones that are partitioned from all others.
+    """
+
+    cluster_spec: ClusterSpec
     views: dict[HostId, View] = field(default_factory=dict)
     now: float = 0.0
-    cut: set[str] = field(default_factory=set)
+    partitioned: set[str] = field(default_factory=set)
     paused: set[HostId] = field(default_factory=set)
     bad: dict[HostId, tuple] = field(default_factory=dict)
     usage: tuple[CustomerUsage, ...] = ()
@@ -31,14 +34,14 @@
 
     def start(self, host):
         view = self.views[host] = View(host, self.now)
-        view.set_cluster_spec(self.world, self.now)
+        view.set_cluster_spec(self.cluster_spec, self.now)
         return view
 
     def run(self, seconds):
         for _ in range(round(seconds / STEP)):
             self.now += STEP
-            flights = [flight for host in self.views for flight in self._send(host)]
-            for sender, to, message in flights:
+            sent = [item for host in self.views for item in self._send(host)]
+            for sender, to, message in sent:
                 self._deliver(sender, to, message)
             for host in self.views.keys() - self.paused:
                 self.views[host].tick(self.now)
@@ -50,47 +53,50 @@
         state = Heartbeat(
             host, self.sequence, True, False, 7, 4, 2, 1.0, usage=self.usage
         )
-        for out in self.views[host].heartbeats_due(state, self.now):
-            self.sent[host] += _size(host, out)
-            yield host, out.to, out.message
+        for outgoing in self.views[host].heartbeats_due(state, self.now):
+            self.sent[host] += _size(host, outgoing)
+            yield host, outgoing.to, outgoing.message
 
     def _deliver(self, sender, to, message):
-        apart = sender.zone != to.zone and self.cut & {sender.zone, to.zone}
+        is_partitioned = sender.zone != to.zone and self.partitioned & {
+            sender.zone,
+            to.zone,
+        }
         for host in self.views.keys() - self.paused:
-            if apart or not host.same_host(to):
+            if is_partitioned or not host.same_host(to):
                 continue
-            self.received[host] += _size(sender, Addressed(to, message))
+            self.received[host] += _size(sender, OutgoingHeartbeat(to, message))
             if isinstance(message, Pulse):
                 self.views[host].record_pulse(sender, message, self.now)
             else:
                 self.views[host].record_heartbeat(message, self.now)
 
 
-def _size(sender, out):
-    return len(encode(Envelope(sender, out.to, 1000.5, out.message))) + PACKET
+def _size(sender, outgoing):
+    return len(encode(Envelope(sender, outgoing.to, 1000.5, outgoing.message))) + PACKET
 
 
 def build(zones, hosts):
-    """Return a net of zones of equal size, all hosts started."""
+    """Return a network of zones of equal size with all hosts started."""
     names = [
         (f"zone-{z:02}", f"entry-{h:02}") for z in range(zones) for h in range(hosts)
     ]
-    net = Net(
+    network = FakeNetwork(
         ClusterSpec(0, entry_hosts=tuple(EntryHost(*name, "", "") for name in names))
     )
     for name in names:
-        net.start(HostId(*name, 1))
-    return net
+        network.start(HostId(*name, 1))
+    return network
 
 
 @pytest.fixture
-def net():
-    """Return three zones of two hosts, after a first exchange."""
-    net = build(3, 2)
-    net.run(5)
-    return net
+def network():
+    """Return three zones of two hosts after they have exchanged heartbeats."""
+    network = build(3, 2)
+    network.run(5)
+    return network
 
 
 @pytest.fixture
-def hosts(net):
-    return list(net.views)
+def hosts(network):
+    return list(network.views)
