--- a/jackdawspur/ownership/__init__.py
+++ b/jackdawspur/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""At most once: issued ids, idempotency keys and remembered answers."""
+"""At-most-once execution by issued ids and idempotency keys."""
 
 from jackdawspur.ownership._claims import IDEMPOTENCY_KEY_TTL_S, IdempotencyKeyTable
 from jackdawspur.ownership._ids import IdIssuer, IdState
--- a/jackdawspur/ownership/_claims.py
+++ b/jackdawspur/ownership/_claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys of callers, bound to submissions by the log's order."""
+"""Idempotency keys of callers, bound to submissions in the order of the log."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -24,42 +24,43 @@
 
 
 class IdempotencyKeyTable:
-    """Fold claims in log order: the first claim of a key names its submission.
+    """Submission of each key, set by the first claim of the key in the log.
 
-    Every host folds the same records in the same order, so all agree on the owner,
-    also when two hosts claimed at once or one of them was paused meanwhile.
+    Every host applies the same records in the same order, so all agree on the owner,
+    even if two hosts claimed a key at once or one of them was paused in between.
     """
 
-    # A full table refuses new keys: forgetting one early would let its job run again.
+    # A full table refuses new keys: if a key were dropped early, its job could run
+    # again.
     @property
     def is_full(self) -> bool:
-        """Tell whether this host should claim no further keys."""
-        return len(self._bound) >= MAX_CLAIMS
+        """Return whether the table is full, so that no more keys may be claimed."""
+        return len(self._bindings) >= MAX_CLAIMS
 
     def __init__(self) -> None:
-        self._bound: OrderedDict[_KeyName, _Binding] = OrderedDict()
+        self._bindings: OrderedDict[_KeyName, _Binding] = OrderedDict()
 
     def apply_claim(
         self, customer: str, key: str, submission: SubmissionId, now: float
     ) -> SubmissionId:
-        """Return the submission that owns the key after this claim."""
+        """Apply a claim, and return the submission that owns the key."""
         self._drop_expired(now)
         name = _KeyName(customer, key)
-        binding = self._bound.get(name)
+        binding = self._bindings.get(name)
         if binding is None:
-            self._bound[name] = _Binding(submission, now + IDEMPOTENCY_KEY_TTL_S)
+            self._bindings[name] = _Binding(submission, now + IDEMPOTENCY_KEY_TTL_S)
             return submission
         return binding.submission
 
     def find(self, customer: str, key: str, now: float) -> SubmissionId | None:
-        """Return the submission that owns the key, if one is known."""
+        """Return the submission that owns the key, or None if none is known."""
         self._drop_expired(now)
-        binding = self._bound.get(_KeyName(customer, key))
+        binding = self._bindings.get(_KeyName(customer, key))
         return binding.submission if binding else None
 
     def _drop_expired(self, now: float) -> None:
-        while self._bound:
-            name, binding = next(iter(self._bound.items()))
+        while self._bindings:
+            name, binding = next(iter(self._bindings.items()))
             if binding.expires > now:
                 return
-            del self._bound[name]
+            del self._bindings[name]
--- a/jackdawspur/ownership/_ids.py
+++ b/jackdawspur/ownership/_ids.py
@@ -1,4 +1,4 @@
-"""Submission ids that an entry host hands out and accepts back."""
+"""Submission ids issued by an entry host for later use."""
 
 import enum
 from collections import OrderedDict
@@ -12,7 +12,7 @@
 
 
 class IdState(enum.Enum):
-    """Tell what this host knows of a submission id it is said to own."""
+    """State of a submission id at this host; `FOREIGN` if another host owns it."""
 
     UNUSED = "unused"
     SPENT = "spent"
@@ -20,40 +20,40 @@
 
 
 class IdIssuer:
-    """Number submissions and remember which issued ids are still unused.
+    """Create submission ids, and keep the issued ids that are still unused.
 
-    Only unused ids are kept. An id that is not among them was used, has expired or
-    was never issued, and must not run: so a forgotten job cannot run again.
+    An id that is not among the unused ones was used, has expired or was never issued,
+    and must not run. So a job whose answer is no longer stored cannot run again.
     """
 
-    def __init__(self, own: HostId) -> None:
-        self._own = own
+    def __init__(self, local_id: HostId) -> None:
+        self._local_id = local_id
         self._next = 1
-        self._unused: OrderedDict[SubmissionId, _Issue] = OrderedDict()
+        self._unused: OrderedDict[SubmissionId, _IssuedId] = OrderedDict()
 
     def new_id(self) -> SubmissionId:
-        """Return an id for a submission that starts now."""
-        submission = SubmissionId(self._own, self._next)
+        """Return an id for immediate use."""
+        submission = SubmissionId(self._local_id, self._next)
         self._next += 1
         return submission
 
     def issue(self, customer: str, count: int, now: float) -> tuple[SubmissionId, ...]:
-        """Return ids that the customer may use later, from any entry host."""
+        """Return ids that the customer may use later, through any entry host."""
         self._drop_expired(now)
         ids = tuple(self.new_id() for _ in range(count))
         for submission in ids:
-            self._unused[submission] = _Issue(customer, now + ISSUED_ID_LIFETIME_S)
+            self._unused[submission] = _IssuedId(customer, now + ISSUED_ID_LIFETIME_S)
         while len(self._unused) > MAX_ISSUED_IDS:
             self._unused.popitem(last=False)
         return ids
 
     def id_state(self, submission: SubmissionId, customer: str, now: float) -> IdState:
-        """Tell whether the customer may start a job under the id."""
-        if submission.owner != self._own:
+        """Return the state of an id for the customer; only `UNUSED` permits a start."""
+        if submission.owner != self._local_id:
             return IdState.FOREIGN
         self._drop_expired(now)
-        issue = self._unused.get(submission)
-        if issue is None or issue.customer != customer:
+        issued = self._unused.get(submission)
+        if issued is None or issued.customer != customer:
             return IdState.SPENT
         return IdState.UNUSED
 
@@ -63,13 +63,13 @@
 
     def _drop_expired(self, now: float) -> None:
         while self._unused:
-            submission, issue = next(iter(self._unused.items()))
-            if issue.expires > now:
+            submission, issued = next(iter(self._unused.items()))
+            if issued.expires > now:
                 return
             del self._unused[submission]
 
 
-class _Issue:
+class _IssuedId:
     __slots__ = ("customer", "expires")
 
     def __init__(self, customer: str, expires: float) -> None:
--- a/jackdawspur/sharing/__init__.py
+++ b/jackdawspur/sharing/__init__.py
@@ -1,22 +1,22 @@
-"""Divide the slots of a zone's upstreams among its entry hosts, and lend them."""
+"""Division of a zone's upstream slots among its entry hosts, and lending of slots."""
 
-from jackdawspur.sharing._borrowing import Ask, SlotDemand
+from jackdawspur.sharing._borrowing import OutgoingRequest, SlotDemand
 from jackdawspur.sharing._division import divide
 from jackdawspur.sharing._limits import (
-    LEND_MARGIN,
-    LEND_TERM,
-    LONGEST_HOLD,
+    LOAN_MARGIN,
+    LOAN_TERM,
+    MAX_LOAN_TIME,
 )
-from jackdawspur.sharing._loans import GiveBack, Lend
-from jackdawspur.sharing._table import SlotPool
+from jackdawspur.sharing._loans import OutgoingGrant, OutgoingReturn
+from jackdawspur.sharing._slot_pool import SlotPool
 
 __all__ = [
-    "Ask",
-    "GiveBack",
-    "LEND_MARGIN",
-    "LEND_TERM",
-    "LONGEST_HOLD",
-    "Lend",
+    "OutgoingRequest",
+    "OutgoingReturn",
+    "LOAN_MARGIN",
+    "LOAN_TERM",
+    "MAX_LOAN_TIME",
+    "OutgoingGrant",
     "SlotDemand",
     "SlotPool",
     "divide",
--- a/jackdawspur/sharing/_borrowing.py
+++ b/jackdawspur/sharing/_borrowing.py
@@ -1,4 +1,4 @@
-"""What one entry host borrowed from others, and whom it asked."""
+"""Slots borrowed from other entry hosts, and requests for them."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -6,25 +6,25 @@
 from jackdawspur.messages import SlotGrant, SlotRequest, SlotReturn
 from jackdawspur.model import HostId, UpstreamId
 from jackdawspur.sharing._limits import (
-    ASK_AGAIN,
     IDLE_BEFORE_RETURN,
-    LEND_TERM,
-    LONGEST_HOLD,
-    MORE_URGENT,
-    REPLY_WAIT,
+    LOAN_TERM,
+    MAX_LOAN_TIME,
+    REPEAT_REQUEST_AFTER,
+    REPLY_TIMEOUT,
+    URGENCY_MARGIN,
 )
-from jackdawspur.sharing._loans import GiveBack, listed
+from jackdawspur.sharing._loans import OutgoingReturn, sorted_slots
 
-__all__ = ["Ask", "Borrowing", "SlotDemand"]
+__all__ = ["OutgoingRequest", "Borrowing", "SlotDemand"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 
 LoanId = tuple[HostId, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Address a request for slots."""
+class OutgoingRequest:
+    """Request for slots to send to a host."""
 
     to: HostId
     request: SlotRequest
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotDemand:
-    """Say until when the most urgent job should start, and how many tasks it has.
+    """Latest start of the most urgent waiting job, and the number of its tasks.
 
-    `latest_start` in seconds on this host's clock.
+    `latest_start` is in seconds on the clock of this host.
     """
 
     latest_start: float = 0.0
@@ -42,21 +42,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Slot:
-    """Keep one borrowed slot that no task has used yet."""
+class _BorrowedSlot:
+    """Borrowed slot that no task has used yet."""
 
     loan: LoanId
     upstream: UpstreamId
     term_end: float
-    got_at: float
+    received_at: float
 
-    def ends(self, now: float) -> bool:
-        """Tell whether it must go back unused."""
-        return now >= self.term_end or now - self.got_at >= IDLE_BEFORE_RETURN
+    def must_return(self, now: float) -> bool:
+        """Return whether the slot must be returned unused."""
+        return now >= self.term_end or now - self.received_at >= IDLE_BEFORE_RETURN
 
 
 @dataclass(slots=True)
-class _Asked:
+class _SentRequest:
     at: float
     wanted: int
     urgent: int
@@ -64,136 +64,152 @@
 
 
 class Borrowing:
-    """Use each borrowed slot for one task, then give it back.
+    """Borrowed slots; each is used for a single task and then returned.
 
-    Kept longer, slots would run what is urgent here while the lender, or a third
-    host, has something more urgent.
+    If slots were kept longer, they would run local tasks even when the lender or a
+    third host has more urgent ones.
     """
 
     def __init__(self) -> None:
         self._next = 1
-        self._asked: dict[HostId, _Asked] = {}
+        self._sent_requests: dict[HostId, _SentRequest] = {}
         self._requests: dict[tuple[HostId, int], float] = {}
-        self._known: dict[LoanId, float] = {}
-        self._fresh: dict[UpstreamId, list[_Slot]] = {}
+        self._accepted_grants: dict[LoanId, float] = {}
+        self._idle: dict[UpstreamId, list[_BorrowedSlot]] = {}
         self._busy: dict[UpstreamId, list[LoanId]] = {}
-        self._done: dict[LoanId, Counter[UpstreamId]] = {}
+        self._to_return: dict[LoanId, Counter[UpstreamId]] = {}
         self._pruned_at = 0.0
 
-    def may_ask(self, host: HostId, wanted: int, need: SlotDemand, now: float) -> bool:
-        """Tell whether no recent request as large and as urgent is open there."""
-        asked = self._asked.get(host)
-        if asked is None or now - asked.at >= ASK_AGAIN or wanted > asked.wanted:
+    def should_request(
+        self, host: HostId, wanted: int, demand: SlotDemand, now: float
+    ) -> bool:
+        """Return whether no recent request to the host is as large and as urgent."""
+        sent = self._sent_requests.get(host)
+        if (
+            sent is None
+            or now - sent.at >= REPEAT_REQUEST_AFTER
+            or wanted > sent.wanted
+        ):
             return True
-        if need.tasks and asked.urgent <= 0:
+        if demand.tasks and sent.urgent <= 0:
             return True
-        return need.latest_start < asked.latest_start - MORE_URGENT
-
-    def awaited(self, now: float) -> int:
-        """Return how many slots may be on their way."""
-        recent = (one for one in self._asked.values() if now - one.at < REPLY_WAIT)
-        return sum(one.wanted for one in recent)
+        return demand.latest_start < sent.latest_start - URGENCY_MARGIN
+
+    def pending_slots(self, now: float) -> int:
+        """Return the number of slots requested lately and not granted yet."""
+        recent = (
+            request
+            for request in self._sent_requests.values()
+            if now - request.at < REPLY_TIMEOUT
+        )
+        return sum(request.wanted for request in recent)
 
-    def ask(self, host: HostId, wanted: int, need: SlotDemand, now: float) -> Ask:
-        """Ask a host for slots."""
+    def create_request(
+        self, host: HostId, wanted: int, demand: SlotDemand, now: float
+    ) -> OutgoingRequest:
+        """Create a request for slots to a host, and record it."""
         number = self._next
         self._next += 1
-        urgent = min(wanted, need.tasks)
-        self._asked[host] = _Asked(now, wanted, urgent, need.latest_start)
-        slack_ms = (need.latest_start - now) * MS
+        urgent = min(wanted, demand.tasks)
+        self._sent_requests[host] = _SentRequest(
+            now, wanted, urgent, demand.latest_start
+        )
+        slack_ms = (demand.latest_start - now) * MS_PER_S
         self._requests[host, number] = now
-        return Ask(host, SlotRequest(wanted, number, slack_ms, urgent))
+        return OutgoingRequest(host, SlotRequest(wanted, number, slack_ms, urgent))
 
     def accept(self, sender: HostId, grant: SlotGrant, now: float) -> bool:
-        """Take a grant; false when it is late or unknown, and must go back."""
+        """Accept a grant; return False if it must be returned as late or unknown."""
         loan_id = (sender, grant.grant)
-        if loan_id in self._known:
-            # A repeat: handing it back would free slots on which tasks run.
+        if loan_id in self._accepted_grants:
+            # A repeated grant: returning it would free slots on which tasks run.
             return True
         asked_at = self._requests.get((sender, grant.request))
         if asked_at is None:
             return False
-        self._known[loan_id] = now
-        # The term counts from the request, which is before the lender granted, so
-        # a grant that was long on its way, or read after a pause, ends in time.
-        term_end = asked_at + grant.term_ms / MS
+        self._accepted_grants[loan_id] = now
+        # The term counts from the request, which precedes the grant by the lender. So a
+        # grant that was delayed, or read after a pause, ends in time.
+        term_end = asked_at + grant.term_ms / MS_PER_S
         for item in grant.slots:
-            slot = _Slot(loan_id, item.upstream, term_end, now)
-            self._fresh.setdefault(item.upstream, []).extend([slot] * item.slots)
-        self._answered(sender, sum(item.slots for item in grant.slots))
+            slot = _BorrowedSlot(loan_id, item.upstream, term_end, now)
+            self._idle.setdefault(item.upstream, []).extend([slot] * item.slots)
+        self._count_granted(sender, sum(item.slots for item in grant.slots))
         return True
 
     def usable(self, now: float) -> dict[UpstreamId, int]:
-        """Return borrowed slots on which a start may be sent now."""
+        """Return the borrowed slots that may be used for a start now."""
         return {
             upstream: sum(now < slot.term_end for slot in slots)
-            for upstream, slots in self._fresh.items()
+            for upstream, slots in self._idle.items()
         }
 
-    def take(self, upstream: UpstreamId, now: float) -> bool:
-        """Use a borrowed slot, if there is one."""
-        slots = self._fresh.get(upstream, [])
-        for place, slot in enumerate(slots):
+    def acquire(self, upstream: UpstreamId, now: float) -> bool:
+        """Acquire a borrowed slot, and return whether there was one."""
+        slots = self._idle.get(upstream, [])
+        for index, slot in enumerate(slots):
             if now < slot.term_end:
-                del slots[place]
+                del slots[index]
                 self._busy.setdefault(upstream, []).append(slot.loan)
                 return True
         return False
 
     def release(self, upstream: UpstreamId) -> bool:
-        """Let go of a borrowed slot whose task ended, if there is one."""
+        """Release a borrowed slot whose task ended; return whether there was one."""
         loans = self._busy.get(upstream)
         if not loans:
             return False
-        self._give(loans.pop(), upstream)
+        self._queue_return(loans.pop(), upstream)
         return True
 
-    def give_back(self, now: float, waiting: bool) -> tuple[GiveBack, ...]:
-        """Return used slots, and unused ones that nobody needs here."""
-        if self._fresh:
-            self._give_unused(now, waiting)
-        if not self._done:
+    def take_returns(self, now: float, waiting: bool) -> tuple[OutgoingReturn, ...]:
+        """Return the messages that give back used slots and idle ones not needed."""
+        if self._idle:
+            self._return_idle(now, waiting)
+        if not self._to_return:
             return ()
-        done, self._done = self._done, {}
+        to_return, self._to_return = self._to_return, {}
         self._prune(now)
         return tuple(
-            GiveBack(lender, SlotReturn(number, listed(slots)))
-            for (lender, number), slots in done.items()
+            OutgoingReturn(lender, SlotReturn(number, sorted_slots(slots)))
+            for (lender, number), slots in to_return.items()
         )
 
-    def _give_unused(self, now: float, waiting: bool) -> None:
-        kept: dict[UpstreamId, list[_Slot]] = {}
-        for upstream, slots in self._fresh.items():
+    def _return_idle(self, now: float, waiting: bool) -> None:
+        kept: dict[UpstreamId, list[_BorrowedSlot]] = {}
+        for upstream, slots in self._idle.items():
             for slot in slots:
-                if waiting and not slot.ends(now):
+                if waiting and not slot.must_return(now):
                     kept.setdefault(upstream, []).append(slot)
                 else:
-                    self._give(slot.loan, upstream)
-        self._fresh = kept
+                    self._queue_return(slot.loan, upstream)
+        self._idle = kept
 
-    def _give(self, loan: LoanId, upstream: UpstreamId) -> None:
-        self._done.setdefault(loan, Counter())[upstream] += 1
+    def _queue_return(self, loan: LoanId, upstream: UpstreamId) -> None:
+        self._to_return.setdefault(loan, Counter())[upstream] += 1
 
-    def forget_asked(self) -> None:
-        """Treat every host as not asked, once nothing waits any more."""
-        self._asked.clear()
+    def clear_requests(self) -> None:
+        """Drop all sent requests, as no task waits any more."""
+        self._sent_requests.clear()
 
-    def _answered(self, sender: HostId, slots: int) -> None:
-        asked = self._asked.get(sender)
-        if asked is not None:
-            asked.wanted -= slots
-            asked.urgent -= slots
-            if asked.wanted <= 0:
-                del self._asked[sender]
+    def _count_granted(self, sender: HostId, slots: int) -> None:
+        sent = self._sent_requests.get(sender)
+        if sent is not None:
+            sent.wanted -= slots
+            sent.urgent -= slots
+            if sent.wanted <= 0:
+                del self._sent_requests[sender]
 
     def _prune(self, now: float) -> None:
-        if now - self._pruned_at < LEND_TERM:
+        if now - self._pruned_at < LOAN_TERM:
             return
         self._pruned_at = now
         self._requests = {
-            key: at for key, at in self._requests.items() if now - at < LEND_TERM
+            key: at for key, at in self._requests.items() if now - at < LOAN_TERM
         }
-        # The lender has taken back what is older, so a repeat can do no harm.
-        self._known = {
-            key: at for key, at in self._known.items() if now - at < LONGEST_HOLD
+        # The lender has reclaimed the slots of older grants, so a repeat is harmless.
+        self._accepted_grants = {
+            key: at
+            for key, at in self._accepted_grants.items()
+            if now - at < MAX_LOAN_TIME
         }
--- a/jackdawspur/sharing/_division.py
+++ b/jackdawspur/sharing/_division.py
@@ -1,4 +1,4 @@
-"""The division of slots that every host computes alike from the same view."""
+"""Division of slots among hosts; all hosts with the same view get the same result."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,30 +10,31 @@
 def divide(
     upstreams: Iterable[Upstream], hosts: Iterable[HostId]
 ) -> Mapping[HostId, Mapping[UpstreamId, int]]:
-    """Return the slots each host holds of each upstream.
+    """Return the number of slots of each upstream that each host holds.
 
-    Every slot has one holder; shares of an upstream, and totals, differ by one at
-    most. Incarnations do not matter, so a restarted host gets the same slots.
+    Every slot has one holder. The shares of an upstream differ by at most one, and so
+    do the totals. The incarnation is ignored, so a restarted host gets the same slots.
     """
     members = sorted(set(hosts))
     shares: dict[HostId, dict[UpstreamId, int]] = {host: {} for host in members}
     if not members:
         return shares
     totals = dict.fromkeys(members, 0)
-    for upstream in sorted(upstreams, key=lambda one: one.id):
+    for upstream in sorted(upstreams, key=lambda entry: entry.id):
         each, rest = divmod(upstream.slots, len(members))
-        favoured = _favoured(upstream.id, totals, rest)
+        with_extra_slot = _hosts_with_extra_slot(upstream.id, totals, rest)
         for host in members:
-            count = each + (host in favoured)
+            count = each + (host in with_extra_slot)
             shares[host][upstream.id] = count
             totals[host] += count
     return shares
 
 
-def _favoured(
+def _hosts_with_extra_slot(
     upstream: UpstreamId, totals: Mapping[HostId, int], rest: int
 ) -> set[HostId]:
-    # The least total goes first: by hash alone one host could stay short by chance.
+    # Hosts with the lowest totals come first; by the hash alone, one host could get
+    # fewer slots than the others by chance.
     order = sorted(
         totals,
         key=lambda host: (totals[host], rendezvous_hash(str(upstream), host.name)),
--- a/jackdawspur/sharing/_limits.py
+++ b/jackdawspur/sharing/_limits.py
@@ -1,34 +1,34 @@
-"""Named limits of sharing and lending; times in seconds."""
+"""Constants of sharing and lending; times in seconds."""
 
 __all__ = [
-    "ASK_AGAIN",
-    "FIRST_BACK_OFF",
+    "REPEAT_REQUEST_AFTER",
+    "MIN_BACKOFF",
     "IDLE_BEFORE_RETURN",
-    "LEND_MARGIN",
-    "LEND_TERM",
-    "LONGEST_BACK_OFF",
-    "LONGEST_HOLD",
-    "MORE_URGENT",
-    "REPLY_WAIT",
-    "REQUEST_LIFE",
+    "LOAN_MARGIN",
+    "LOAN_TERM",
+    "MAX_BACKOFF",
+    "MAX_LOAN_TIME",
+    "URGENCY_MARGIN",
+    "REPLY_TIMEOUT",
+    "REQUEST_TTL",
 ]
 
-# A borrower starts tasks on lent slots for this long after it asked.
-LEND_TERM = 0.5
-# Covers a start sent in the last moment of the term that is still on its way.
-LEND_MARGIN = 0.25
-# Bounds how long a lender waits for slots whose return was lost; a task that runs
-# longer on a lent slot may then meet a refusal, never a second start.
-LONGEST_HOLD = 30.0
-# A host is not asked again for as much before this.
-ASK_AGAIN = 0.2
-# What a request lacks is granted for so long, as slots become idle.
-REQUEST_LIFE = 0.2
-# A task this much more urgent than those asked for is worth another request.
-MORE_URGENT = 0.02
-# Slots asked for count as on their way for this long.
-REPLY_WAIT = 0.003
-# Lent slots that the tasks waiting here can't use go back after this.
+# A borrower may start tasks on lent slots for this long after its request.
+LOAN_TERM = 0.5
+# Allowance for a start that was sent at the end of the term and is still in transit.
+LOAN_MARGIN = 0.25
+# Maximum time until a lender reclaims slots whose return was lost. If a task runs for
+# longer on a lent slot, a start on that slot may be refused; no task starts twice.
+MAX_LOAN_TIME = 30.0
+# Minimum interval of requests to the same host for as many slots.
+REPEAT_REQUEST_AFTER = 0.2
+# How long the rest of a partly granted request can be granted, as slots become idle.
+REQUEST_TTL = 0.2
+# Another request is sent early for a task that is this much more urgent.
+URGENCY_MARGIN = 0.02
+# How long requested slots count as pending.
+REPLY_TIMEOUT = 0.003
+# Borrowed slots that waiting tasks can't use are returned after this.
 IDLE_BEFORE_RETURN = 0.02
-FIRST_BACK_OFF = 0.05
-LONGEST_BACK_OFF = 0.8
+MIN_BACKOFF = 0.05
+MAX_BACKOFF = 0.8
--- a/jackdawspur/sharing/_loans.py
+++ b/jackdawspur/sharing/_loans.py
@@ -1,4 +1,4 @@
-"""Slots lent to and borrowed from other entry hosts."""
+"""Slots lent to other entry hosts."""
 
 from collections import Counter
 from collections.abc import Collection
@@ -6,24 +6,24 @@
 
 from jackdawspur.messages import SlotGrant, SlotRequest, SlotReturn, UpstreamSlots
 from jackdawspur.model import HostId, UpstreamId
-from jackdawspur.sharing._limits import LEND_MARGIN, LEND_TERM, LONGEST_HOLD
+from jackdawspur.sharing._limits import LOAN_MARGIN, LOAN_TERM, MAX_LOAN_TIME
 
-__all__ = ["GiveBack", "Lend", "Lending", "listed"]
+__all__ = ["OutgoingReturn", "OutgoingGrant", "Lending", "sorted_slots"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Lend:
-    """Address a grant of slots."""
+class OutgoingGrant:
+    """Grant of slots to send to a host."""
 
     to: HostId
     grant: SlotGrant
 
 
 @dataclass(frozen=True, slots=True)
-class GiveBack:
-    """Address a return of slots."""
+class OutgoingReturn:
+    """Return of slots to send to a host."""
 
     to: HostId
     message: SlotReturn
@@ -38,54 +38,58 @@
 
 
 class Lending:
-    """Keep what this host lent; it uses none of it until it is back."""
+    """Slots lent by this host, which does not use them until they are returned."""
 
     def __init__(self) -> None:
         self._next = 1
         self._grants: dict[int, _Lent] = {}
-        self.out: Counter[UpstreamId] = Counter()
+        self.lent_slots: Counter[UpstreamId] = Counter()
 
     def grant(
         self, to: HostId, request: SlotRequest, slots: Counter[UpstreamId], now: float
     ) -> SlotGrant:
-        """Lend the slots for one term."""
+        """Lend the slots for one term, and return the grant."""
         number = self._next
         self._next += 1
-        term_end = now + LEND_TERM + LEND_MARGIN
-        self._grants[number] = _Lent(to, +slots, now + LONGEST_HOLD, term_end)
-        self.out += slots
-        return SlotGrant(number, LEND_TERM * MS, listed(slots), request.number)
-
-    def returned(self, sender: HostId, message: SlotReturn) -> Counter[UpstreamId]:
-        """Take slots back and return them; no more than is still lent."""
-        back: Counter[UpstreamId] = Counter()
+        term_end = now + LOAN_TERM + LOAN_MARGIN
+        self._grants[number] = _Lent(to, +slots, now + MAX_LOAN_TIME, term_end)
+        self.lent_slots += slots
+        return SlotGrant(
+            number, LOAN_TERM * MS_PER_S, sorted_slots(slots), request.number
+        )
+
+    def accept_return(self, sender: HostId, message: SlotReturn) -> Counter[UpstreamId]:
+        """Accept a return of slots, and return those of them that were still lent."""
+        returned: Counter[UpstreamId] = Counter()
         lent = self._grants.get(message.grant)
         if lent is None or lent.borrower != sender:
-            return back
+            return returned
         for item in message.slots:
             count = max(0, min(item.slots, lent.slots[item.upstream]))
             lent.slots[item.upstream] -= count
-            back[item.upstream] += count
+            returned[item.upstream] += count
         lent.slots = +lent.slots
-        self.out -= back
+        self.lent_slots -= returned
         if not lent.slots:
             del self._grants[message.grant]
-        return back
+        return returned
 
-    def expire(self, members: Collection[HostId], now: float) -> Counter[UpstreamId]:
-        """Take back and return what a dead borrower or a lost return would keep."""
-        back: Counter[UpstreamId] = Counter()
+    def reclaim_expired(
+        self, members: Collection[HostId], now: float
+    ) -> Counter[UpstreamId]:
+        """Reclaim and return the slots of dead borrowers and of lost returns."""
+        returned: Counter[UpstreamId] = Counter()
         for number, lent in list(self._grants.items()):
-            # A borrower that only paused starts nothing after its term, so slots
-            # of one that fell out of the view are safe once the term has passed.
+            # A borrower that was only paused starts no task after its term. So the
+            # slots of a borrower that is no longer live can be reused after the term.
             dead = lent.borrower not in members and now >= lent.term_end
             if dead or now >= lent.reclaim_at:
-                back += lent.slots
+                returned += lent.slots
                 del self._grants[number]
-        self.out -= back
-        return back
+        self.lent_slots -= returned
+        return returned
 
 
-def listed(slots: Counter[UpstreamId]) -> tuple[UpstreamSlots, ...]:
+def sorted_slots(slots: Counter[UpstreamId]) -> tuple[UpstreamSlots, ...]:
     """Return the slots in the order of their upstreams."""
     return tuple(UpstreamSlots(*item) for item in sorted((+slots).items()))
--- a/jackdawspur/sharing/_requests.py
+++ b/jackdawspur/sharing/_requests.py
@@ -1,66 +1,66 @@
-"""Requests for slots that other hosts have open here."""
+"""Pending requests of other hosts for slots."""
 
 from dataclasses import dataclass
 
 from jackdawspur.messages import SlotRequest
 from jackdawspur.model import HostId
-from jackdawspur.sharing._limits import REQUEST_LIFE
+from jackdawspur.sharing._limits import REQUEST_TTL
 
-__all__ = ["OpenRequest", "Requests"]
+__all__ = ["PendingRequest", "PendingRequests"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 @dataclass(slots=True)
-class OpenRequest:
-    """Keep what a host still lacks; `latest_start` by this host's clock."""
+class PendingRequest:
+    """Rest of a request for slots; `latest_start` is on the clock of this host."""
 
     sender: HostId
     request: SlotRequest
     wanted: int
     urgent: int
     latest_start: float
-    until: float
+    expires_at: float
 
-    def granted(self, count: int) -> None:
-        """Count slots off, those for the most urgent job first."""
+    def count_granted(self, count: int) -> None:
+        """Subtract granted slots, first from those for the most urgent job."""
         self.wanted -= count
         self.urgent = max(0, self.urgent - count)
 
 
-class Requests:
-    """Keep the latest request of each host for a short while."""
+class PendingRequests:
+    """Latest request of each host, until it expires."""
 
     def __init__(self) -> None:
-        self._open: dict[HostId, OpenRequest] = {}
+        self._pending: dict[HostId, PendingRequest] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._open)
+        return bool(self._pending)
 
-    def take(self, sender: HostId, request: SlotRequest, now: float) -> None:
-        """Note a request, unless a newer one of its sender came before."""
-        known = self._open.get(sender)
+    def add(self, sender: HostId, request: SlotRequest, now: float) -> None:
+        """Add a request, unless a newer one of its sender is pending."""
+        known = self._pending.get(sender)
         if known is not None and known.request.number >= request.number:
             return
-        latest_start = now + request.slack_ms / MS
-        self._open[sender] = OpenRequest(
+        latest_start = now + request.slack_ms / MS_PER_S
+        self._pending[sender] = PendingRequest(
             sender,
             request,
             request.wanted,
             request.urgent,
             latest_start,
-            now + REQUEST_LIFE,
+            now + REQUEST_TTL,
         )
 
-    def by_urgency(self, now: float) -> list[OpenRequest]:
-        """Return the open requests, the most urgent first."""
-        self._open = {
-            sender: one
-            for sender, one in self._open.items()
-            if now < one.until and one.wanted > 0
+    def by_urgency(self, now: float) -> list[PendingRequest]:
+        """Return the pending requests, the most urgent first."""
+        self._pending = {
+            sender: pending
+            for sender, pending in self._pending.items()
+            if now < pending.expires_at and pending.wanted > 0
         }
-        return sorted(self._open.values(), key=_urgency)
+        return sorted(self._pending.values(), key=_urgency)
 
 
-def _urgency(one: OpenRequest) -> tuple[bool, float, HostId]:
-    return one.urgent == 0, one.latest_start, one.sender
+def _urgency(pending: PendingRequest) -> tuple[bool, float, HostId]:
+    return pending.urgent == 0, pending.latest_start, pending.sender
