--- a/jackdawspur/sharing/_borrowing.py
+++ b/jackdawspur/sharing/_borrowing.py
@@ -73,7 +73,7 @@
     def __init__(self) -> None:
         self._next = 1
         self._sent_requests: dict[HostId, _SentRequest] = {}
-        self._requests: dict[tuple[HostId, int], float] = {}
+        self._request_times: dict[tuple[HostId, int], float] = {}
         self._accepted_grants: dict[LoanId, float] = {}
         self._idle: dict[UpstreamId, list[_BorrowedSlot]] = {}
         self._busy: dict[UpstreamId, list[LoanId]] = {}
@@ -115,7 +115,7 @@
             now, wanted, urgent, demand.latest_start
         )
         slack_ms = (demand.latest_start - now) * MS_PER_S
-        self._requests[host, number] = now
+        self._request_times[host, number] = now
         return OutgoingRequest(host, SlotRequest(wanted, number, slack_ms, urgent))
 
     def accept(self, sender: HostId, grant: SlotGrant, now: float) -> bool:
@@ -124,7 +124,7 @@
         if loan_id in self._accepted_grants:
             # A repeated grant: returning it would free slots on which tasks run.
             return True
-        asked_at = self._requests.get((sender, grant.request))
+        asked_at = self._request_times.get((sender, grant.request))
         if asked_at is None:
             return False
         self._accepted_grants[loan_id] = now
@@ -204,8 +204,8 @@
         if now - self._pruned_at < LOAN_TERM:
             return
         self._pruned_at = now
-        self._requests = {
-            key: at for key, at in self._requests.items() if now - at < LOAN_TERM
+        self._request_times = {
+            key: at for key, at in self._request_times.items() if now - at < LOAN_TERM
         }
         # The lender has reclaimed the slots of older grants, so a repeat is harmless.
         self._accepted_grants = {
