--- a/jackdawspur/dispatch/_events.py
+++ b/jackdawspur/dispatch/_events.py
@@ -197,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed."""
+    """Periodic event that advances the time."""
 
 
 Event = (
--- a/jackdawspur/dispatch/_forward.py
+++ b/jackdawspur/dispatch/_forward.py
@@ -98,7 +98,7 @@
 
 
 def open_remote_call(state: State, host: HostId, call: int) -> int | None:
-    """Return a local call for a call of a peer, or None if one is open already."""
+    """Return a local call for a call of a peer, or None if it is open already."""
     remote = RemoteCall(host, call)
     if remote in state.remote_calls.values():
         return None
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -154,7 +154,7 @@
         self._effects.append(effect)
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects since the last call."""
+        """Return the effects added since the last call."""
         effects, self._effects = self._effects, []
         return effects
 
--- a/jackdawspur/dispatch/tests/__init__.py
+++ b/jackdawspur/dispatch/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions of one entry host."""
+"""Tests of the dispatch logic of one entry host."""
--- a/jackdawspur/membership/_heartbeat_sender.py
+++ b/jackdawspur/membership/_heartbeat_sender.py
@@ -18,7 +18,7 @@
 
 
 class HeartbeatSender:
-    """Compose the heartbeats of one host."""
+    """Compose and address the heartbeats of one host."""
 
     def __init__(self, members: Members, reports: ZoneReports) -> None:
         self._members = members
--- a/jackdawspur/membership/_members.py
+++ b/jackdawspur/membership/_members.py
@@ -46,7 +46,7 @@
             self._settled_at = now + self.intervals.sibling_timeout
 
     def reset_after_pause(self, now: float, gap: float) -> bool:
-        """Ignore all signals from before a pause; return False if it was too short."""
+        """Ignore signals from before a pause; return False if it was negligible."""
         if gap < RESUME_GAP:
             return False
         self._valid_since = now
--- a/jackdawspur/membership/_view.py
+++ b/jackdawspur/membership/_view.py
@@ -78,7 +78,7 @@
         self._leaving.tick(now)
 
     def reset_after_pause(self, now: float, gap: float) -> bool:
-        """Ignore all signals from before a pause; return False if it was too short.
+        """Ignore signals from before a pause; return False if it was negligible.
 
         No peer counts as live until its next heartbeat. Until one timeout has passed,
         slots are shared as if every configured host of the zone were live.
--- a/jackdawspur/sharing/_slot_pool.py
+++ b/jackdawspur/sharing/_slot_pool.py
@@ -45,8 +45,8 @@
         self._running: Counter[UpstreamId] = Counter()
         # Tasks on own slots; the rest of `_running` is on borrowed ones.
         self._running_on_own: Counter[UpstreamId] = Counter()
-        # Own slots that are neither lent nor used; negative where the share became
-        # smaller than the number of running tasks.
+        # Own slots that are neither lent nor used, updated on each change; negative
+        # where the share became smaller than the number of running tasks.
         self._own_free: dict[UpstreamId, int] = {}
         self._busy = 0
         self._rack_running: Counter[str] = Counter()
--- a/jackdawspur/sharing/tests/trial.py
+++ b/jackdawspur/sharing/tests/trial.py
@@ -64,7 +64,7 @@
 
 
 class Trial:
-    """Run two hosts that share eight upstreams of eight slots."""
+    """Simulation of two hosts that share eight upstreams of eight slots."""
 
     def __init__(
         self, policy: Policy, load: float, seed: int, skew: float = 0.5
