--- a/jackdawspur/adapters/__init__.py
+++ b/jackdawspur/adapters/__init__.py
@@ -1,9 +1,9 @@
-"""Adapters between the decisions and everything that talks."""
+"""Adapters between the core logic and the network."""
 
 import lazy_loader
 
-# A host imports the modules that it uses: all of them cost its start a fifth of a
-# second more, and a zone that lost power waits for its hosts.
+# Lazy, so that a host imports only the modules it uses: importing all of them delays
+# its start by a fifth of a second, and a zone that lost power waits for its hosts.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
--- a/jackdawspur/adapters/_client_sockets.py
+++ b/jackdawspur/adapters/_client_sockets.py
@@ -1,4 +1,4 @@
-"""The loop's events of all client sockets, passed on to what owns each."""
+"""Client sockets of an event loop; poller events are passed to their owners."""
 
 from abc import ABC, abstractmethod
 from socket import IPPROTO_TCP, TCP_NODELAY, socket
@@ -11,44 +11,44 @@
 
 
 class SocketOwner(ABC):
-    """Hear what the poller says of a socket."""
+    """Receiver of the poller events of a socket."""
 
     @abstractmethod
     def on_readable(self) -> None:
-        """Read what came."""
+        """Read the received bytes."""
 
     @abstractmethod
     def on_writable(self) -> None:
-        """Go on to write, or take note that a connect has ended."""
+        """Continue to write, or handle the end of a connection attempt."""
 
     @abstractmethod
     def on_hang_up(self) -> None:
-        """Take note that the other side is gone."""
+        """Handle a hang-up of the peer."""
 
 
 class ClientSockets(BaseComponent):
-    """Watch sockets for their owners.
+    """Watches the sockets of all connections for their owners.
 
-    With a component for each connection circuits forgets its table of handlers with
-    every new one, and then walks all components for every event of every connection: a
-    host that takes over 58 upstreams spent 0.15 s of processor on connecting to them,
-    one that takes over 116 upstreams 0.55 s.
+    With one component per connection, circuits discards its handler table with every
+    new connection, and then walks all components for every event of every connection:
+    connecting to the upstreams that a host takes over cost 0.15 s of processor time for
+    58 upstreams and 0.55 s for 116.
     """
 
     channel = "client-sockets"
 
     @classmethod
     def of(cls, component: BaseComponent) -> "ClientSockets":
-        """Return the one of a component's loop."""
+        """Return the instance of a component's loop; create it if there is none."""
         return findcmp(component.root, cls) or cls().register(component.root)
 
     def init(self) -> None:
-        """Start empty; circuits calls this with the constructor's arguments."""
+        """Initialize without sockets; circuits passes the constructor's arguments."""
         self._owners: dict[socket, SocketOwner] = {}
         self._poller: BasePoller | None = None
 
     def make(self, owner: SocketOwner) -> socket:
-        """Return a new socket whose owner hears of its events once it is watched."""
+        """Return a new socket; its owner receives its events once it is watched."""
         if self._poller is None:
             self._poller = findcmp(self.root, BasePoller)
         sock = socket()
@@ -58,21 +58,21 @@
         return sock
 
     def watch_reads(self, sock: socket) -> None:
-        """Tell the owner whenever there is something to read."""
+        """Notify the owner whenever the socket is readable."""
         self._poller.addReader(self, sock)
 
     def watch_writes(self, sock: socket) -> None:
-        """Tell the owner while the socket takes bytes, or once its connect ended."""
+        """Notify the owner while the socket is writable, or once its connect ended."""
         if not self._poller.isWriting(sock):
             self._poller.addWriter(self, sock)
 
     def ignore_writes(self, sock: socket) -> None:
-        """Tell the owner no more that the socket takes bytes."""
+        """Stop notifying the owner that the socket is writable."""
         if self._poller.isWriting(sock):
             self._poller.removeWriter(sock)
 
     def close(self, sock: socket) -> None:
-        """Close a socket; events of it that are on their way reach nobody."""
+        """Close a socket; its pending events are discarded."""
         if self._owners.pop(sock, None) is not None:
             self._poller.discard(sock)
             sock.close()
--- a/jackdawspur/adapters/_hostlist_http.py
+++ b/jackdawspur/adapters/_hostlist_http.py
@@ -1,4 +1,4 @@
-"""Read the platform's host list over HTTP/JSON."""
+"""Client of the platform's host list over HTTP/JSON."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from result import Result
 
 from jackdawspur.adapters._http_client import HttpClient
-from jackdawspur.adapters._json_reply import MS, reading, success
+from jackdawspur.adapters._json_reply import MS, reply_handler, success_body
 from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import HostList, ListedHost, PlatformError
 from jackdawspur.wire import HostsBody
@@ -17,7 +17,7 @@
 
 
 class HttpHostList(HostList):
-    """Ask for the whole list; `timeout_ms` bounds the wait."""
+    """Fetches the whole list within `timeout_ms`."""
 
     def __init__(
         self, client: HttpClient, timeout_ms: float = DEFAULT_TIMEOUT_MS
@@ -30,20 +30,20 @@
     def fetch(
         self, done: Callable[[Result[tuple[ListedHost, ...], PlatformError]], None]
     ) -> None:
-        """Report the hosts that the platform believes live or leaving."""
-        receive = reading("the host list", self._read_hosts, done)
+        """Report the hosts that the platform lists as live or leaving."""
+        receive = reply_handler("the host list", self._read_hosts, done)
         self._client.request("GET", "/v1/hosts", b"", self._timeout_s, receive)
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._client.close()
 
     def _read_hosts(self, reply: ClientResponse) -> tuple[ListedHost, ...]:
-        """Return the hosts; the same object while the list stays the same.
+        """Return the hosts; the same object as long as the list is unchanged.
 
-        Thousands of hosts are listed every second and hardly ever change.
+        The list has thousands of hosts, is read every second and hardly ever changes.
         """
-        body = success(reply)
+        body = success_body(reply)
         if body != self._last_body:
             self._last = _decode(body)
             self._last_body = body
--- a/jackdawspur/adapters/_http_client.py
+++ b/jackdawspur/adapters/_http_client.py
@@ -1,4 +1,4 @@
-"""A bounded pool of kept-alive HTTP connections to one address."""
+"""A bounded pool of persistent HTTP connections to one address."""
 
 from collections import deque
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpClientLimits:
-    """Bound a client: connections, waiting requests, seconds to connect."""
+    """Limits of a client."""
 
     max_connections: int = 8
     max_pending_requests: int = 1024
@@ -32,14 +32,14 @@
 class _Call:
     data: bytes
     done: Replied
-    deadline: TimerHandle | None = field(default=None)
+    timer: TimerHandle | None = field(default=None)
 
 
 class HttpClient(BaseComponent):
-    """Send requests to one address, each at most once.
+    """Sends requests to one address, each at most once.
 
-    A request ends in its reply, in `Unavailable` when no byte of it left this
-    host, or in `OutcomeUnknown`. After that nothing of it is sent or matched.
+    A request ends with its reply, with `Unavailable` if no byte of it was sent, or
+    with `OutcomeUnknown`. After its end it is neither sent nor matched to a reply.
     """
 
     channel = "http-client"
@@ -50,24 +50,24 @@
         timer_queue: TimerQueue,
         limits: HttpClientLimits | None = None,
     ) -> None:
-        """Connect to nothing yet; circuits passes the constructor's arguments."""
+        """Initialize without connections; circuits passes the arguments."""
         self._address = address
         self._timer_queue = timer_queue
         self._limits = limits or HttpClientLimits()
         self._connections: list[HttpConnection] = []
         self._waiting: deque[_Call] = deque()
         self._in_flight: dict[HttpConnection, _Call] = {}
-        self._host = f"{address[0]}:{address[1]}"
+        self._peer = f"{address[0]}:{address[1]}"
         self._closed = False
 
     @property
     def waiting(self) -> int:
-        """Return the number of requests not yet sent."""
+        """Return the number of requests that wait for a connection."""
         return len(self._waiting)
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests sent and not yet answered."""
+        """Return the number of requests sent without a reply so far."""
         return len(self._in_flight)
 
     def request(
@@ -79,83 +79,83 @@
         done: Replied,
         headers: Headers = (),
     ) -> None:
-        """Send one request; `done` is called once, never before this returns.
+        """Send a request; `done` is called once, and only after this method returns.
 
         Errors: `Unavailable`, `OutcomeUnknown`.
         """
         call = _Call(self._encode(method, path, body, headers), done)
         if self._closed or len(self._waiting) >= self._limits.max_pending_requests:
-            refusal = Unavailable(f"no room to ask {self._host}")
+            refusal = Unavailable(f"too many requests wait for {self._peer}")
             self._timer_queue.call_later(0.0, lambda: done(Err(refusal)))
             return
-        call.deadline = self._timer_queue.call_later(
-            timeout_s, lambda: self._late(call)
+        call.timer = self._timer_queue.call_later(
+            timeout_s, lambda: self._on_timeout(call)
         )
         self._waiting.append(call)
-        self._pump()
+        self._send_waiting()
 
     def connect_all(self) -> None:
-        """Connect in advance with all connections of the limit."""
+        """Open all connections up to the limit in advance."""
         while len(self._connections) < self._limits.max_connections:
             self._add_connection()
 
     def close(self) -> None:
-        """Drop all connections; what waits or is in flight ends in an error."""
+        """Close all connections; waiting and in-flight requests end with an error."""
         self._closed = True
         self._fail_waiting()
         for connection in self._connections:
             connection.abandon()
 
     def connection_ready(self, connection: HttpConnection) -> None:
-        """Use a connection that came to stand."""
-        self._pump()
+        """Send waiting requests on a new connection."""
+        self._send_waiting()
 
     def connection_failed(self, connection: HttpConnection) -> None:
-        """Fail what waits, unless another connection can still take it."""
+        """Fail the waiting requests unless another connection can still send them."""
         if not any(each.connected or each.connecting for each in self._connections):
             self._fail_waiting()
 
     def connection_lost(self, connection: HttpConnection) -> None:
-        """End the request in flight, or queue it again when nothing of it left.
+        """End the request in flight, or queue it again if no byte of it was sent.
 
-        A kept-alive connection that the peer closed is found out by the failed
-        send: the kernel then took no byte, so a second send can't be a double.
+        A persistent connection that the peer has closed shows by a failed send. The
+        kernel then accepted no byte, so sending again can't duplicate the request.
         """
         call = self._in_flight.pop(connection, None)
-        if call is not None and connection.left:
-            self._end(call, Err(OutcomeUnknown(f"{self._host} closed in mid-request")))
+        if call is not None and connection.any_byte_sent:
+            self._end(call, Err(OutcomeUnknown(f"{self._peer} closed in mid-request")))
         elif call is not None:
             self._waiting.appendleft(call)
-        self._pump()
+        self._send_waiting()
 
-    def replied(self, connection: HttpConnection, reply: ClientResponse) -> None:
-        """Hand the reply to the one request in flight on the connection."""
+    def reply_received(self, connection: HttpConnection, reply: ClientResponse) -> None:
+        """Pass the reply to the one request in flight on the connection."""
         call = self._in_flight.pop(connection)
-        self._pump()
+        self._send_waiting()
         self._end(call, Ok(reply))
 
     def _encode(self, method: str, path: str, body: bytes, headers: Headers) -> bytes:
         extra = "".join(f"{name}: {value}\r\n" for name, value in headers)
         head = (
-            f"{method} {path} HTTP/1.1\r\nHost: {self._host}\r\n{extra}"
+            f"{method} {path} HTTP/1.1\r\nHost: {self._peer}\r\n{extra}"
             f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         return head.encode() + body
 
-    def _pump(self) -> None:
+    def _send_waiting(self) -> None:
         for connection in self._connections:
             if not self._waiting:
                 return
             if connection.idle:
                 self._send(connection)
-        self._open_more()
+        self._open_connections()
 
     def _send(self, connection: HttpConnection) -> None:
         call = self._waiting.popleft()
         self._in_flight[connection] = call
         connection.send(call.data)
 
-    def _open_more(self) -> None:
+    def _open_connections(self) -> None:
         opening = sum(each.connecting for each in self._connections)
         for connection in self._connections:
             if opening >= len(self._waiting):
@@ -181,30 +181,30 @@
         self._connections.append(connection)
         connection.open()
 
-    def _late(self, call: _Call) -> None:
+    def _on_timeout(self, call: _Call) -> None:
         if call in self._waiting:
             self._waiting.remove(call)
-            self._end(call, Err(Unavailable(f"{self._host} took no request in time")))
+            self._end(call, Err(Unavailable(f"no connection to {self._peer} in time")))
             return
-        for connection, other in self._in_flight.items():
-            if other is call:
+        for connection, in_flight_call in self._in_flight.items():
+            if in_flight_call is call:
                 del self._in_flight[connection]
-                left = connection.left
+                any_byte_sent = connection.any_byte_sent
                 connection.abandon()
-                self._end(call, Err(_timeout(self._host, left)))
+                self._end(call, Err(_timeout_error(self._peer, any_byte_sent)))
                 return
 
     def _fail_waiting(self) -> None:
         calls, self._waiting = self._waiting, deque()
         for call in calls:
-            self._end(call, Err(Unavailable(f"can't connect to {self._host}")))
+            self._end(call, Err(Unavailable(f"can't connect to {self._peer}")))
 
     def _end(self, call: _Call, outcome: Result[ClientResponse, PlatformError]) -> None:
-        call.deadline.cancel()
+        call.timer.cancel()
         call.done(outcome)
 
 
-def _timeout(host: str, left: bool) -> PlatformError:
-    if left:
-        return OutcomeUnknown(f"{host} gave no reply in time")
-    return Unavailable(f"{host} took no byte in time")
+def _timeout_error(host: str, any_byte_sent: bool) -> PlatformError:
+    if any_byte_sent:
+        return OutcomeUnknown(f"{host} sent no reply in time")
+    return Unavailable(f"{host} accepted no byte in time")
--- a/jackdawspur/adapters/_json_reply.py
+++ b/jackdawspur/adapters/_json_reply.py
@@ -1,4 +1,4 @@
-"""Turn HTTP replies into typed results; nonsense becomes an error, never more."""
+"""Decoding of HTTP replies into typed results; malformed replies become errors."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -10,7 +10,7 @@
 from jackdawspur.external import OutcomeUnknown, PlatformError
 from jackdawspur.model import InvalidId
 
-__all__ = ["MS", "ForeignReply", "reading", "success"]
+__all__ = ["MS", "MalformedReply", "reply_handler", "success_body"]
 
 MS = 1000.0
 OK = 200
@@ -18,39 +18,39 @@
 T = TypeVar("T")
 
 
-class ForeignReply(PlatformError):
-    """Raise when a reply is not what the interface promises."""
+class MalformedReply(PlatformError):
+    """Raised when a reply does not conform to the interface."""
 
 
-def success(reply: ClientResponse) -> bytes:
-    """Return the body of a success; raise `ForeignReply`."""
+def success_body(reply: ClientResponse) -> bytes:
+    """Return the body of a reply; raise `MalformedReply` if its status isn't 200."""
     if reply.status != OK:
-        raise ForeignReply(f"HTTP status {reply.status}")
+        raise MalformedReply(f"HTTP status {reply.status}")
     return reply.body
 
 
-def reading(
+def reply_handler(
     peer: str,
-    read: Callable[[ClientResponse], T],
+    decode: Callable[[ClientResponse], T],
     done: Callable[[Result[T, PlatformError]], None],
 ) -> Callable[[Result[ClientResponse, PlatformError]], None]:
-    """Return a receiver of replies that passes on what `read` makes of them.
+    """Return a callback that decodes a reply and passes the result to `done`.
 
-    A reply that can't be read proves nothing, so it becomes `OutcomeUnknown`.
+    A malformed reply proves nothing of the outcome, so it becomes `OutcomeUnknown`.
     """
 
-    def receive(replied: Result[ClientResponse, PlatformError]) -> None:
-        done(replied.and_then(lambda reply: _read(peer, read, reply)))
+    def receive(result: Result[ClientResponse, PlatformError]) -> None:
+        done(result.and_then(lambda reply: _decode(peer, decode, reply)))
 
     return receive
 
 
-def _read(
-    peer: str, read: Callable[[ClientResponse], T], reply: ClientResponse
+def _decode(
+    peer: str, decode: Callable[[ClientResponse], T], reply: ClientResponse
 ) -> Result[T, PlatformError]:
     try:
-        return Ok(read(reply))
-    except (msgspec.MsgspecError, InvalidId, ForeignReply) as error:
-        return Err(OutcomeUnknown(f"{peer} sent a foreign reply: {error}"))
+        return Ok(decode(reply))
+    except (msgspec.MsgspecError, InvalidId, MalformedReply) as error:
+        return Err(OutcomeUnknown(f"{peer} sent a malformed reply: {error}"))
     except PlatformError as error:
         return Err(error)
--- a/jackdawspur/adapters/_links.py
+++ b/jackdawspur/adapters/_links.py
@@ -1,4 +1,4 @@
-"""Links between entry hosts over pynng, polled by the circuits loop."""
+"""Message links between entry hosts over pynng, polled by the circuits loop."""
 
 import logging
 from collections.abc import Callable
@@ -18,63 +18,63 @@
 MAX_MESSAGE_BYTES = 8_388_608
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 1000
-# These concern any run of the host; all others are for the one run they name.
-FOR_ANY_RUN = (Heartbeat, Pulse, RecordsWanted, RecordsPassed)
+# Accepted by any incarnation of a host; all others only by the one they name.
+ANY_INCARNATION_MESSAGES = (Heartbeat, Pulse, RecordsWanted, RecordsPassed)
 
 log = logging.getLogger(__name__)
 
 
 class Links(BaseComponent):
-    """Send messages to entry hosts and receive theirs, in bounded queues."""
+    """Sends messages to entry hosts and receives theirs, in bounded queues."""
 
     channel = "links"
 
     def __init__(
         self,
-        own: HostId,
+        local_id: HostId,
         bind: str,
         poller: BasePoller,
         deliver: Callable[[HostId, Message], None],
         bytes_sent: Callable[[int], None],
     ) -> None:
         super().__init__()
-        self._own = own
+        self._local_id = local_id
         self._deliver = deliver
         self._bytes_sent = bytes_sent
-        self._stale = StaleFilter()
+        self._stale_filter = StaleFilter()
         self._addresses: dict[str, str] = {}
-        self._out: dict[str, Outbox] = {}
-        self._in = Inbox(bind, poller, MAX_MESSAGE_BYTES, self._receive)
-        self._in.register(self)
+        self._outboxes: dict[str, Outbox] = {}
+        self._inbox = Inbox(bind, poller, MAX_MESSAGE_BYTES, self._receive)
+        self._inbox.register(self)
         self.dropped_messages = 0
 
     def set_peers(self, hosts: tuple[EntryHost, ...]) -> None:
-        """Dial the entry hosts of the configuration and leave those no longer in it."""
+        """Dial the entry hosts of the configuration and disconnect from any others."""
         wanted = {
-            _name(host.zone, host.name): host.link
+            _peer_name(host.zone, host.name): host.link
             for host in hosts
-            if (host.zone, host.name) != (self._own.zone, self._own.name)
+            if (host.zone, host.name) != (self._local_id.zone, self._local_id.name)
         }
         for name in [n for n, a in self._addresses.items() if wanted.get(n) != a]:
-            self._out.pop(name).close()
+            self._outboxes.pop(name).close()
             del self._addresses[name]
         for name, address in wanted.items():
-            if name not in self._out:
+            if name not in self._outboxes:
                 self._dial(name, address)
 
     def _dial(self, name: str, address: str) -> None:
-        self._out[name] = Outbox(
+        self._outboxes[name] = Outbox(
             address, SEND_QUEUE, RECONNECT_MIN_MS, RECONNECT_MAX_MS
         )
         self._addresses[name] = address
 
     def send(self, to: HostId, message: Message) -> bool:
-        """Queue a message; False when the peer is unknown or its queue is full."""
-        outbox = self._out.get(_name(to.zone, to.name))
+        """Queue a message; return False if the peer is unknown or its queue is full."""
+        outbox = self._outboxes.get(_peer_name(to.zone, to.name))
         if outbox is None:
             self.dropped_messages += 1
             return False
-        data = encode(Envelope(self._own, to, monotonic(), message))
+        data = encode(Envelope(self._local_id, to, monotonic(), message))
         if not outbox.send(data):
             self.dropped_messages += 1
             return False
@@ -87,29 +87,30 @@
         except LinkError as error:
             log.warning("message dropped", extra={"reason": str(error)})
             return
-        if not self._is_for_me(envelope):
+        if not self._is_addressed_here(envelope):
             return
-        if self._stale.is_stale(envelope.sender, envelope.sent_at, monotonic()):
+        if self._stale_filter.is_stale(envelope.sender, envelope.sent_at, monotonic()):
             log.info("stale message dropped", extra={"sender": str(envelope.sender)})
             return
         self._deliver(envelope.sender, envelope.message)
 
-    def _is_for_me(self, envelope: Envelope) -> bool:
-        """Refuse messages meant for an earlier run of this host.
+    def _is_addressed_here(self, envelope: Envelope) -> bool:
+        """Return whether a message is for this incarnation of this host.
 
-        A job delegated to the run that died may have run there; its owner gave it up.
+        A job delegated to an earlier incarnation may have run there, and its owner
+        gave it up when that incarnation died.
         """
-        if isinstance(envelope.message, FOR_ANY_RUN):
-            return envelope.to.same_host(self._own)
-        return envelope.to == self._own
+        if isinstance(envelope.message, ANY_INCARNATION_MESSAGES):
+            return envelope.to.same_host(self._local_id)
+        return envelope.to == self._local_id
 
     def close(self) -> None:
         """Close all sockets."""
-        self._in.close()
-        for outbox in self._out.values():
+        self._inbox.close()
+        for outbox in self._outboxes.values():
             outbox.close()
-        self._out.clear()
+        self._outboxes.clear()
 
 
-def _name(zone: str, name: str) -> str:
+def _peer_name(zone: str, name: str) -> str:
     return f"{zone}.{name}"
--- a/jackdawspur/adapters/_log_http.py
+++ b/jackdawspur/adapters/_log_http.py
@@ -1,4 +1,4 @@
-"""Speak to the platform's log over HTTP/JSON."""
+"""Client of the platform's log over HTTP/JSON."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from result import Result
 
 from jackdawspur.adapters._http_client import HttpClient
-from jackdawspur.adapters._json_reply import MS, reading, success
+from jackdawspur.adapters._json_reply import MS, reply_handler, success_body
 from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import Log, LogRecord, LogTrimmed, PlatformError, Unavailable
 from jackdawspur.wire import AppendReply, ReadReply, TrimmedReply
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LogTimeouts:
-    """Bound the wait for replies, in milliseconds.
+    """Reply timeouts in milliseconds.
 
-    `read_ms` is added to the wait that a read asks for.
+    `read_ms` is added to the wait time that a read requests.
     """
 
     append_ms: float = 2000.0
@@ -32,7 +32,7 @@
 
 
 class HttpLog(Log):
-    """Append to and read from the log; reads have a client of their own."""
+    """Appends to and reads from the log; reads use a separate client."""
 
     def __init__(
         self,
@@ -50,9 +50,12 @@
         body: str,
         done: Callable[[Result[int, PlatformError]], None],
     ) -> None:
-        """Append a record and report its offset; `OutcomeUnknown` may stand."""
+        """Append a record and report its offset.
+
+        After `OutcomeUnknown` the record may be in the log.
+        """
         timeout_s = self._timeouts.append_ms / MS
-        receive = reading(PEER, _read_offset, done)
+        receive = reply_handler(PEER, _read_offset, done)
         self._appends.request("POST", _path(stream), body.encode(), timeout_s, receive)
 
     def read(
@@ -62,15 +65,15 @@
         wait_ms: float,
         done: Callable[[Result[tuple[LogRecord, ...], PlatformError]], None],
     ) -> None:
-        """Report records from `offset` on, or `LogTrimmed`."""
+        """Report the records from `offset` on, or `LogTrimmed`."""
         query = urlencode({"from": offset, "wait_ms": int(wait_ms)})
         timeout_s = (wait_ms + self._timeouts.read_ms) / MS
-        receive = reading(PEER, _read_records, done)
+        receive = reply_handler(PEER, _read_records, done)
         path = f"{_path(stream)}?{query}"
         self._reads.request("GET", path, b"", timeout_s, receive)
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._appends.close()
         self._reads.close()
 
@@ -81,13 +84,13 @@
 
 def _read_offset(reply: ClientResponse) -> int:
     if reply.status == TOO_MANY_REQUESTS:
-        # The log says itself that it took nothing, so the append may be repeated.
+        # This status means that nothing was appended, so a retry is safe.
         raise Unavailable("the log's rate limit refused the record")
-    return msgspec.json.decode(success(reply), type=AppendReply).offset
+    return msgspec.json.decode(success_body(reply), type=AppendReply).offset
 
 
 def _read_records(reply: ClientResponse) -> tuple[LogRecord, ...]:
     if reply.status == GONE:
         raise LogTrimmed(msgspec.json.decode(reply.body, type=TrimmedReply).first)
-    read = msgspec.json.decode(success(reply), type=ReadReply)
+    read = msgspec.json.decode(success_body(reply), type=ReadReply)
     return tuple(LogRecord(each.offset, each.body) for each in read.records)
--- a/jackdawspur/adapters/_queues.py
+++ b/jackdawspur/adapters/_queues.py
@@ -1,4 +1,4 @@
-"""Bounded queues of bytes between processes, over pynng."""
+"""Bounded message queues between processes, over pynng."""
 
 from collections.abc import Callable
 
@@ -9,12 +9,12 @@
 __all__ = ["Inbox", "Outbox"]
 
 RECEIVE_QUEUE = 1024
-# So many are taken a pass, so that callers get a turn.
-MESSAGES_A_PASS = 200
+# Bounded, so that callers' requests are handled in between.
+MAX_MESSAGES_PER_PASS = 200
 
 
 class Outbox:
-    """Queue bytes for one address, and connect again whenever that breaks."""
+    """Queue of messages to one address that reconnects whenever the link breaks."""
 
     def __init__(
         self, address: str, queue: int, reconnect_min_ms: int, reconnect_max_ms: int
@@ -27,7 +27,7 @@
         self._push.dial(f"tcp://{address}", block=False)
 
     def send(self, data: bytes) -> bool:
-        """Queue bytes; False when the queue is full."""
+        """Queue a message; return False if the queue is full."""
         try:
             self._push.send(data, block=False)
         except pynng.TryAgain:
@@ -35,12 +35,12 @@
         return True
 
     def close(self) -> None:
-        """Close the connection; what is queued is lost."""
+        """Close the connection; queued messages are lost."""
         self._push.close()
 
 
 class Inbox(BaseComponent):
-    """Receive bytes from whoever connects, polled by the circuits loop."""
+    """Receives messages from all connected peers, polled by the circuits loop."""
 
     channel = "inbox"
 
@@ -48,27 +48,27 @@
         self,
         bind: str,
         poller: BasePoller,
-        most_bytes: int,
-        take: Callable[[bytes], None],
+        max_bytes: int,
+        on_message: Callable[[bytes], None],
     ) -> None:
         super().__init__()
         self._poller = poller
-        self._take = take
+        self._on_message = on_message
         self._pull = pynng.Pull0(
-            recv_buffer_size=RECEIVE_QUEUE, recv_max_size=most_bytes
+            recv_buffer_size=RECEIVE_QUEUE, recv_max_size=max_bytes
         )
         self._pull.listen(f"tcp://{bind}")
         self._poller.addReader(self, self._pull.recv_fd)
 
     @handler("_read")
     def _on_readable(self, _descriptor: int) -> None:
-        """Take what has arrived."""
-        for _ in range(MESSAGES_A_PASS):
+        """Pass on the messages that have arrived."""
+        for _ in range(MAX_MESSAGES_PER_PASS):
             try:
                 data = self._pull.recv(block=False)
             except pynng.TryAgain:
                 return
-            self._take(data)
+            self._on_message(data)
 
     def close(self) -> None:
         """Stop receiving."""
--- a/jackdawspur/adapters/_reply_bytes.py
+++ b/jackdawspur/adapters/_reply_bytes.py
@@ -1,4 +1,4 @@
-"""Replies as the bytes of HTTP."""
+"""Encoding of HTTP replies."""
 
 from email.utils import formatdate
 from http import HTTPStatus
@@ -10,7 +10,7 @@
 
 
 def encode_reply(reply: HttpResponse, request: HttpRequest | None) -> bytes:
-    """Return a reply's bytes; without a request the connection is to close."""
+    """Return the bytes of a reply; without a request it closes the connection."""
     lines = [
         f"HTTP/1.1 {reply.status} {HTTPStatus(reply.status).phrase}",
         f"Date: {formatdate(usegmt=True)}",
--- a/jackdawspur/adapters/_reply_reader.py
+++ b/jackdawspur/adapters/_reply_reader.py
@@ -1,4 +1,4 @@
-"""One reply out of the bytes of a connection, by circuits.web's parser."""
+"""Incremental parsing of one HTTP reply with the parser of circuits.web."""
 
 from dataclasses import dataclass
 from functools import lru_cache
@@ -7,25 +7,25 @@
 
 from jackdawspur.exceptions import JackdawspurError
 
-__all__ = ["ClientResponse", "ReplyReader", "UnreadableReply"]
+__all__ = ["ClientResponse", "ReplyReader", "ReplyDecodeError"]
 
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 MAX_HEAD_BYTES = 65536
 RESPONSES_ONLY = 1
 END_OF_HEAD = b"\r\n\r\n"
-# Upstreams' heads differ by little more than the length of the body, and parsing one
-# takes a tenth of what the leading host's processor does.
-HEADS_KEPT = 1024
-KEPT_HEAD_BYTES = 1024
+# Heads are cached: those of upstreams differ in little more than the length of the
+# body, and parsing them takes a tenth of the processor time of the leader.
+MAX_CACHED_HEADS = 1024
+MAX_CACHED_HEAD_BYTES = 1024
 
 
-class UnreadableReply(JackdawspurError):
-    """Raise when bytes are no reply, or a longer one than is taken."""
+class ReplyDecodeError(JackdawspurError):
+    """Raised when bytes are not an HTTP reply, or one beyond the size limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """Carry one complete reply."""
+    """A complete HTTP reply."""
 
     status: int
     body: bytes
@@ -33,41 +33,41 @@
 
 @dataclass(frozen=True, slots=True)
 class _Head:
-    """Keep what a head says; `length` is None where only the parser can tell."""
+    """A parsed head; `length` is None if only the parser can find the body's end."""
 
     status: int
     length: int | None
-    keeps_alive: bool
+    keep_alive: bool
 
 
 class ReplyReader:
-    """Collect the parts of one reply.
+    """Assembles one reply from the parts in which it arrives.
 
-    circuits' parser is fed whole heads only: it never ends a first line whose CR and LF
-    come in two reads, and the reply would look lost.
+    The parser of circuits is fed complete heads only: if the CR and LF of the first
+    line come in two reads, it never finds the line's end, and the reply seems lost.
     """
 
     def __init__(self) -> None:
         self._data = bytearray()
         self._head: _Head | None = None
-        self._body_at = 0
+        self._body_start = 0
         self._parser: HttpParser | None = None
 
     @property
-    def keeps_alive(self) -> bool:
-        """Tell whether the connection can be used again."""
+    def keep_alive(self) -> bool:
+        """Return whether the connection can be reused."""
         if self._parser is not None:
             return self._parser.should_keep_alive()
-        return self._head is not None and self._head.keeps_alive
+        return self._head is not None and self._head.keep_alive
 
     def feed(self, data: bytes) -> ClientResponse | None:
-        """Take a part; return the reply once it is complete.
+        """Process a part; return the reply once it is complete, else None.
 
-        Errors: `UnreadableReply`.
+        Errors: `ReplyDecodeError`.
         """
         self._data += data
         if len(self._data) > MAX_REPLY_BYTES:
-            raise UnreadableReply("longer than is taken")
+            raise ReplyDecodeError("the reply exceeds the size limit")
         if self._parser is not None:
             return _parse(self._parser, data)
         if self._head is None and not self._read_head():
@@ -81,41 +81,41 @@
         end = self._data.find(END_OF_HEAD)
         if end < 0:
             if len(self._data) > MAX_HEAD_BYTES:
-                raise UnreadableReply("its head has no end")
+                raise ReplyDecodeError("the head of the reply exceeds the size limit")
             return False
-        self._body_at = end + len(END_OF_HEAD)
-        short = self._body_at <= KEPT_HEAD_BYTES
-        read = _read_known_head if short else _read_head
-        self._head = read(bytes(self._data[: self._body_at]))
+        self._body_start = end + len(END_OF_HEAD)
+        cacheable = self._body_start <= MAX_CACHED_HEAD_BYTES
+        parse_head = _read_head_cached if cacheable else _read_head
+        self._head = parse_head(bytes(self._data[: self._body_start]))
         return True
 
     def _read_body(self) -> ClientResponse | None:
-        size = len(self._data) - self._body_at
+        size = len(self._data) - self._body_start
         if size > self._head.length:
-            raise UnreadableReply("more came than was declared")
+            raise ReplyDecodeError("the body is longer than declared")
         if size < self._head.length:
             return None
-        return ClientResponse(self._head.status, bytes(self._data[self._body_at :]))
+        return ClientResponse(self._head.status, bytes(self._data[self._body_start :]))
 
 
 def _read_head(head: bytes) -> _Head:
     parser = HttpParser(RESPONSES_ONLY)
     _execute(parser, head)
-    length = _length(parser)
+    length = _declared_length(parser)
     return _Head(parser.get_status_code(), length, parser.should_keep_alive())
 
 
-_read_known_head = lru_cache(maxsize=HEADS_KEPT)(_read_head)
+_read_head_cached = lru_cache(maxsize=MAX_CACHED_HEADS)(_read_head)
 
 
-def _length(parser: HttpParser) -> int | None:
+def _declared_length(parser: HttpParser) -> int | None:
     headers = parser.get_headers()
     text = headers.get("Content-Length", "")
     plain = text.isascii() and text.isdigit() and not headers.get("Transfer-Encoding")
     if not plain or headers.get("Content-Encoding"):
         return None
     if len(text) > len(str(MAX_REPLY_BYTES)) or int(text) > MAX_REPLY_BYTES:
-        raise UnreadableReply("longer than is taken")
+        raise ReplyDecodeError("the reply exceeds the size limit")
     return int(text)
 
 
@@ -123,20 +123,20 @@
     try:
         parser.execute(data, len(data))
     except Exception as error:
-        # On foreign bytes the parser raises whatever its regular expressions,
-        # decoders and sums run into; any of them means that this isn't HTTP.
-        raise UnreadableReply(str(error)) from error
+        # On malformed input the parser lets through any exception of its regular
+        # expressions, decoders and arithmetic; each means that this isn't HTTP.
+        raise ReplyDecodeError(str(error)) from error
     if parser.errno is not None:
-        raise UnreadableReply(str(parser.errstr))
+        raise ReplyDecodeError(str(parser.errstr))
 
 
 def _parse(parser: HttpParser, data: bytes) -> ClientResponse | None:
-    """Feed the parser; return a complete reply or None."""
+    """Feed the parser; return the reply if it is complete, else None."""
     _execute(parser, data)
     if not parser.is_message_complete():
         return None
     body = parser.recv_body()
     if parser.get_headers().get("Content-Length", str(len(body))) != str(len(body)):
-        # The parser took all that came for the body.
-        raise UnreadableReply("more came than was declared")
+        # The parser treats all bytes received so far as part of the body.
+        raise ReplyDecodeError("the body is longer than declared")
     return ClientResponse(parser.get_status_code(), body)
--- a/jackdawspur/adapters/_requests.py
+++ b/jackdawspur/adapters/_requests.py
@@ -1,4 +1,4 @@
-"""Requests out of the bytes of one connection, by circuits.web's parser."""
+"""Incremental parsing of the HTTP requests of one connection."""
 
 from dataclasses import dataclass
 
@@ -24,7 +24,7 @@
 
 
 class RequestError(JackdawspurError):
-    """Raise when bytes are no request that is taken here; names the refusal's code."""
+    """Raised when bytes are not an accepted request; `code` is sent in the refusal."""
 
     def __init__(self, text: str, code: FailureCode = FailureCode.INVALID) -> None:
         super().__init__(text)
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """Carry one whole request."""
+    """A complete HTTP request."""
 
     method: str
     path: str
@@ -50,11 +50,12 @@
 
 
 class RequestReader:
-    """Collect what a connection sends and cut it into requests.
+    """Splits the bytes of a connection into requests.
 
-    circuits' parser is fed whole heads only: it never ends a first line whose CR and
-    LF come in two reads, so such a caller would wait in vain and its bytes be kept.
-    It takes pipelined requests for a part of the body, so bodies are cut here.
+    The parser of circuits is fed complete heads only: if the CR and LF of the first
+    line come in two reads, it never finds the line's end, so the caller would get no
+    reply and its bytes would stay in memory. The parser also treats pipelined requests
+    as part of the body, so bodies are split off here.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -66,12 +67,12 @@
 
     @property
     def buffered(self) -> int:
-        """Return the number of bytes not yet taken."""
+        """Return the number of bytes not yet consumed."""
         return len(self._buffer)
 
     @property
     def partial(self) -> bool:
-        """Tell whether something of a next request has come."""
+        """Return whether a part of the next request has arrived."""
         return bool(self._buffer) or self._head is not None
 
     def feed(self, data: bytes) -> None:
@@ -79,7 +80,10 @@
         self._buffer += data
 
     def take(self) -> HttpRequest | None:
-        """Return the next whole request; raise `RequestError`."""
+        """Remove and return the next request, or None if it isn't complete.
+
+        Errors: `RequestError`.
+        """
         if self._head is None:
             self._head = self._read_head()
         head = self._head
@@ -89,10 +93,10 @@
         del self._buffer[: head.length]
         self._head = None
         self._continue_sent = False
-        return _request(head.parser, body)
+        return _build_request(head.parser, body)
 
     def wants_continue(self) -> bool:
-        """Tell, once a request, whether its sender waits before it sends the body."""
+        """Return whether to send 100 Continue; true at most once per request."""
         if self._head is None or self._continue_sent or self._buffer:
             return False
         expected = self._head.parser.get_headers().get("Expect", "")
@@ -102,10 +106,10 @@
     def _read_head(self) -> _Head | None:
         end = self._buffer.find(END_OF_HEAD, self._searched)
         if max(end, len(self._buffer) if end < 0 else 0) > MAX_HEAD_BYTES:
-            text = f"a request's head may have {MAX_HEAD_BYTES} bytes at most"
+            text = f"the head of a request may have at most {MAX_HEAD_BYTES} bytes"
             raise RequestError(text, FailureCode.TOO_LARGE)
         if end < 0:
-            # Searching all of it again for each byte of a slow sender costs too much.
+            # Searching the whole buffer again for each byte of a slow sender is costly.
             self._searched = max(0, len(self._buffer) - len(END_OF_HEAD) + 1)
             return None
         end += len(END_OF_HEAD)
@@ -120,32 +124,32 @@
     try:
         parser.execute(head, len(head))
     except Exception as error:
-        # On foreign bytes the parser raises whatever its regular expressions and
-        # decoders run into; circuits would drop it and the caller would wait.
+        # On malformed input the parser lets through any exception of its regular
+        # expressions and decoders; circuits would drop it, and no reply would be sent.
         raise RequestError("the HTTP request could not be read") from error
     if parser.errno is not None or not parser.is_headers_complete():
         raise RequestError(f"the HTTP request could not be read: {parser.errstr}")
     if parser.get_version()[0] != HTTP_1:
-        raise RequestError("only HTTP/1.0 and HTTP/1.1 are spoken here")
+        raise RequestError("only HTTP/1.0 and HTTP/1.1 are supported")
     if parser.get_version() > (1, 0) and not parser.get_headers().get("Host"):
-        raise RequestError("a Host header is needed")
+        raise RequestError("a Host header is required")
     return parser
 
 
-def _body_length(headers: Headers, most: int) -> int:
+def _body_length(headers: Headers, max_bytes: int) -> int:
     if headers.get("Transfer-Encoding"):
-        raise RequestError("Content-Length is needed; chunked bodies are not taken")
+        raise RequestError("Content-Length is required; chunked bodies are unsupported")
     text = headers.get("Content-Length", "0").strip()
-    # int() also takes signs, underscores and other scripts' digits.
+    # int() also accepts signs, underscores and the digits of other scripts.
     if not (text.isascii() and text.isdigit()):
         raise RequestError("Content-Length: a whole number of bytes expected")
-    if len(text) > len(str(most)) or int(text) > most:
-        text = f"a request's body may have {most} bytes at most"
+    if len(text) > len(str(max_bytes)) or int(text) > max_bytes:
+        text = f"the body of a request may have at most {max_bytes} bytes"
         raise RequestError(text, FailureCode.TOO_LARGE)
     return int(text)
 
 
-def _request(parser: HttpParser, body: bytes) -> HttpRequest:
+def _build_request(parser: HttpParser, body: bytes) -> HttpRequest:
     return HttpRequest(
         parser.get_method(),
         parser.get_path(),
--- a/jackdawspur/adapters/_timer_queue.py
+++ b/jackdawspur/adapters/_timer_queue.py
@@ -1,4 +1,4 @@
-"""Call back at a time, on the loop's own thread."""
+"""Timers that call back on the thread of the event loop."""
 
 import heapq
 import itertools
@@ -11,7 +11,7 @@
 
 
 class TimerHandle:
-    """Hold one callback until its time, or until it is cancelled."""
+    """A pending callback that can be cancelled."""
 
     __slots__ = ("_callback",)
 
@@ -20,34 +20,34 @@
 
     @property
     def pending(self) -> bool:
-        """Tell whether the callback is still to come."""
+        """Return whether the callback has neither run nor been cancelled."""
         return self._callback is not None
 
     def cancel(self) -> None:
-        """Drop the callback."""
+        """Cancel the callback."""
         self._callback = None
 
     def expire(self) -> None:
-        """Call back, at most once."""
+        """Run the callback, at most once."""
         callback, self._callback = self._callback, None
         if callback is not None:
             callback()
 
 
 class TimerQueue(BaseComponent):
-    """Keep the deadlines of a whole loop.
+    """A heap of all timers of an event loop.
 
-    circuits' own Timer is a component: each one makes the loop forget and rebuild
-    its table of handlers, so one a request would cost more than the request.
+    The Timer of circuits is a component, and each new component makes the loop
+    rebuild its handler table; one Timer per request would cost more than the request.
     """
 
     channel = "deadlines"
 
     def init(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """Start empty; circuits calls this with the constructor's arguments."""
+        """Initialize an empty queue; circuits passes the constructor's arguments."""
         self._clock = clock
         self._heap: list[tuple[float, int, TimerHandle]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
 
     @property
     def now(self) -> float:
@@ -55,22 +55,22 @@
         return self._clock()
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> TimerHandle:
-        """Call back once, `seconds` from now."""
-        deadline = TimerHandle(callback)
-        entry = (self._clock() + seconds, next(self._order), deadline)
+        """Schedule a callback to run once, `seconds` from now."""
+        handle = TimerHandle(callback)
+        entry = (self._clock() + seconds, next(self._sequence), handle)
         heapq.heappush(self._heap, entry)
-        return deadline
+        return handle
 
     @handler("generate_events")
     def _on_generate_events(self, event) -> None:
         now = self._clock()
         heap = self._heap
         while heap and (heap[0][0] <= now or not heap[0][2].pending):
-            deadline = heapq.heappop(heap)[2]
-            if deadline.pending:
-                # Events that the callback fires are only queued. Were the poller
-                # to wait now, they would sit there until the next byte arrives.
+            handle = heapq.heappop(heap)[2]
+            if handle.pending:
+                # Events fired by the callback are only queued, so the poller must not
+                # wait now: they would stay queued until the next byte arrives.
                 event.reduce_time_left(0)
-            deadline.expire()
+            handle.expire()
         if heap:
             event.reduce_time_left(max(0.0, heap[0][0] - now))
--- a/jackdawspur/adapters/_upstream_http.py
+++ b/jackdawspur/adapters/_upstream_http.py
@@ -1,4 +1,4 @@
-"""Speak to one upstream over HTTP/JSON."""
+"""Client of one upstream over HTTP/JSON."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -8,7 +8,12 @@
 from result import Result
 
 from jackdawspur.adapters._http_client import HttpClient
-from jackdawspur.adapters._json_reply import MS, ForeignReply, reading, success
+from jackdawspur.adapters._json_reply import (
+    MS,
+    MalformedReply,
+    reply_handler,
+    success_body,
+)
 from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import (
     PlatformError,
@@ -36,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamTimeouts:
-    """Bound the wait for replies, in milliseconds.
+    """Reply timeouts in milliseconds.
 
-    `poll_ms` is added to the wait that a poll for results asks for.
+    `poll_ms` is added to the wait time that a poll for results requests.
     """
 
     start_ms: float = 1000.0
@@ -47,9 +52,9 @@
 
 
 class HttpUpstreamClient(UpstreamClient):
-    """Ask one upstream on behalf of one holder.
+    """Sends the requests of one holder to one upstream.
 
-    Polls for results have a client of their own, so that they never block starts.
+    Polls for results use a separate client, so that they never block starts.
     """
 
     def __init__(
@@ -67,7 +72,7 @@
         self._timeouts = timeouts or UpstreamTimeouts()
 
     def start(self, starts: Sequence[TaskStart], done: Done) -> None:
-        """Start tasks; `Unavailable` means that no byte left this host."""
+        """Start tasks; `Unavailable` means that no byte was sent."""
         bodies = tuple(_start_body(each) for each in starts)
         body = msgspec.json.encode(StartsRequest(self._holder, bodies))
 
@@ -77,34 +82,34 @@
         self._post("/v1/starts", body, self._timeouts.start_ms, read, done)
 
     def results(self, cursor: int, wait_ms: float, done: Done) -> None:
-        """Wait for ended tasks of this host after `cursor`."""
+        """Wait for tasks of this host that ended after `cursor`."""
         query = urlencode(
             {"holder": self._holder, "after": cursor, "wait_ms": int(wait_ms)}
         )
         timeout_s = (wait_ms + self._timeouts.poll_ms) / MS
-        receive = reading(str(self._upstream), self._read_results, done)
+        receive = reply_handler(str(self._upstream), self._read_results, done)
         self._polls.request("GET", f"/v1/results?{query}", b"", timeout_s, receive)
 
     def status(self, tasks: Sequence[TaskId], seal: bool, done: Done) -> None:
-        """Ask how far tasks are; with `seal`, bar those not yet started for good."""
-        texts = _texts(tasks)
-        body = msgspec.json.encode(StatusRequest(texts, seal))
-        self._ask_outcomes("/v1/status", body, tasks, texts, done)
+        """Query the state of tasks; `seal` keeps unstarted ones from ever starting."""
+        encoded_ids = _encode_ids(tasks)
+        body = msgspec.json.encode(StatusRequest(encoded_ids, seal))
+        self._ask_outcomes("/v1/status", body, tasks, encoded_ids, done)
 
     def stop(self, tasks: Sequence[TaskId], done: Done) -> None:
-        """Stop tasks that run and bar those not yet started."""
-        texts = _texts(tasks)
-        body = msgspec.json.encode(StopRequest(texts))
-        self._ask_outcomes("/v1/stop", body, tasks, texts, done)
+        """Stop running tasks and keep unstarted ones from ever starting."""
+        encoded_ids = _encode_ids(tasks)
+        body = msgspec.json.encode(StopRequest(encoded_ids))
+        self._ask_outcomes("/v1/stop", body, tasks, encoded_ids, done)
 
     def usage(self, done: Done) -> None:
-        """Ask for the load, which may be seconds old."""
-        receive = reading(str(self._upstream), self._read_usage, done)
+        """Query the load; the reported values may be seconds old."""
+        receive = reply_handler(str(self._upstream), self._read_usage, done)
         timeout_s = self._timeouts.status_ms / MS
         self._requests.request("GET", "/v1/usage", b"", timeout_s, receive)
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._requests.close()
         self._polls.close()
 
@@ -113,11 +118,11 @@
         path: str,
         body: bytes,
         tasks: Sequence[TaskId],
-        texts: tuple[str, ...],
+        encoded_ids: tuple[str, ...],
         done: Done,
     ) -> None:
         def read(reply: ClientResponse) -> UpstreamReply:
-            return self._read_outcomes(reply, tasks, texts)
+            return self._read_outcomes(reply, tasks, encoded_ids)
 
         self._post(path, body, self._timeouts.status_ms, read, done)
 
@@ -129,7 +134,7 @@
         read: Callable[[ClientResponse], UpstreamReply],
         done: Done,
     ) -> None:
-        receive = reading(str(self._upstream), read, done)
+        receive = reply_handler(str(self._upstream), read, done)
         self._requests.request("POST", path, body, timeout_ms / MS, receive)
 
     def _read_verdicts(
@@ -138,8 +143,8 @@
         starts: Sequence[TaskStart],
         bodies: tuple[StartBody, ...],
     ) -> UpstreamReply:
-        read = msgspec.json.decode(success(reply), type=StartsReply)
-        _check_order(
+        read = msgspec.json.decode(success_body(reply), type=StartsReply)
+        _check_tasks(
             [each.task for each in read.verdicts], [each.task for each in bodies]
         )
         verdicts = tuple(
@@ -149,10 +154,13 @@
         return UpstreamReply(self._upstream, read.incarnation, verdicts)
 
     def _read_outcomes(
-        self, reply: ClientResponse, tasks: Sequence[TaskId], texts: tuple[str, ...]
+        self,
+        reply: ClientResponse,
+        tasks: Sequence[TaskId],
+        encoded_ids: tuple[str, ...],
     ) -> UpstreamReply:
-        read = msgspec.json.decode(success(reply), type=StatusReply)
-        _check_order([each.task for each in read.outcomes], list(texts))
+        read = msgspec.json.decode(success_body(reply), type=StatusReply)
+        _check_tasks([each.task for each in read.outcomes], list(encoded_ids))
         outcomes = tuple(
             TaskOutcome(task, each.state, each.output, each.error)
             for task, each in zip(tasks, read.outcomes, strict=True)
@@ -160,7 +168,7 @@
         return UpstreamReply(self._upstream, read.incarnation, outcomes=outcomes)
 
     def _read_results(self, reply: ClientResponse) -> UpstreamReply:
-        read = msgspec.json.decode(success(reply), type=StatusReply)
+        read = msgspec.json.decode(success_body(reply), type=StatusReply)
         outcomes = tuple(
             TaskOutcome(TaskId.parse(each.task), each.state, each.output, each.error)
             for each in read.outcomes
@@ -170,7 +178,7 @@
         )
 
     def _read_usage(self, reply: ClientResponse) -> UpstreamReply:
-        read = msgspec.json.decode(success(reply), type=UsageReply)
+        read = msgspec.json.decode(success_body(reply), type=UsageReply)
         usage = Usage(read.slots, read.busy, read.leaving)
         return UpstreamReply(self._upstream, read.incarnation, usage=usage)
 
@@ -186,10 +194,10 @@
     )
 
 
-def _texts(tasks: Sequence[TaskId]) -> tuple[str, ...]:
+def _encode_ids(tasks: Sequence[TaskId]) -> tuple[str, ...]:
     return tuple(str(task) for task in tasks)
 
 
-def _check_order(answered: list[str], asked: list[str]) -> None:
-    if answered != asked:
-        raise ForeignReply("it answers for other tasks than were asked")
+def _check_tasks(answered_tasks: list[str], requested_tasks: list[str]) -> None:
+    if answered_tasks != requested_tasks:
+        raise MalformedReply("the tasks in the reply differ from the requested ones")
--- a/jackdawspur/adapters/_web.py
+++ b/jackdawspur/adapters/_web.py
@@ -1,4 +1,4 @@
-"""A bounded HTTP server on circuits whose replies may come later."""
+"""A bounded HTTP server on circuits with asynchronous replies."""
 
 import abc
 import logging
@@ -26,7 +26,8 @@
 __all__ = ["Call", "WebServer", "WebService"]
 
 MAX_CONNECTIONS = 1024
-# Connections beyond the bound that are told so before they are closed.
+# Connections beyond MAX_CONNECTIONS that are refused with a reply before the close;
+# any further one is closed without a reply.
 MAX_REFUSED_CONNECTIONS = 64
 REQUEST_TIME_LIMIT_S = 10.0
 LINGER_S = 2.0
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Carry one HTTP request; `call_id` names it in the reply."""
+    """One HTTP request; `call_id` identifies it in the reply."""
 
     call_id: int
     method: str
@@ -48,18 +49,18 @@
     body: bytes
 
     def query_flag(self, name: str) -> bool:
-        """Tell whether the query sets a flag to true."""
+        """Return whether the query sets the flag to true."""
         return parse_qs(self.query).get(name, [""])[-1] == "true"
 
     @property
     def bearer_token(self) -> str | None:
-        """Return the bearer token, if one was sent."""
+        """Return the bearer token, or None if none was sent."""
         scheme, _, token = self.headers.get("Authorization", "").partition(" ")
         return token.strip() if scheme.lower() == "bearer" and token else None
 
 
 class WebService(abc.ABC):
-    """Handle calls; replies go back through `WebServer.reply`."""
+    """Handler of calls; it replies through `WebServer.reply`."""
 
     @abc.abstractmethod
     def handle_call(self, call: Call) -> None:
@@ -67,37 +68,41 @@
 
     @abc.abstractmethod
     def caller_disconnected(self, call_id: int) -> None:
-        """Note that the caller of an open call went away."""
+        """Handle the disconnect of the caller of an open call."""
 
 
 class sweep(Event):
-    """Look for connections that send too slowly."""
+    """Close connections that send too slowly."""
 
 
 class proceed(Event):
-    """Handle the next of the requests that a connection sent at once."""
+    """Handle the next pipelined request of a connection."""
 
 
 @dataclass(eq=False, slots=True)
 class _Connection:
-    """Hold one connection; `since` is when its unfinished request began."""
+    """State of one connection.
+
+    `since` is when its unfinished request started, or when its last reply was sent;
+    `half_closed` means that the peer has shut down its sending side.
+    """
 
     sock: socket
     since: float
     reader: RequestReader
-    call: int | None = None
+    call_id: int | None = None
     request: HttpRequest | None = None
-    ended: bool = False
+    half_closed: bool = False
     lingering: bool = False
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing of a request is here."""
-        return self.call is None and not self.reader.partial
+        """Return whether no request is open or partly received."""
+        return self.call_id is None and not self.reader.partial
 
 
 class WebServer(BaseComponent, ServerOwner):
-    """Serve HTTP on one address, with bounded bodies, connections and time."""
+    """HTTP server on one address that bounds body sizes, connections and time."""
 
     def __init__(
         self,
@@ -111,7 +116,7 @@
         self._max_body_bytes = max_body_bytes
         self._service = service
         self._clock = clock
-        self._next_call = 1
+        self._next_call_id = 1
         self._draining = False
         self._calls: dict[int, _Connection] = {}
         self._connections: dict[socket, _Connection] = {}
@@ -130,16 +135,16 @@
 
     @property
     def connections(self) -> int:
-        """Return the number of connections that stand."""
+        """Return the number of established connections."""
         return len(self._connections)
 
     def reply(self, call_id: int, reply: HttpResponse) -> None:
-        """Send the reply of a call; a call whose caller left is ignored."""
+        """Send the reply to a call; ignore a call whose caller has disconnected."""
         connection = self._calls.pop(call_id, None)
         if connection is None:
             return
         request, connection.request = connection.request, None
-        connection.call = None
+        connection.call_id = None
         if self._draining:
             request = replace(request, keep_alive=False)
         connection.since = self._clock()
@@ -147,31 +152,34 @@
         if not request.keep_alive:
             self._finish(connection)
         elif connection.reader.buffered:
-            if not connection.ended:
-                self._sockets.resume(connection.sock)
+            if not connection.half_closed:
+                self._sockets.resume_reading(connection.sock)
             self.fire(proceed(connection))
-        elif connection.ended:
-            self._sockets.end(connection.sock)
+        elif connection.half_closed:
+            self._sockets.close_when_sent(connection.sock)
 
     def drain(self) -> None:
-        """Close each connection with its next reply, and idle ones when asked to."""
+        """Close each connection after its next reply from now on.
+
+        Idle connections stay open until `close_idle_connections` is called.
+        """
         self._draining = True
 
     def close_idle_connections(self) -> None:
-        """Close the connections on which nothing of a request has come."""
+        """Close the connections without an open or partly received request."""
         for connection in [c for c in self._connections.values() if c.idle]:
-            self._sockets.end(connection.sock)
+            self._sockets.close_when_sent(connection.sock)
 
     def abort_call(self, call_id: int) -> None:
         """Close the connection of a call without a reply."""
         connection = self._calls.pop(call_id, None)
         if connection is not None:
-            self._sockets.end(connection.sock)
+            self._sockets.close_when_sent(connection.sock)
 
     def accepted(self, sock: socket) -> None:
-        """Take a connection; beyond the bound an idle one makes room for it.
+        """Accept a connection; beyond the bound, close an idle one in its place.
 
-        Idle connections that are never used would otherwise lock all callers out.
+        Otherwise idle connections that are never used would lock out all callers.
         """
         connection = _Connection(sock, self._clock(), self._reader())
         self._connections[sock] = connection
@@ -180,18 +188,18 @@
             return
         idle = next((c for c in self._connections.values() if c.idle), connection)
         if idle is not connection:
-            self._sockets.end(idle.sock)
+            self._sockets.close_when_sent(idle.sock)
         elif count <= MAX_CONNECTIONS + MAX_REFUSED_CONNECTIONS:
             text = f"more than {MAX_CONNECTIONS} connections"
             self._refuse(connection, refusal_response(FailureCode.OVERLOADED, text))
         else:
-            self._sockets.end(sock)
+            self._sockets.close_when_sent(sock)
 
     def received(self, sock: socket, data: bytes) -> None:
-        """Take what a caller sent."""
+        """Process bytes from a caller."""
         connection = self._connections[sock]
         if not data:
-            self._end_of_data(connection)
+            self._on_end_of_data(connection)
         elif not connection.lingering:
             if connection.idle:
                 connection.since = self._clock()
@@ -199,36 +207,36 @@
             self._advance(connection)
 
     def gone(self, sock: socket) -> None:
-        """Forget a connection, and tell the service of its open call."""
+        """Remove a closed connection and report its open call to the service."""
         connection = self._connections.pop(sock)
-        if self._calls.pop(connection.call, None) is not None:
-            self._service.caller_disconnected(connection.call)
+        if self._calls.pop(connection.call_id, None) is not None:
+            self._service.caller_disconnected(connection.call_id)
 
     def _reader(self) -> RequestReader:
         return RequestReader(self._max_body_bytes)
 
-    def _end_of_data(self, connection: _Connection) -> None:
-        """Answer a caller that shut its sending side, then close.
+    def _on_end_of_data(self, connection: _Connection) -> None:
+        """Reply to a caller that shut down its sending side, then close.
 
-        It may still read: its open call is answered, and a request that it cut off
-        is refused in words instead of by a close.
+        The caller may still read: its open call is answered, and an incomplete
+        request is refused with an error reply rather than by a plain close.
         """
-        connection.ended = True
+        connection.half_closed = True
         if connection.lingering or connection.idle:
-            self._sockets.end(connection.sock)
+            self._sockets.close_when_sent(connection.sock)
             return
-        # An ended connection stays readable, and the loop would spin on it.
-        self._sockets.pause(connection.sock)
+        # A half-closed socket stays readable, so polling it would spin the loop.
+        self._sockets.pause_reading(connection.sock)
         self._advance(connection)
 
     @handler("proceed")
     def _advance(self, connection: _Connection) -> None:
-        """Handle one request, if a whole one is here and none is open."""
+        """Handle one request if it is complete and no other is open."""
         if connection.lingering or connection.sock not in self._connections:
             return
-        if connection.call is not None:
+        if connection.call_id is not None:
             if connection.reader.buffered > self._max_body_bytes + MAX_HEAD_BYTES:
-                self._sockets.pause(connection.sock)
+                self._sockets.pause_reading(connection.sock)
             return
         try:
             request = connection.reader.take()
@@ -236,21 +244,21 @@
             self._refuse(connection, refusal_response(error.code, str(error)))
             return
         if request is not None:
-            self._call(connection, request)
-        elif connection.ended:
-            text = "the request ended before it was whole"
+            self._handle_request(connection, request)
+        elif connection.half_closed:
+            text = "the connection ended before the request was complete"
             self._refuse(connection, refusal_response(FailureCode.INVALID, text))
         elif connection.reader.wants_continue():
             self._sockets.send(connection.sock, CONTINUE)
 
-    def _call(self, connection: _Connection, request: HttpRequest) -> None:
-        number = self._next_call
-        self._next_call += 1
-        connection.call = number
+    def _handle_request(self, connection: _Connection, request: HttpRequest) -> None:
+        call_id = self._next_call_id
+        self._next_call_id += 1
+        connection.call_id = call_id
         connection.request = request
-        self._calls[number] = connection
+        self._calls[call_id] = connection
         call = Call(
-            number,
+            call_id,
             request.method,
             request.path,
             request.query,
@@ -260,42 +268,42 @@
         try:
             self._service.handle_call(call)
         except Exception:
-            # circuits drops exceptions in silence, and the caller would wait.
+            # circuits drops exceptions silently, and the caller would get no reply.
             log.exception("call failed", extra={"path": call.path})
             text = "an internal error; whether the job ran is unknown"
             code = FailureCode.OUTCOME_UNKNOWN
             failed = Answer(JobState.FAILED, code=code, message=text)
-            self.reply(number, answer_response(failed))
+            self.reply(call_id, answer_response(failed))
 
     def _refuse(self, connection: _Connection, reply: HttpResponse) -> None:
-        """Answer what was not read to its end, and close."""
+        """Reply to a request that was not fully read, and close."""
         self._sockets.send(connection.sock, encode_reply(reply, None))
         self._finish(connection)
 
     def _finish(self, connection: _Connection) -> None:
-        if connection.ended:
-            self._sockets.end(connection.sock)
+        if connection.half_closed:
+            self._sockets.close_when_sent(connection.sock)
             return
         connection.lingering = True
         connection.reader = self._reader()
         connection.since = self._clock()
-        self._sockets.resume(connection.sock)
-        self._sockets.finish(connection.sock)
+        self._sockets.resume_reading(connection.sock)
+        self._sockets.shut_down_sending(connection.sock)
 
     @handler("exception", channel="*")
     def _on_exception(self, _type, _error, trace, handler=None, fevent=None) -> None:
-        """Log what a handler raised; circuits drops it in silence."""
+        """Log an exception of a handler; circuits drops it silently."""
         log.error("handler failed", extra={"event": repr(fevent), "trace": trace})
 
     @handler("sweep")
     def _on_sweep(self) -> None:
-        """End connections whose request does not arrive whole in time."""
+        """Close connections whose request is not complete within the time limit."""
         now = self._clock()
         for connection in list(self._connections.values()):
             age = now - connection.since
             if connection.lingering and age > LINGER_S:
-                self._sockets.end(connection.sock)
-            elif connection.call is not None or connection.idle:
+                self._sockets.close_when_sent(connection.sock)
+            elif connection.call_id is not None or connection.idle:
                 continue
             elif age > REQUEST_TIME_LIMIT_S:
                 text = f"the request took over {REQUEST_TIME_LIMIT_S:.0f} s to arrive"
--- a/jackdawspur/adapters/_web_sockets.py
+++ b/jackdawspur/adapters/_web_sockets.py
@@ -1,4 +1,4 @@
-"""The server sockets of circuits, with bytes handed on at once and nothing kept."""
+"""Server sockets of circuits that pass bytes to their owner directly."""
 
 import abc
 from socket import SHUT_WR, socket
@@ -12,26 +12,26 @@
 
 
 class ServerOwner(abc.ABC):
-    """Hear of what happens on connections, at once and not by events."""
+    """Receiver of what happens on connections, by direct calls instead of events."""
 
     @abc.abstractmethod
     def accepted(self, sock: socket) -> None:
-        """Take a new connection."""
+        """Handle a new connection."""
 
     @abc.abstractmethod
     def received(self, sock: socket, data: bytes) -> None:
-        """Take bytes; none mean that the peer sends no more."""
+        """Process bytes; empty bytes mean that the peer has stopped sending."""
 
     @abc.abstractmethod
     def gone(self, sock: socket) -> None:
-        """Take note that a connection is closed."""
+        """Handle the close of a connection."""
 
 
 class ServerSockets(TCPServer):
-    """Serve connections without events between the poller and the owner.
+    """Serves connections without events between the poller and the owner.
 
-    Each event of circuits costs a pass of the loop, behind all that the pass handles
-    for others: read, request, response and two writes were five passes a request.
+    Each event of circuits waits for a pass of the loop, after everything else that the
+    pass handles: read, request, response and two writes took five passes per request.
     """
 
     def __init__(self, bind: str, owner: ServerOwner, channel: str) -> None:
@@ -39,7 +39,7 @@
         self._owner = owner
 
     def send(self, sock: socket, data: bytes) -> None:
-        """Send now what the kernel takes, and the rest when it can."""
+        """Send what the kernel accepts now and the rest once the socket is writable."""
         if self._buffers.get(sock):
             self._buffers[sock].append(data)
             return
@@ -47,11 +47,12 @@
         if self._buffers.get(sock) and not self._poller.isWriting(sock):
             self._poller.addWriter(self, sock)
 
-    def finish(self, sock: socket) -> None:
-        """Send no more, or close once all is sent; the peer may go on sending.
+    def shut_down_sending(self, sock: socket) -> None:
+        """Shut down the sending side; the peer may continue to send.
 
         Closing with unread bytes resets the connection, and a caller that is still
-        sending would lose the refusal that tells it why.
+        sending would lose the refusal with its reason. If bytes are still unsent, the
+        connection is closed once they are sent.
         """
         if self._buffers.get(sock):
             self.close(sock)
@@ -61,16 +62,16 @@
         except OSError:
             self._close(sock)
 
-    def end(self, sock: socket) -> None:
-        """Close, once all is sent."""
+    def close_when_sent(self, sock: socket) -> None:
+        """Close the connection once all bytes are sent."""
         self.close(sock)
 
-    def pause(self, sock: socket) -> None:
-        """Leave further bytes to the kernel, which makes the peer wait."""
+    def pause_reading(self, sock: socket) -> None:
+        """Stop reading, so that the kernel applies back pressure to the peer."""
         self._poller.removeReader(sock)
 
-    def resume(self, sock: socket) -> None:
-        """Read again."""
+    def resume_reading(self, sock: socket) -> None:
+        """Resume reading."""
         if not self._poller.isReading(sock):
             self._poller.addReader(self, sock)
 
@@ -91,18 +92,18 @@
         self._owner.received(sock, data)
 
     def _close(self, sock: socket) -> None:
-        stood = sock in self._clients
+        was_connected = sock in self._clients
         if sock in self._closeq:
             self._closeq.remove(sock)
         super()._close(sock)
-        if stood:
+        if was_connected:
             self._owner.gone(sock)
 
     @handler("disconnect")
-    def _on_gone(self, sock: socket) -> None:
-        """Forget what circuits' handlers of the same pass wrote down again.
+    def _on_disconnected(self, sock: socket) -> None:
+        """Remove a buffer that circuits created again for a closed socket.
 
-        A queued `_write` of a socket just closed makes a new, empty buffer for it:
-        one socket object would be kept for each connection that ended so.
+        A queued `_write` event of a socket that was just closed creates a new, empty
+        buffer for it, which would leak one socket object per such connection.
         """
         self._buffers.pop(sock, None)
--- a/jackdawspur/adapters/tests/conftest.py
+++ b/jackdawspur/adapters/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A loop with real loopback sockets and a clock that the tests move."""
+"""Fixtures: an event loop with real loopback sockets and a clock set by the tests."""
 
 from collections.abc import Callable
 
@@ -27,12 +27,12 @@
 
 
 class Loop:
-    """Drive one circuits manager tick by tick."""
+    """A circuits manager that tests run tick by tick."""
 
     def __init__(self) -> None:
         self.now = 1000.0
         self.root = Manager()
-        # Only a running manager polls; run() would never give the test its turn.
+        # Only a running manager polls, and run() would not return to the test.
         self.root._running = True
         self.poller = EPoll().register(self.root)
         self.timer_queue = TimerQueue(clock=lambda: self.now).register(self.root)
@@ -57,7 +57,7 @@
         return client.register(self.root)
 
     def ask(self, call, *args):
-        """Make a call that takes `done` last, and return its one result."""
+        """Make a call whose last argument is a callback, and return its one result."""
         results = []
         call(*args, results.append)
         self.until(lambda: results)
@@ -65,7 +65,7 @@
         return results[0]
 
     def post(self, address, path: str, body) -> None:
-        """Post a body as an operator or a test would, and wait for the reply."""
+        """Post a body and wait for a successful reply."""
         client = self.client(address)
         encoded = msgspec.json.encode(body)
         reply = self.ask(client.request, "POST", path, encoded, 1.0)
@@ -74,7 +74,7 @@
 
 
 class RawPeer(TCPServer):
-    """Accept connections, count requests, and answer with the bytes it is given."""
+    """Server that records requests and replies with the bytes set by a test."""
 
     channel = "raw-peer"
 
@@ -92,7 +92,7 @@
             for part in self.answers.pop(0):
                 self.fire(write(sock, part))
 
-    def say(self, sock, data: bytes) -> None:
+    def send_bytes(self, sock, data: bytes) -> None:
         self.fire(write(sock, data))
 
     def hang_up(self, sock) -> None:
--- a/jackdawspur/adapters/tests/test_http_client.py
+++ b/jackdawspur/adapters/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Each request is sent at most once and gets its own reply or an exact error."""
+"""Each request is sent at most once and gets its own reply or a precise error."""
 
 import socket
 
@@ -21,10 +21,10 @@
 
 
 def test_refused_connect_is_unavailable(loop):
-    """An upstream's process is gone and its host answers the connect with a reset.
+    """The process of an upstream is gone, and its host resets the connection.
 
-    Nothing left this host, so the dispatcher may place the task elsewhere, and it
-    hears so at once: the clock of this test stands still.
+    No byte was sent, so the dispatcher may place the task on another upstream. It is
+    notified at once: the clock of this test does not advance.
     """
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
@@ -36,15 +36,15 @@
 
 
 def test_connect_that_gets_no_answer_is_unavailable(loop):
-    """An upstream's host is down, so nothing answers the connect at all."""
+    """The host of an upstream is down, so the connection attempt gets no answer."""
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        # The queue of a listener that never accepts drops what is beyond its bound.
-        crowd = [
+        # A listener that never accepts drops connections beyond its backlog.
+        clients = [
             loop.client(full.getsockname(), connect_timeout_s=0.5) for _ in range(4)
         ]
-        results = [get(each, 9.0) for each in crowd]
+        results = [get(each, 9.0) for each in clients]
         loop.settle()
         loop.pass_time(0.6)
         failed = [each[0] for each in results if each]
@@ -54,10 +54,10 @@
 
 
 def test_late_reply_reaches_no_other_request(loop, peer):
-    """A slow upstream answers a request after the entry host gave it up.
+    """A slow upstream replies to a request after its timeout on the entry host.
 
-    The next request to the same upstream must not get the late reply: a caller
-    would see another job's output. The connection is closed at the timeout.
+    The next request to this upstream must not get the late reply, or a caller would
+    get the output of another job. So the connection is closed at the timeout.
     """
     client = loop.client(address(peer), max_connections=1)
     first, second = [], []
@@ -73,19 +73,19 @@
     assert isinstance(first[0].unwrap_err(), OutcomeUnknown)
     loop.until(lambda: len(peer.requests) == 2)
     assert not second
-    peer.say(peer.socks[1], OK_REPLY.replace(b"A1", b"B2"))
+    peer.send_bytes(peer.socks[1], OK_REPLY.replace(b"A1", b"B2"))
     loop.until(lambda: second)
     assert second[0].unwrap().body == b"B2"
     assert len(first) == 1
 
 
-def test_connection_that_speaks_unasked_is_not_used_again(loop, peer):
-    """A reply sent twice by its upstream would answer the request after it."""
+def test_connection_with_an_unrequested_reply_is_not_reused(loop, peer):
+    """An upstream sends a reply twice; the copy would answer the next request."""
     peer.answers = [[EMPTY_REPLY], [OK_REPLY.replace(b"A1", b"B2")]]
     client = loop.client(address(peer), max_connections=1)
     first = get(client)
     loop.until(lambda: first)
-    peer.say(peer.socks[0], OK_REPLY)
+    peer.send_bytes(peer.socks[0], OK_REPLY)
     loop.settle()
     second = get(client)
     loop.until(lambda: second)
@@ -106,11 +106,12 @@
     assert len(peer.requests) == 2
 
 
-def test_close_that_crosses_a_request_is_never_sent_again(loop, peer):
-    """A task runs twice: the upstream closes a kept-alive connection just when a
-    start is written to it, the client takes the close for "not sent" and repeats.
+def test_request_that_crosses_a_close_is_not_sent_again(loop, peer):
+    """Guards against a task that runs twice after a close by the upstream.
 
-    The bytes were handed to the kernel, so the outcome is unknown.
+    The upstream closes a persistent connection while a start is written to it. If the
+    client takes the start for unsent, it sends it again. The kernel had accepted the
+    bytes, so the outcome is unknown.
     """
     peer.answers = [[OK_REPLY]]
     client = loop.client(address(peer), max_connections=1)
@@ -135,7 +136,7 @@
     loop.pass_time(1.1)
     assert isinstance(results[1][0].unwrap_err(), Unavailable)
     peer.answers = [[OK_REPLY]]
-    peer.say(peer.socks[0], OK_REPLY)
+    peer.send_bytes(peer.socks[0], OK_REPLY)
     loop.until(lambda: results[2])
     assert results[0][0].is_ok() and results[2][0].is_ok()
     assert len(peer.requests) == 2
@@ -148,7 +149,7 @@
         OK_REPLY.replace(b"1.1", b"1.0"),
     ],
 )
-def test_reply_that_ends_its_connection_is_taken(loop, peer, last):
+def test_reply_that_closes_its_connection_is_accepted(loop, peer, last):
     peer.answers = [[last], [OK_REPLY]]
     client = loop.client(address(peer), max_connections=1)
     both = [get(client), get(client)]
@@ -157,26 +158,26 @@
     assert peer.socks[0] is not peer.socks[1]
 
 
-def test_reply_in_single_bytes_is_read_whole(loop, peer):
-    peer.answers = [[OK_REPLY[place : place + 1] for place in range(len(OK_REPLY))]]
+def test_reply_in_single_bytes_is_read_completely(loop, peer):
+    peer.answers = [[OK_REPLY[index : index + 1] for index in range(len(OK_REPLY))]]
     results = get(loop.client(address(peer)))
     loop.until(lambda: results)
     assert results[0].unwrap().body == b"A1"
 
 
-def test_large_request_leaves_in_parts(loop, peer):
-    """The kernel takes a part of a big batch; circuits would drop the rest."""
+def test_large_request_is_sent_in_parts(loop, peer):
+    """The kernel accepts only a part of a large batch; circuits would drop the rest."""
     results = []
     client = loop.client(address(peer))
     client.request("POST", "/", b"x" * 4_000_000, 5.0, results.append)
     loop.until(lambda: sum(map(len, peer.requests)) > 4_000_000)
-    peer.say(peer.socks[0], OK_REPLY)
+    peer.send_bytes(peer.socks[0], OK_REPLY)
     loop.until(lambda: results)
     assert results[0].unwrap().body == b"A1"
 
 
 @pytest.mark.parametrize(
-    "nonsense",
+    "malformed",
     [
         b"SSH-2.0-OpenSSH\r\n\r\n",
         b"HTTP/1.1 abc OK\r\n\r\n",
@@ -188,8 +189,8 @@
         OK_REPLY + OK_REPLY,
     ],
 )
-def test_foreign_bytes_end_in_outcome_unknown(loop, peer, nonsense):
-    peer.answers = [[nonsense]]
+def test_malformed_reply_ends_in_outcome_unknown(loop, peer, malformed):
+    peer.answers = [[malformed]]
     client = loop.client(address(peer), max_connections=1)
     results = get(client)
     loop.until(lambda: results)
@@ -200,12 +201,12 @@
     assert after[0].unwrap().body == b"A1"
 
 
-def test_endless_reply_is_cut_off(loop, peer):
+def test_reply_beyond_the_size_limit_is_aborted(loop, peer):
     peer.answers = [[b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"]]
     results = get(loop.client(address(peer)))
     loop.until(lambda: peer.socks)
     for _ in range(10):
-        peer.say(peer.socks[0], b"x" * 1024 * 1024)
+        peer.send_bytes(peer.socks[0], b"x" * 1024 * 1024)
     loop.until(lambda: results)
     assert isinstance(results[0].unwrap_err(), OutcomeUnknown)
 
@@ -219,19 +220,19 @@
     assert isinstance(results[1][0].unwrap_err(), Unavailable)
 
 
-def components_below(component) -> int:
-    return sum(1 + components_below(child) for child in component.components)
+def count_components(component) -> int:
+    return sum(1 + count_components(child) for child in component.components)
 
 
-def test_a_new_connection_leaves_the_loops_table_of_handlers_alone(loop, peer):
-    # Callers wait while a zone's upstreams are taken over: each connection was a
-    # component, with each new one circuits forgot its table of handlers, and it walked
-    # all components again for each event of each connection.
+def test_a_new_connection_keeps_the_handler_table_of_the_loop(loop, peer):
+    # Guards against callers waiting while a host takes over the upstreams of a zone:
+    # each connection was a component, so circuits discarded its handler table with each
+    # new one and walked all components again for each event of each connection.
     client = loop.client(address(peer), max_connections=4)
     get(client)
     loop.until(lambda: peer.requests)
-    before = components_below(loop.root)
+    before = count_components(loop.root)
     client.connect_all()
     loop.until(lambda: all(each.connected for each in client._connections))
     assert len(client._connections) == 4
-    assert components_below(loop.root) == before
+    assert count_components(loop.root) == before
--- a/jackdawspur/adapters/tests/test_log_and_list_http.py
+++ b/jackdawspur/adapters/tests/test_log_and_list_http.py
@@ -1,4 +1,4 @@
-"""The log and the host list over HTTP, against their stand-ins."""
+"""Tests of the log and the host list over HTTP, against their stand-ins."""
 
 import pytest
 
@@ -59,7 +59,7 @@
     return loop.ask(log.read, Stream.CLAIMS, offset, wait_ms)
 
 
-def test_a_reader_that_waits_gets_the_record_appended(loop, log):
+def test_a_waiting_reader_gets_the_appended_record(loop, log):
     waiting = []
     log.read(Stream.CLAIMS, 0, WAIT_MS, waiting.append)
     loop.settle()
@@ -71,17 +71,17 @@
     assert loop.ask(log.read, Stream.CONFIGURATION, 0, 0.0).unwrap() == ()
 
 
-def test_append_with_a_lost_reply_stands_in_the_log(loop, log, fault):
-    """An operator's confirm gets no answer, and yet it is in force everywhere.
+def test_append_with_a_lost_reply_is_in_the_log(loop, log, fault):
+    """An operator's confirm gets no answer although it takes effect on all hosts.
 
-    The log appended it, then its reply was lost; the reader sees the record.
+    The log appends the record, then its reply is lost; readers get the record.
     """
     fault(lose_appends=1)
     assert isinstance(append(loop, log, "a").unwrap_err(), OutcomeUnknown)
     assert read(loop, log, 0).unwrap() == (LogRecord(0, "a"),)
 
 
-def test_trimmed_offsets_tell_where_the_log_starts(loop, log, fault):
+def test_reads_of_trimmed_offsets_report_the_first_offset(loop, log, fault):
     for body in "abcd":
         append(loop, log, body)
     fault(records_kept=2)
@@ -93,30 +93,30 @@
     assert read(loop, log, 2).unwrap_err().first_offset == 4
 
 
-def test_outage_takes_nothing_and_ends(loop, log, fault):
+def test_nothing_is_appended_during_an_outage(loop, log, fault):
     fault(outage=True)
     assert isinstance(append(loop, log, "a").unwrap_err(), OutcomeUnknown)
     fault(silent=True)
-    silent = []
-    log.append(Stream.CLAIMS, "b", silent.append)
+    unanswered = []
+    log.append(Stream.CLAIMS, "b", unanswered.append)
     loop.settle()
     loop.pass_time(2.1)
-    assert isinstance(silent[0].unwrap_err(), OutcomeUnknown)
+    assert isinstance(unanswered[0].unwrap_err(), OutcomeUnknown)
     fault()
     assert append(loop, log, "c").unwrap() == 0
 
 
-def test_rate_limit_says_that_nothing_was_taken(loop, log, fault):
+def test_rate_limited_append_is_unavailable(loop, log, fault):
     fault(appends_per_s=2.0)
-    outcomes = [append(loop, log, str(place)) for place in range(3)]
+    outcomes = [append(loop, log, str(index)) for index in range(3)]
     assert [each.is_ok() for each in outcomes] == [True, True, False]
     assert isinstance(outcomes[2].unwrap_err(), Unavailable)
     loop.pass_time(1.0)
     assert append(loop, log, "3").unwrap() == 2
 
 
-def test_list_shows_a_leaving_host_one_lag_late(loop):
-    """A worker was told to leave, and the list still calls it live for seconds."""
+def test_list_shows_a_leaving_host_with_its_lag(loop):
+    """A worker is told to leave, and the list shows it as live for more seconds."""
     live = HostBody("z1", "w1", HostRole.UPSTREAM)
     settings = HostListSettings(ANY_PORT, lag_ms=5000.0, hosts=(live,))
     service = make_hostlist(settings, loop.root, loop.timer_queue)
--- a/jackdawspur/adapters/tests/test_reply_reader.py
+++ b/jackdawspur/adapters/tests/test_reply_reader.py
@@ -1,13 +1,13 @@
-"""Replies are read the same however their bytes come, and foreign ones refused."""
+"""Tests of parsing replies in parts, and of refusing malformed ones."""
 
 import pytest
 
 from jackdawspur.adapters._reply_reader import (
-    KEPT_HEAD_BYTES,
+    MAX_CACHED_HEAD_BYTES,
     ClientResponse,
+    ReplyDecodeError,
     ReplyReader,
-    UnreadableReply,
-    _read_known_head,
+    _read_head_cached,
 )
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -24,33 +24,33 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(WHOLE)))
-def test_a_reply_in_two_parts_is_read_whole(cut: int):
+def test_a_reply_in_two_parts_is_read_completely(cut: int):
     assert read(WHOLE[:cut], WHOLE[cut:]) == ClientResponse(200, BODY)
 
 
-def test_replies_of_like_heads_are_told_apart():
-    others = b"x" * len(BODY)
+def test_replies_with_equal_heads_keep_their_own_bodies():
+    other_body = b"x" * len(BODY)
     assert read(WHOLE).body == BODY
-    assert read(WHOLE.replace(BODY, others)).body == others
+    assert read(WHOLE.replace(BODY, other_body)).body == other_body
     assert read(WHOLE.replace(b"200 OK", b"409 Conflict")).status == 409
 
 
-def test_a_reply_in_chunks_is_read():
+def test_a_chunked_reply_is_read():
     assert read(CHUNKED) == ClientResponse(200, BODY)
 
 
-def test_long_heads_are_not_kept():
-    # Guards against a host whose memory foreign heads fill.
-    kept = _read_known_head.cache_info().currsize
-    padding = b"X-Padding: " + b"x" * KEPT_HEAD_BYTES + b"\r\n\r\n"
+def test_long_heads_are_not_cached():
+    # Guards against unbounded memory use by long heads of unexpected replies.
+    size = _read_head_cached.cache_info().currsize
+    padding = b"X-Padding: " + b"x" * MAX_CACHED_HEAD_BYTES + b"\r\n\r\n"
     assert read(WHOLE.replace(b"\r\n\r\n", b"\r\n" + padding)).body == BODY
-    assert _read_known_head.cache_info().currsize == kept
+    assert _read_head_cached.cache_info().currsize == size
 
 
-def test_a_connection_that_is_to_be_closed_is_not_kept():
+def test_a_connection_marked_as_closing_is_not_reused():
     reader = ReplyReader()
     reader.feed(WHOLE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-    assert not reader.keeps_alive
+    assert not reader.keep_alive
 
 
 @pytest.mark.parametrize(
@@ -62,6 +62,6 @@
         b"SSH-2.0-x\r\n\r\n",
     ],
 )
-def test_what_is_no_reply_is_refused(data: bytes):
-    with pytest.raises(UnreadableReply):
+def test_malformed_replies_are_refused(data: bytes):
+    with pytest.raises(ReplyDecodeError):
         read(data)
--- a/jackdawspur/adapters/tests/test_deadlines.py
+++ b/jackdawspur/adapters/tests/test_timer_queue.py
@@ -1,25 +1,25 @@
-"""Deadlines call back in order, once, and let the loop go on at once."""
+"""Timers call back once, in order, and keep the poller from waiting afterwards."""
 
 from circuits.core.events import generate_events
 
 
 def poll(loop):
-    """Ask what a poller would be told: how long it may wait."""
+    """Return how long a poller would be allowed to wait."""
     event = generate_events(loop.root._lock, -1)
     loop.timer_queue._on_generate_events(event)
     return event.time_left
 
 
-def test_loop_never_waits_on_events_of_a_deadline(loop):
-    """A long poll's time is up on an idle upstream, and yet no answer comes.
+def test_loop_does_not_wait_after_a_timer_fired_events(loop):
+    """Guards against a long poll of an idle upstream that never gets its reply.
 
-    The deadline fired the reply's event, and the poller then waited without end.
+    The timer fired the event of the reply, and the poller then waited forever.
     """
     called = []
     loop.timer_queue.call_later(2.0, lambda: called.append("late"))
     loop.timer_queue.call_later(1.0, lambda: called.append("early"))
-    dropped = loop.timer_queue.call_later(0.5, lambda: called.append("dropped"))
-    dropped.cancel()
+    cancelled = loop.timer_queue.call_later(0.5, lambda: called.append("dropped"))
+    cancelled.cancel()
     assert poll(loop) == 1.0
     loop.now += 1.0
     assert poll(loop) == 0
--- a/jackdawspur/adapters/tests/test_upstream_http.py
+++ b/jackdawspur/adapters/tests/test_upstream_http.py
@@ -1,4 +1,4 @@
-"""The upstream interface over HTTP, against the worker stand-in."""
+"""Tests of the upstream interface over HTTP, against the worker stand-in."""
 
 import pytest
 
@@ -27,7 +27,7 @@
 
 
 def test_a_full_worker_refuses_and_returns_results_to_their_holder(loop, upstream):
-    reply = loop.ask(upstream.start, [start(place) for place in range(9)])
+    reply = loop.ask(upstream.start, [start(index) for index in range(9)])
     assert refusals(reply) == [None] * 8 + [RefusalReason.FULL]
     poll = []
     upstream.results(0, WAIT_MS, poll.append)
@@ -36,16 +36,16 @@
     loop.pass_time(0.1)
     loop.until(lambda: poll)
     outputs = {each.task: each.output for each in poll[0].unwrap().outcomes}
-    assert outputs == {task(place): f"out {place}" for place in range(8)}
+    assert outputs == {task(index): f"out {index}" for index in range(8)}
 
 
-def test_start_with_a_lost_reply_ran_once_and_status_tells(
+def test_status_shows_that_a_start_with_a_lost_reply_ran_once(
     loop, worker, upstream, fault
 ):
-    """The upstream starts a task, and its reply is lost on the way back.
+    """An upstream starts a task, and its reply is lost.
 
-    A caller would see the work done twice if the start were sent again; the
-    status query tells that it runs, and the worker counts one start.
+    If the start were sent again, the task would run twice. The status query shows that
+    it is running, and the worker counts one start.
     """
     fault(lose_starts=1)
     reply = loop.ask(upstream.start, [start(0)])
@@ -55,10 +55,10 @@
     assert (counters.starts, counters.started_twice) == (1, 0)
 
 
-def test_results_of_a_lost_reply_come_again(loop, upstream, fault):
-    """A whole job's last output is in a poll's reply that is lost.
+def test_results_of_a_lost_reply_are_sent_again(loop, upstream, fault):
+    """The reply to a poll with the last output of a job is lost.
 
-    The worker keeps results until a poll acknowledges them by a larger cursor.
+    The worker keeps results until a poll with a larger cursor acknowledges them.
     """
     fault(lose_results=1)
     loop.ask(upstream.start, [start(0), start(1, run_ms=200)])
@@ -76,10 +76,10 @@
     assert [each.task for each in then[0].unwrap().outcomes] == [task(1)]
 
 
-def test_held_reply_that_is_let_go_late_reaches_no_one(loop, worker, upstream, fault):
-    """An upstream hangs on its replies, then answers everything at once.
+def test_held_reply_that_is_sent_late_is_ignored(loop, worker, upstream, fault):
+    """An upstream holds its replies, then sends all of them at once.
 
-    The requests were given up; the next one must get its own verdict only.
+    The requests have timed out, and the next one must get only its own verdict.
     """
     fault(hold_replies=True)
     held = []
@@ -104,9 +104,11 @@
     assert poll[0].unwrap().outcomes == ()
 
 
-def test_sealed_task_is_refused_when_its_start_comes_late(loop, upstream):
-    """A start is held up in the network, its status is asked and it is placed
-    elsewhere; then the late start arrives. Sealing keeps it from running twice.
+def test_sealed_task_is_refused_when_its_start_arrives_late(loop, upstream):
+    """Guards against a task that runs twice after its start was delayed.
+
+    The start is delayed in the network, the status query seals the task and it is
+    placed on another upstream; then the late start arrives and must be refused.
     """
     sealed = loop.ask(upstream.status, [task(0)], True)
     assert states(sealed) == [TaskState.SEALED]
@@ -115,19 +117,19 @@
 
 
 def test_frozen_worker_answers_after_it_thaws(loop, worker, upstream, fault):
-    """A worker's host is suspended for longer than the lease of its task.
+    """The host of a worker is suspended for longer than the lease of its task.
 
-    On waking it stops the task, whose holder may long have given it up.
+    When it resumes, it stops the task, which its holder may have given up long ago.
     """
     loop.ask(upstream.start, [start(0, run_ms=4000, lease_ms=3000)])
     fault(frozen_ms=6000)
-    asked = []
-    upstream.status([task(0)], False, asked.append)
+    replies = []
+    upstream.status([task(0)], False, replies.append)
     loop.settle()
-    assert not asked
+    assert not replies
     loop.pass_time(6.1)
-    loop.until(lambda: asked)
-    assert isinstance(asked[0].unwrap_err(), OutcomeUnknown)
+    loop.until(lambda: replies)
+    assert isinstance(replies[0].unwrap_err(), OutcomeUnknown)
     reply = loop.ask(upstream.status, [task(0)], False)
     assert states(reply) == [TaskState.STOPPED]
 
@@ -144,7 +146,7 @@
     assert (usage.slots, usage.busy, usage.leaving) == (8, 0, False)
 
 
-def test_reply_for_other_tasks_is_foreign(loop, worker, upstream, monkeypatch):
+def test_reply_for_other_tasks_is_malformed(loop, worker, upstream, monkeypatch):
     answer = worker.worker.start
     wrong = [start(5)]
 
