--- a/jackdawspur/adapters/_hostlist_http.py
+++ b/jackdawspur/adapters/_hostlist_http.py
@@ -51,7 +51,8 @@
 
 
 def _decode(body: bytes) -> tuple[ListedHost, ...]:
-    read = msgspec.json.decode(body, type=HostsBody)
+    decoded = msgspec.json.decode(body, type=HostsBody)
     return tuple(
-        ListedHost(each.zone, each.name, each.role, each.leaving) for each in read.hosts
+        ListedHost(each.zone, each.name, each.role, each.leaving)
+        for each in decoded.hosts
     )
--- a/jackdawspur/adapters/_log_http.py
+++ b/jackdawspur/adapters/_log_http.py
@@ -92,5 +92,5 @@
 def _read_records(reply: ClientResponse) -> tuple[LogRecord, ...]:
     if reply.status == GONE:
         raise LogTrimmed(msgspec.json.decode(reply.body, type=TrimmedReply).first)
-    read = msgspec.json.decode(success_body(reply), type=ReadReply)
-    return tuple(LogRecord(each.offset, each.body) for each in read.records)
+    decoded = msgspec.json.decode(success_body(reply), type=ReadReply)
+    return tuple(LogRecord(each.offset, each.body) for each in decoded.records)
--- a/jackdawspur/adapters/_upstream_http.py
+++ b/jackdawspur/adapters/_upstream_http.py
@@ -76,10 +76,10 @@
         bodies = tuple(_start_body(each) for each in starts)
         body = msgspec.json.encode(StartsRequest(self._holder, bodies))
 
-        def read(reply: ClientResponse) -> UpstreamReply:
+        def decode(reply: ClientResponse) -> UpstreamReply:
             return self._read_verdicts(reply, starts, bodies)
 
-        self._post("/v1/starts", body, self._timeouts.start_ms, read, done)
+        self._post("/v1/starts", body, self._timeouts.start_ms, decode, done)
 
     def results(self, cursor: int, wait_ms: float, done: Done) -> None:
         """Wait for tasks of this host that ended after `cursor`."""
@@ -121,20 +121,20 @@
         encoded_ids: tuple[str, ...],
         done: Done,
     ) -> None:
-        def read(reply: ClientResponse) -> UpstreamReply:
+        def decode(reply: ClientResponse) -> UpstreamReply:
             return self._read_outcomes(reply, tasks, encoded_ids)
 
-        self._post(path, body, self._timeouts.status_ms, read, done)
+        self._post(path, body, self._timeouts.status_ms, decode, done)
 
     def _post(
         self,
         path: str,
         body: bytes,
         timeout_ms: float,
-        read: Callable[[ClientResponse], UpstreamReply],
+        decode: Callable[[ClientResponse], UpstreamReply],
         done: Done,
     ) -> None:
-        receive = reply_handler(str(self._upstream), read, done)
+        receive = reply_handler(str(self._upstream), decode, done)
         self._requests.request("POST", path, body, timeout_ms / MS, receive)
 
     def _read_verdicts(
@@ -143,15 +143,15 @@
         starts: Sequence[TaskStart],
         bodies: tuple[StartBody, ...],
     ) -> UpstreamReply:
-        read = msgspec.json.decode(success_body(reply), type=StartsReply)
+        decoded = msgspec.json.decode(success_body(reply), type=StartsReply)
         _check_tasks(
-            [each.task for each in read.verdicts], [each.task for each in bodies]
+            [each.task for each in decoded.verdicts], [each.task for each in bodies]
         )
         verdicts = tuple(
             StartVerdict(start.task, each.refusal)
-            for start, each in zip(starts, read.verdicts, strict=True)
+            for start, each in zip(starts, decoded.verdicts, strict=True)
         )
-        return UpstreamReply(self._upstream, read.incarnation, verdicts)
+        return UpstreamReply(self._upstream, decoded.incarnation, verdicts)
 
     def _read_outcomes(
         self,
@@ -159,28 +159,31 @@
         tasks: Sequence[TaskId],
         encoded_ids: tuple[str, ...],
     ) -> UpstreamReply:
-        read = msgspec.json.decode(success_body(reply), type=StatusReply)
-        _check_tasks([each.task for each in read.outcomes], list(encoded_ids))
+        decoded = msgspec.json.decode(success_body(reply), type=StatusReply)
+        _check_tasks([each.task for each in decoded.outcomes], list(encoded_ids))
         outcomes = tuple(
             TaskOutcome(task, each.state, each.output, each.error)
-            for task, each in zip(tasks, read.outcomes, strict=True)
+            for task, each in zip(tasks, decoded.outcomes, strict=True)
         )
-        return UpstreamReply(self._upstream, read.incarnation, outcomes=outcomes)
+        return UpstreamReply(self._upstream, decoded.incarnation, outcomes=outcomes)
 
     def _read_results(self, reply: ClientResponse) -> UpstreamReply:
-        read = msgspec.json.decode(success_body(reply), type=StatusReply)
+        decoded = msgspec.json.decode(success_body(reply), type=StatusReply)
         outcomes = tuple(
             TaskOutcome(TaskId.parse(each.task), each.state, each.output, each.error)
-            for each in read.outcomes
+            for each in decoded.outcomes
         )
         return UpstreamReply(
-            self._upstream, read.incarnation, outcomes=outcomes, cursor=read.cursor
+            self._upstream,
+            decoded.incarnation,
+            outcomes=outcomes,
+            cursor=decoded.cursor,
         )
 
     def _read_usage(self, reply: ClientResponse) -> UpstreamReply:
-        read = msgspec.json.decode(success_body(reply), type=UsageReply)
-        usage = Usage(read.slots, read.busy, read.leaving)
-        return UpstreamReply(self._upstream, read.incarnation, usage=usage)
+        decoded = msgspec.json.decode(success_body(reply), type=UsageReply)
+        usage = Usage(decoded.slots, decoded.busy, decoded.leaving)
+        return UpstreamReply(self._upstream, decoded.incarnation, usage=usage)
 
 
 def _start_body(start: TaskStart) -> StartBody:
--- a/jackdawspur/cli/__init__.py
+++ b/jackdawspur/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Command line of the dispatcher."""
 
 from jackdawspur.cli._main import main
 
--- a/jackdawspur/cli/_bounded_output.py
+++ b/jackdawspur/cli/_bounded_output.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output that never block and never flood."""
+"""A log handler for standard output with a bounded rate that never blocks."""
 
 import logging
 import os
@@ -7,15 +7,15 @@
 
 __all__ = ["BoundedOutput"]
 
-LINES_A_SECOND = 120
+MAX_LINES_PER_SECOND = 120
 STDOUT = 1
 
 
 class BoundedOutput(logging.Handler):
-    """Write lines up to a rate; say how many were left out.
+    """Writes log lines up to a maximum rate and reports how many were dropped.
 
-    A reader that stops fills the pipe. A write that blocked then would stop the only
-    thread there is, and with it all requests, so the line is dropped and counted.
+    If the reader stops, the pipe fills up. A blocking write would then stop the only
+    thread and thus all requests, so the line is dropped and counted instead.
     """
 
     def __init__(
@@ -29,32 +29,35 @@
         os.set_blocking(descriptor, False)
         self._second = 0
         self._written = 0
-        self._left_out = 0
-        self._rest = b""
+        self._dropped_lines = 0
+        self._unsent = b""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, unless this second's are used up."""
+        """Write one line unless the limit of the current second is reached.
+
+        Errors are written beyond the limit.
+        """
         second = int(self._clock())
         if second != self._second:
             self._second, self._written = second, 0
-        if self._written >= LINES_A_SECOND and record.levelno < logging.ERROR:
-            self._left_out += 1
+        if self._written >= MAX_LINES_PER_SECOND and record.levelno < logging.ERROR:
+            self._dropped_lines += 1
             return
         self._written += 1
-        if self._left_out:
-            record.left_out = self._left_out
+        if self._dropped_lines:
+            record.left_out = self._dropped_lines
         self._write(self.format(record).encode() + b"\n")
 
     def _write(self, line: bytes) -> None:
-        data = self._rest + line
+        data = self._unsent + line
         try:
             sent = os.write(self._descriptor, data)
         except BlockingIOError:
-            self._left_out += 1
+            self._dropped_lines += 1
             return
         except OSError:
-            self._left_out += 1
+            self._dropped_lines += 1
             return
-        # The rest of a line that was cut goes first next time, so lines stay whole.
-        self._rest = data[sent:]
-        self._left_out = 0
+        # The rest of a partly written line is written first next time.
+        self._unsent = data[sent:]
+        self._dropped_lines = 0
--- a/jackdawspur/cli/_caller.py
+++ b/jackdawspur/cli/_caller.py
@@ -1,17 +1,17 @@
-"""Commands of callers: submit and cancel."""
+"""Commands for callers: submit and cancel."""
 
 from collections.abc import Sequence
 
 from absl import flags
 
 from jackdawspur.cli._exit import ExitCode
-from jackdawspur.cli._http import ask, one_argument, print_reply, read_input
+from jackdawspur.cli._http import print_reply, read_input, send_request, single_argument
 
 __all__ = ["define_common", "define_submit", "run_cancel", "run_submit"]
 
 
 def define_common(values: flags.FlagValues) -> None:
-    """Define the flags that all callers' commands share."""
+    """Define the flags shared by all commands that send a request to a host."""
     flags.DEFINE_string(
         "host", "127.0.0.1:18001", "Entry host, IP:port.", flag_values=values
     )
@@ -22,24 +22,24 @@
     """Define the flags of ``submit``."""
     define_common(values)
     flags.DEFINE_string(
-        "key", None, "Idempotency key of the caller's own.", flag_values=values
+        "key", None, "Idempotency key chosen by the caller.", flag_values=values
     )
     flags.DEFINE_boolean(
         "wait", True, "Wait for the answer instead of polling.", flag_values=values
     )
 
 
-def run_submit(values: flags.FlagValues, rest: Sequence[str]) -> ExitCode:
+def run_submit(values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
     """Submit the job in a file."""
-    body = read_input(one_argument(list(rest), "a job file or -"))
+    body = read_input(single_argument(list(positional), "a job file or -"))
     path = f"/v1/jobs?wait={'true' if values.wait else 'false'}"
-    reply = ask(values.host, "POST", path, values.token, body, values.key)
+    reply = send_request(values.host, "POST", path, values.token, body, values.key)
     return print_reply(reply, values.host)
 
 
-def run_cancel(values: flags.FlagValues, rest: Sequence[str]) -> ExitCode:
+def run_cancel(values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
     """Cancel a submission."""
-    submission = one_argument(list(rest), "a submission id")
+    submission = single_argument(list(positional), "a submission id")
     path = f"/v1/submissions/{submission}"
-    reply = ask(values.host, "DELETE", path, values.token)
+    reply = send_request(values.host, "DELETE", path, values.token)
     return print_reply(reply, values.host)
--- a/jackdawspur/cli/_check.py
+++ b/jackdawspur/cli/_check.py
@@ -1,4 +1,4 @@
-"""The command that checks settings and configuration files."""
+"""Command that checks settings and configuration files."""
 
 import sys
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 __all__ = ["define", "run"]
 
 CONFIGURATION = "configuration"
-# The settings file that the customers' platform writes, in its own format.
+# Settings file written by the customers' platform in its own format.
 PLATFORM_FILE = "platform-file"
 HOST = "front"
 KINDS = {
@@ -40,16 +40,16 @@
         "kind",
         "entry",
         [*KINDS, HOST, CONFIGURATION, PLATFORM_FILE],
-        "What the files are.",
+        "Kind of the files.",
         flag_values=values,
     )
 
 
-def run(values: flags.FlagValues, rest: Sequence[str]) -> ExitCode:
-    """Check each file and print its verdict."""
-    if not rest:
+def run(values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
+    """Check each file and print the result; raise an error for the first invalid one."""
+    if not positional:
         raise UsageError("expected at least one file")
-    for path in rest:
+    for path in positional:
         if values.kind == CONFIGURATION:
             _check_configuration(path)
         elif values.kind == PLATFORM_FILE:
@@ -68,5 +68,5 @@
     except OSError as error:
         raise UsageError(f"{path}: {error.strerror}") from error
     except InvalidConfiguration as error:
-        faults = "; ".join(f"{e.path}: {e.message}" for e in error.errors)
-        raise UsageError(f"{path}: {faults}") from error
+        messages = "; ".join(f"{e.path}: {e.message}" for e in error.errors)
+        raise UsageError(f"{path}: {messages}") from error
--- a/jackdawspur/cli/_entry.py
+++ b/jackdawspur/cli/_entry.py
@@ -1,4 +1,4 @@
-"""The command that runs an entry host."""
+"""Command that runs an entry host."""
 
 from collections.abc import Sequence
 
@@ -17,8 +17,8 @@
     flags.mark_flag_as_required("settings", flag_values=values)
 
 
-def run(values: flags.FlagValues, _rest: Sequence[str]) -> ExitCode:
-    """Run until told to stop."""
+def run(values: flags.FlagValues, _positional: Sequence[str]) -> ExitCode:
+    """Run an entry host until it is stopped."""
     from jackdawspur.entry import run_entry
 
     settings = load_settings(EntrySettings, values.settings)
--- a/jackdawspur/cli/_exit.py
+++ b/jackdawspur/cli/_exit.py
@@ -1,4 +1,4 @@
-"""Exit statuses and errors of the command line."""
+"""Exit codes and errors of the command line."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Say how a command ended."""
+    """Exit codes of the commands."""
 
     OK = 0
     FAILED = 1
@@ -20,7 +20,7 @@
 
     @property
     def meaning(self) -> str:
-        """Return the status in words."""
+        """Return a description of the exit code."""
         return _MEANINGS[self]
 
 
@@ -36,4 +36,4 @@
 
 
 class UsageError(JackdawspurError):
-    """Raise when a command is called with the wrong arguments."""
+    """Raised when a command is called with invalid arguments."""
--- a/jackdawspur/cli/_front.py
+++ b/jackdawspur/cli/_front.py
@@ -1,4 +1,4 @@
-"""The command that runs a host on the customers' platform."""
+"""Command that runs a host on the customers' platform."""
 
 from collections.abc import Sequence
 
@@ -18,7 +18,7 @@
 
 
 def read_host_settings(json_path: str | None, path: str | None = None) -> HostSettings:
-    """Return settings of a file in JSON, or else of the platform's own file."""
+    """Return the settings in a JSON file or, without one, in the platform's file."""
     from jackdawspur.platform import load_platform_settings
 
     if json_path:
@@ -26,8 +26,8 @@
     return load_platform_settings(path)
 
 
-def run(values: flags.FlagValues, _rest: Sequence[str]) -> ExitCode:
-    """Run until told to stop."""
+def run(values: flags.FlagValues, _positional: Sequence[str]) -> ExitCode:
+    """Run a host until it is stopped."""
     from jackdawspur.adapters import TimerQueue
     from jackdawspur.front import PlatformPorts, run_front
     from jackdawspur.platform import (
--- a/jackdawspur/cli/_http.py
+++ b/jackdawspur/cli/_http.py
@@ -1,4 +1,4 @@
-"""One HTTP request of a command to an entry host."""
+"""HTTP requests of commands to an entry host."""
 
 import http.client
 import sys
@@ -7,23 +7,23 @@
 
 from jackdawspur.cli._exit import ExitCode, UsageError
 
-__all__ = ["Reply", "ask", "one_argument", "print_reply", "read_input"]
+__all__ = ["Reply", "print_reply", "read_input", "send_request", "single_argument"]
 
 TIMEOUT_S = 60.0
-OK_CEILING = 300
-FAILED_FLOOR = 500
+FIRST_NON_SUCCESS_STATUS = 300
+FIRST_FAILED_STATUS = 500
 REFUSED_STATUS = 503
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Carry what an entry host replied."""
+    """Reply of an entry host."""
 
     status: int
     body: str
 
 
-def ask(
+def send_request(
     host: str,
     method: str,
     path: str,
@@ -31,7 +31,7 @@
     body: bytes = b"",
     key: str | None = None,
 ) -> Reply | None:
-    """Return the reply of an entry host, or None when none came."""
+    """Send a request to an entry host; return its reply, or None without one."""
     address, _, port = host.rpartition(":")
     if not address or not port.isdigit():
         raise UsageError(f"--host: expected IP:port, got {host!r}")
@@ -59,20 +59,20 @@
         raise UsageError(f"{name}: {error.strerror}") from error
 
 
-def one_argument(rest: list[str], what: str) -> str:
-    """Return the only argument of a command."""
-    if len(rest) != 1:
-        raise UsageError(f"expected one argument, {what}")
-    return rest[0]
+def single_argument(positional: list[str], expected: str) -> str:
+    """Return the only positional argument of a command, described by `expected`."""
+    if len(positional) != 1:
+        raise UsageError(f"expected one argument, {expected}")
+    return positional[0]
 
 
 def print_reply(reply: Reply | None, host: str) -> ExitCode:
-    """Print a reply and return the matching exit status."""
+    """Print a reply and return the matching exit code."""
     if reply is None:
         sys.stderr.write(f"jackdawspur: no answer from {host}\n")
         return ExitCode.UNREACHABLE
     sys.stdout.write(reply.body.rstrip("\n") + "\n")
-    if reply.status < OK_CEILING:
+    if reply.status < FIRST_NON_SUCCESS_STATUS:
         return ExitCode.OK
-    refused = reply.status < FAILED_FLOOR or reply.status == REFUSED_STATUS
+    refused = reply.status < FIRST_FAILED_STATUS or reply.status == REFUSED_STATUS
     return ExitCode.REFUSED if refused else ExitCode.FAILED
--- a/jackdawspur/cli/_load.py
+++ b/jackdawspur/cli/_load.py
@@ -1,4 +1,4 @@
-"""The command that puts load on a deployment."""
+"""Command that puts load on a deployment."""
 
 import sys
 from collections.abc import Sequence
@@ -30,21 +30,26 @@
         "seconds", 20.0, "How long to submit.", 0.1, 3600.0, flag_values=values
     )
     flags.DEFINE_float(
-        "load", 0.5, "Part of all slots to keep busy.", 0.001, 5.0, flag_values=values
+        "load",
+        0.5,
+        "Fraction of all slots to keep busy.",
+        0.001,
+        5.0,
+        flag_values=values,
     )
     flags.DEFINE_integer("seed", 1, "Seed of the arrivals.", flag_values=values)
     flags.DEFINE_integer(
         "other_tasks",
         0,
-        "Tasks that other callers start meanwhile.",
+        "Tasks that other callers start during the run.",
         0,
         flag_values=values,
     )
     flags.mark_flag_as_required("deployment", flag_values=values)
 
 
-def run(values: flags.FlagValues, _rest: Sequence[str]) -> ExitCode:
-    """Submit jobs and print progress, then one JSON line."""
+def run(values: flags.FlagValues, _positional: Sequence[str]) -> ExitCode:
+    """Submit jobs, print the progress and then the report as one JSON line."""
     from jackdawspur.load import DEPLOYMENT_MIXES, LoadPlan
 
     configuration = _read(values.deployment)
@@ -63,7 +68,7 @@
         seed=values.seed,
         other_tasks=values.other_tasks,
     )
-    return _drive(plan)
+    return _run_load(plan)
 
 
 def _read(path: str) -> Configuration:
@@ -75,7 +80,7 @@
         raise UsageError(f"{path}: {error}") from error
 
 
-def _drive(plan) -> ExitCode:
+def _run_load(plan) -> ExitCode:
     from circuits import Component
     from circuits.core.pollers import EPoll
 
@@ -86,14 +91,14 @@
     EPoll().register(root)
     reports = []
 
-    def finished(tally: LoadCounters, upstreams, open_jobs: int) -> None:
+    def on_finished(counters: LoadCounters, upstreams, open_jobs: int) -> None:
         reports.append(
-            tally.report(plan.deployment, upstreams, open_jobs, plan.other_tasks)
+            counters.report(plan.deployment, upstreams, open_jobs, plan.other_tasks)
         )
         root.stop()
 
     timer_queue = TimerQueue().register(root)
-    LoadDriver(plan, timer_queue, _say, finished).register(root)
+    LoadDriver(plan, timer_queue, _print_progress, on_finished).register(root)
     root.run()
     if not reports:
         return ExitCode.INTERRUPTED
@@ -101,6 +106,6 @@
     return ExitCode.OK if reports[0].invariants_held else ExitCode.BROKEN
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     sys.stdout.write(text + "\n")
     sys.stdout.flush()
--- a/jackdawspur/cli/_logs.py
+++ b/jackdawspur/cli/_logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard error."""
+"""Set-up of logging as JSON lines."""
 
 import logging
 
@@ -12,7 +12,7 @@
 
 
 def json_formatter(host: str) -> JsonFormatter:
-    """Return what turns a record into a JSON object, with the host's name in it."""
+    """Return a formatter that encodes records as JSON with the name of the host."""
     return JsonFormatter(
         FIELDS,
         rename_fields={"asctime": "time", "levelname": "level", "name": "logger"},
@@ -21,17 +21,17 @@
 
 
 def set_up_logs(level: str, host: str) -> None:
-    """Write one JSON object a line to standard error."""
-    _use(logging.StreamHandler(), level, host)
+    """Log to standard error, one JSON object per line."""
+    _install_handler(logging.StreamHandler(), level, host)
 
 
 def set_up_bounded_logs(level: str, host: str) -> None:
-    """Write JSON lines to standard output, at a bounded rate and without blocking."""
-    _use(BoundedOutput(), level, host)
+    """Log JSON lines to standard output, at a bounded rate and without blocking."""
+    _install_handler(BoundedOutput(), level, host)
 
 
-def _use(output: logging.Handler, level: str, host: str) -> None:
-    output.setFormatter(json_formatter(host))
+def _install_handler(log_handler: logging.Handler, level: str, host: str) -> None:
+    log_handler.setFormatter(json_formatter(host))
     root = logging.getLogger()
-    root.handlers = [output]
+    root.handlers = [log_handler]
     root.setLevel(level)
--- a/jackdawspur/cli/_main.py
+++ b/jackdawspur/cli/_main.py
@@ -1,4 +1,4 @@
-"""One program with subcommands, on absl.flags."""
+"""The program and its subcommands, based on absl.flags."""
 
 import sys
 from collections.abc import Sequence
@@ -19,10 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """Describe a subcommand; `examples` follow the program's name.
+    """A subcommand; `examples` are command lines without the program name.
 
-    Its module is imported when it is used: a host would start half a second later with
-    the imports of all commands, and a zone that lost power waits for its hosts.
+    Its module is imported on first use: importing the modules of all commands would
+    delay the start of a host by half a second, and a zone that lost power waits for its
+    hosts.
     """
 
     name: str
@@ -36,9 +37,9 @@
         """Define the flags of the command."""
         getattr(self._loaded(), self.definer)(values)
 
-    def run(self, values: flags.FlagValues, rest: Sequence[str]) -> ExitCode:
+    def run(self, values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
         """Run the command."""
-        return getattr(self._loaded(), self.runner)(values, rest)
+        return getattr(self._loaded(), self.runner)(values, positional)
 
     def _loaded(self) -> ModuleType:
         return import_module(f"jackdawspur.cli.{self.module}")
@@ -140,7 +141,7 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Run a subcommand and return the exit status."""
+    """Run a subcommand and return the exit code."""
     arguments = list(argv[1:])
     if not arguments or arguments[0] in ("--help", "-h", "help"):
         sys.stdout.write(_overview())
@@ -151,7 +152,9 @@
     command = next((c for c in COMMANDS if c.name == arguments[0]), None)
     if command is None:
         names = ", ".join(c.name for c in COMMANDS)
-        return _complain(f"no command {arguments[0]!r}; expected one of {names}")
+        return _print_usage_error(
+            f"no command {arguments[0]!r}; expected one of {names}"
+        )
     return _run(command, arguments[1:])
 
 
@@ -162,17 +165,17 @@
         sys.stdout.write(_help(command, values))
         return ExitCode.OK
     try:
-        rest = values([command.name, *arguments])[1:]
-        return int(command.run(values, rest))
+        positional = values([command.name, *arguments])[1:]
+        return int(command.run(values, positional))
     except flags.Error as error:
-        return _complain(f"{command.name}: {error}")
+        return _print_usage_error(f"{command.name}: {error}")
     except (UsageError, SettingsError) as error:
-        return _complain(f"{command.name}: {error}")
+        return _print_usage_error(f"{command.name}: {error}")
     except KeyboardInterrupt:
         return ExitCode.INTERRUPTED
 
 
-def _complain(text: str) -> int:
+def _print_usage_error(text: str) -> int:
     sys.stderr.write(f"{PROGRAM}: {' '.join(text.split())}\n")
     return ExitCode.USAGE
 
--- a/jackdawspur/cli/_operator.py
+++ b/jackdawspur/cli/_operator.py
@@ -1,4 +1,4 @@
-"""Commands of operators: status, plan, confirm and history."""
+"""Commands for operators: status, plan, confirm and history."""
 
 from collections.abc import Sequence
 
@@ -7,7 +7,7 @@
 
 from jackdawspur.cli._caller import define_common
 from jackdawspur.cli._exit import ExitCode, UsageError
-from jackdawspur.cli._http import ask, one_argument, print_reply, read_input
+from jackdawspur.cli._http import print_reply, read_input, send_request, single_argument
 from jackdawspur.configuration import (
     Configuration,
     Intent,
@@ -27,21 +27,21 @@
 
 
 def define(values: flags.FlagValues) -> None:
-    """Define the flags of operators' commands."""
+    """Define the flags shared by the commands for operators."""
     define_common(values)
     flags.DEFINE_boolean(
         "json", False, "Print JSON instead of text.", flag_values=values
     )
 
 
-def run_status(values: flags.FlagValues, _rest: Sequence[str]) -> ExitCode:
-    """Show a host."""
-    return _ask(values, "GET", "/status")
+def run_status(values: flags.FlagValues, _positional: Sequence[str]) -> ExitCode:
+    """Show the status of a host."""
+    return _request(values, "GET", "/status")
 
 
-def run_history(values: flags.FlagValues, _rest: Sequence[str]) -> ExitCode:
-    """Show the changes."""
-    return _ask(values, "GET", "/admin/v1/history")
+def run_history(values: flags.FlagValues, _positional: Sequence[str]) -> ExitCode:
+    """Show the history of configuration changes."""
+    return _request(values, "GET", "/admin/v1/history")
 
 
 def define_plan(values: flags.FlagValues) -> None:
@@ -50,7 +50,7 @@
     flags.DEFINE_boolean(
         "first",
         False,
-        "The file is a whole configuration, to be the first in force.",
+        "The file is a complete configuration, to be the first in force.",
         flag_values=values,
     )
     flags.DEFINE_string(
@@ -58,33 +58,33 @@
     )
 
 
-def run_plan(values: flags.FlagValues, rest: Sequence[str]) -> ExitCode:
-    """Plan the intent in a file."""
-    intent = read_input(one_argument(list(rest), "an intent file or -"))
+def run_plan(values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
+    """Plan the change described in a file."""
+    intent = read_input(single_argument(list(positional), "an intent file or -"))
     if values.first:
         intent = _first_intent(intent, values.reason)
-    return _ask(values, "POST", "/admin/v1/plans", intent)
+    return _request(values, "POST", "/admin/v1/plans", intent)
 
 
 def _first_intent(document: bytes, reason: str) -> bytes:
-    """Return the intent that leads from nothing to a whole configuration."""
+    """Return the intent that creates a complete configuration from an empty one."""
     try:
-        wanted = load_configuration(document.decode())
+        first_configuration = load_configuration(document.decode())
     except InvalidConfiguration as error:
         raise UsageError(str(error)) from error
-    changes = changes_between(Configuration(), wanted)
+    changes = changes_between(Configuration(), first_configuration)
     return TypeAdapter(Intent).dump_json(Intent(reason=reason, changes=changes))
 
 
-def run_confirm(values: flags.FlagValues, rest: Sequence[str]) -> ExitCode:
+def run_confirm(values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
     """Confirm a plan by its id."""
-    plan = one_argument(list(rest), "a plan id")
-    return _ask(values, "POST", f"/admin/v1/plans/{plan}/confirm")
+    plan = single_argument(list(positional), "a plan id")
+    return _request(values, "POST", f"/admin/v1/plans/{plan}/confirm")
 
 
-def _ask(
+def _request(
     values: flags.FlagValues, method: str, path: str, body: bytes = b""
 ) -> ExitCode:
     query = "" if values.json else "?format=text"
-    reply = ask(values.host, method, path + query, values.token, body)
+    reply = send_request(values.host, method, path + query, values.token, body)
     return print_reply(reply, values.host)
--- a/jackdawspur/cli/_standin.py
+++ b/jackdawspur/cli/_standin.py
@@ -1,4 +1,4 @@
-"""The command that runs a stand-in of the platform."""
+"""Command that runs a stand-in of the platform."""
 
 from collections.abc import Sequence
 
@@ -22,17 +22,17 @@
     flags.mark_flag_as_required("settings", flag_values=values)
 
 
-def run(values: flags.FlagValues, rest: Sequence[str]) -> ExitCode:
-    """Run one kind of stand-in until told to stop."""
+def run(values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
+    """Run one kind of stand-in until it is stopped."""
     runners = {
         "worker": _worker,
         "log": _log,
         "hostlist": _hostlist,
         "platform": _platform,
     }
-    if len(rest) != 1 or rest[0] not in runners:
+    if len(positional) != 1 or positional[0] not in runners:
         raise UsageError(f"expected one of {', '.join(runners)}")
-    runners[rest[0]](values.settings)
+    runners[positional[0]](values.settings)
     return ExitCode.OK
 
 
--- a/jackdawspur/cli/tests/test_bounded_output.py
+++ b/jackdawspur/cli/tests/test_bounded_output.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded and never stop the process."""
+"""Log output has a bounded rate and never blocks the process."""
 
 import json
 import logging
@@ -6,12 +6,12 @@
 
 import pytest
 
-from jackdawspur.cli._bounded_output import LINES_A_SECOND, BoundedOutput
+from jackdawspur.cli._bounded_output import MAX_LINES_PER_SECOND, BoundedOutput
 from jackdawspur.cli._logs import json_formatter
 
 
 class Clock:
-    """Show the time that a test sets."""
+    """Clock that returns the time set by a test."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -38,9 +38,9 @@
 def logger(pipe, clock) -> logging.Logger:
     output = BoundedOutput(pipe[1], clock)
     output.setFormatter(json_formatter("h1"))
-    one = logging.Logger("test")
-    one.addHandler(output)
-    return one
+    test_logger = logging.Logger("test")
+    test_logger.addHandler(output)
+    return test_logger
 
 
 def read(reader: int) -> bytes:
@@ -52,24 +52,24 @@
             return data
 
 
-def test_lines_beyond_the_rate_are_counted_in_the_next_one(pipe, clock, logger):
-    for number in range(LINES_A_SECOND + 30):
+def test_lines_beyond_the_rate_are_counted_in_the_next_line(pipe, clock, logger):
+    for number in range(MAX_LINES_PER_SECOND + 30):
         logger.info("line", extra={"number": number})
-    assert len(read(pipe[0]).splitlines()) == LINES_A_SECOND
+    assert len(read(pipe[0]).splitlines()) == MAX_LINES_PER_SECOND
     clock.now += 1.0
     logger.info("after")
     assert json.loads(read(pipe[0]))["left_out"] == 30
 
 
-def test_a_reader_that_stops_costs_lines_and_never_waits(pipe, logger):
-    # All requests of a host hang: whatever read its log had stopped, and the one thread
-    # that there is waited in a write. (A write that waits would hang this test.)
+def test_lines_are_dropped_without_blocking_when_the_reader_stops(pipe, logger):
+    # Guards against a host on which all requests hang: the reader of its log stopped,
+    # and its only thread blocked in a write. A blocking write would hang this test.
     for _ in range(100):
         logger.error("x" * 4000)
     assert 0 < read(pipe[0]).count(b"\n") < 100
 
 
-def test_a_line_cut_by_a_full_pipe_is_completed_first(pipe, logger):
+def test_a_line_truncated_by_a_full_pipe_is_completed_first(pipe, logger):
     for _ in range(40):
         logger.error("y" * 3001)
     before = read(pipe[0])
--- a/jackdawspur/cli/tests/test_start.py
+++ b/jackdawspur/cli/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A host's start imports what it serves with, and no more."""
+"""A host imports only the modules that it uses when it starts."""
 
 import os
 import subprocess
@@ -16,7 +16,7 @@
 from jackdawspur.platform import PlatformUpstreamClient
 print("\\n".join(sys.modules))
 """
-# What a host on the customers' platform never calls.
+# Modules that a host on the customers' platform never uses.
 UNUSED = {
     "jackdawspur.dispatch",
     "jackdawspur.entry",
@@ -29,13 +29,13 @@
 
 
 def test_a_host_starts_without_site_packages_and_unused_modules():
-    # Guards against a zone that lost power waiting longer for its hosts: their imports
-    # are most of what they do until they serve.
+    # Guards against a longer wait for the hosts of a zone that lost power: imports take
+    # most of the time until a host serves.
     root = Path(jackdawspur.__file__).parent.parent
-    places = (str(root), sysconfig.get_path("purelib"))
+    paths = (str(root), sysconfig.get_path("purelib"))
     done = subprocess.run(
         [sys.executable, "-S", "-c", IMPORTS],
-        env={**os.environ, "PYTHONPATH": os.pathsep.join(places)},
+        env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)},
         capture_output=True,
         text=True,
         check=True,
--- a/jackdawspur/metrics/_histograms.py
+++ b/jackdawspur/metrics/_histograms.py
@@ -1,4 +1,4 @@
-"""HDR histograms by customer and class, in bounded number."""
+"""A bounded number of HDR histograms by customer and job class."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -7,15 +7,15 @@
 
 __all__ = ["HistogramKey", "HistogramSummary", "Histograms"]
 
-LOWEST_MS = 1
-HIGHEST_MS = 3_600_000
+MIN_MS = 1
+MAX_MS = 3_600_000
 SIGNIFICANT_DIGITS = 2
-HISTOGRAMS_KEPT = 500
+MAX_HISTOGRAMS = 500
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class HistogramKey:
-    """Name a class of a customer's jobs."""
+    """A job class of a customer."""
 
     customer: str
     job_class: str
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistogramSummary:
-    """Summarize one histogram; times in milliseconds."""
+    """Count and percentiles of one histogram; times in milliseconds."""
 
     name: HistogramKey
     count: int
@@ -34,34 +34,34 @@
 
 
 class Histograms:
-    """Record durations; the class least recently used makes room for a new one."""
+    """Records durations; evicts the least recently used class beyond the bound."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[HistogramKey, HdrHistogram] = OrderedDict()
+        self._histograms: OrderedDict[HistogramKey, HdrHistogram] = OrderedDict()
 
-    def record(self, name: HistogramKey, duration_ms: float) -> None:
-        """Record one duration; those beyond the range count at its ends."""
-        histogram = self._kept.get(name)
+    def record(self, key: HistogramKey, duration_ms: float) -> None:
+        """Record a duration, clamped to the range of the histogram."""
+        histogram = self._histograms.get(key)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, SIGNIFICANT_DIGITS)
-            self._kept[name] = histogram
-            if len(self._kept) > HISTOGRAMS_KEPT:
-                self._kept.popitem(last=False)
+            histogram = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
+            self._histograms[key] = histogram
+            if len(self._histograms) > MAX_HISTOGRAMS:
+                self._histograms.popitem(last=False)
         else:
-            self._kept.move_to_end(name)
-        value = min(HIGHEST_MS, max(LOWEST_MS, round(duration_ms)))
+            self._histograms.move_to_end(key)
+        value = min(MAX_MS, max(MIN_MS, round(duration_ms)))
         histogram.record_value(value)
 
     def summarize(self) -> tuple[HistogramSummary, ...]:
-        """Return the percentiles of all histograms, by name."""
+        """Return the summaries of all histograms, sorted by key."""
         return tuple(
             HistogramSummary(
-                name,
+                key,
                 histogram.get_total_count(),
                 histogram.get_value_at_percentile(50),
                 histogram.get_value_at_percentile(99),
                 histogram.get_value_at_percentile(99.9),
                 histogram.get_max_value(),
             )
-            for name, histogram in sorted(self._kept.items())
+            for key, histogram in sorted(self._histograms.items())
         )
--- a/jackdawspur/wire/__init__.py
+++ b/jackdawspur/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Bodies of the HTTP/JSON interfaces of upstreams, log and host list."""
+"""Message bodies of the HTTP/JSON interfaces of upstreams, log and host list."""
 
 from jackdawspur.wire._hostlist import HostBody, HostsBody
 from jackdawspur.wire._log import AppendReply, ReadReply, RecordBody, TrimmedReply
--- a/jackdawspur/wire/_hostlist.py
+++ b/jackdawspur/wire/_hostlist.py
@@ -1,4 +1,4 @@
-"""Bodies the host list speaks."""
+"""Message bodies of the host list."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class HostBody(msgspec.Struct, frozen=True):
-    """Describe one host as the platform saw it."""
+    """One host as observed by the platform."""
 
     zone: str
     name: str
@@ -17,6 +17,6 @@
 
 
 class HostsBody(msgspec.Struct, frozen=True):
-    """List the hosts that are live or leaving."""
+    """All hosts that are live or leaving."""
 
     hosts: tuple[HostBody, ...]
--- a/jackdawspur/wire/_log.py
+++ b/jackdawspur/wire/_log.py
@@ -1,4 +1,4 @@
-"""Bodies the log speaks; a record's own body travels as the body of its POST."""
+"""Message bodies of the log; a record is appended as the raw body of a POST."""
 
 import msgspec
 
@@ -6,25 +6,25 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True):
-    """Tell the offset of an appended record."""
+    """Reply to an append: the offset of the record."""
 
     offset: int
 
 
 class RecordBody(msgspec.Struct, frozen=True):
-    """Carry one record."""
+    """One record of the log."""
 
     offset: int
     body: str
 
 
 class ReadReply(msgspec.Struct, frozen=True):
-    """Carry records in the log's order; none when the wait was over."""
+    """Records in the order of the log; empty if the wait time has passed."""
 
     records: tuple[RecordBody, ...]
 
 
 class TrimmedReply(msgspec.Struct, frozen=True):
-    """Tell the oldest offset that can still be read."""
+    """Reply to a read of trimmed records: the oldest offset that can be read."""
 
     first: int
--- a/jackdawspur/wire/_upstream.py
+++ b/jackdawspur/wire/_upstream.py
@@ -1,4 +1,4 @@
-"""Bodies an upstream speaks; times in milliseconds, task ids as their text."""
+"""Message bodies of upstreams; times in milliseconds, task ids as strings."""
 
 import msgspec
 
@@ -19,7 +19,7 @@
 
 
 class StartBody(msgspec.Struct, frozen=True):
-    """Ask for one task under a lease that counts from the receipt."""
+    """Request to start one task under a lease that starts on receipt."""
 
     task: str
     payload: str
@@ -30,28 +30,28 @@
 
 
 class StartsRequest(msgspec.Struct, frozen=True):
-    """Ask for a batch of tasks on behalf of one holder, an entry host."""
+    """Request to start a batch of tasks for one holder, an entry host."""
 
     holder: str
     starts: tuple[StartBody, ...]
 
 
 class VerdictBody(msgspec.Struct, frozen=True):
-    """Tell whether one task started; no refusal means that it did."""
+    """Result of one start; no refusal means that the task started."""
 
     task: str
     refusal: RefusalReason | None = None
 
 
 class StartsReply(msgspec.Struct, frozen=True):
-    """Answer a batch, a verdict for each start in the same order."""
+    """Reply to a batch of starts, with one verdict per start in the same order."""
 
     incarnation: int
     verdicts: tuple[VerdictBody, ...]
 
 
 class OutcomeBody(msgspec.Struct, frozen=True):
-    """Tell how far one task is."""
+    """State of one task."""
 
     task: str
     state: TaskState
@@ -60,9 +60,9 @@
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """Answer a status query, a stop or a poll for results.
+    """Reply to a status query, a stop or a poll for results.
 
-    `cursor` is set by results only: the place to read from next.
+    `cursor` is set for polls only: the position to read from next.
     """
 
     incarnation: int
@@ -71,20 +71,20 @@
 
 
 class StatusRequest(msgspec.Struct, frozen=True):
-    """Ask how far tasks are; `seal` bars those that never started."""
+    """Query of the state of tasks; `seal` keeps unstarted ones from ever starting."""
 
     tasks: tuple[str, ...]
     seal: bool = False
 
 
 class StopRequest(msgspec.Struct, frozen=True):
-    """Ask to stop tasks and to bar those that never started."""
+    """Request to stop tasks and to keep unstarted ones from ever starting."""
 
     tasks: tuple[str, ...]
 
 
 class UsageReply(msgspec.Struct, frozen=True):
-    """Report the load as it was some time ago."""
+    """Load of an upstream, which may be out of date."""
 
     incarnation: int
     slots: int
