--- a/jackdawspur/cli/_check.py
+++ b/jackdawspur/cli/_check.py
@@ -46,7 +46,7 @@
 
 
 def run(values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
-    """Check each file and print the result; raise an error for the first invalid one."""
+    """Check each file and print the result; raise `UsageError` for an invalid one."""
     if not positional:
         raise UsageError("expected at least one file")
     for path in positional:
--- a/jackdawspur/load/__init__.py
+++ b/jackdawspur/load/__init__.py
@@ -1,4 +1,4 @@
-"""A load tool: callers that submit jobs and check every answer."""
+"""Load generator: callers that submit jobs and check every answer."""
 
 from jackdawspur.load._driver import LoadDriver, LoadPlan
 from jackdawspur.load._mix import DEPLOYMENT_MIXES, JobKind, Mix, PlannedJob, plan_job
--- a/jackdawspur/load/_closed_loop.py
+++ b/jackdawspur/load/_closed_loop.py
@@ -1,4 +1,4 @@
-"""Callers of the speed measurement: equal jobs, as fast as answered or at a rate."""
+"""Callers of the speed measurement: identical jobs, in a closed loop or at a rate."""
 
 import math
 import random
@@ -19,7 +19,7 @@
 )
 from jackdawspur.external import PlatformError
 
-__all__ = ["CallersPlan", "CallersReport", "EqualCallers", "percentile"]
+__all__ = ["CallersPlan", "CallersReport", "IdenticalJobCallers", "percentile"]
 
 CALL_TIMEOUT_S = 40.0
 MS = 1000.0
@@ -28,7 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallersPlan:
-    """Say what to submit for how long; `rate` zero submits as fast as answered."""
+    """What to submit and for how long; `rate` is in jobs per second.
+
+    With a `rate` of zero each caller submits its next job as soon as it gets an answer.
+    """
 
     host: str
     token: str
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallersReport:
-    """Count answers within the window and give what was added to the tasks' time."""
+    """Answers within the measured window; `added_ms` are times beyond the run time."""
 
     jobs_in_window: int = 0
     jobs: int = 0
@@ -62,8 +65,8 @@
 _ANSWERS = msgspec.json.Decoder(_Answer)
 
 
-class EqualCallers(BaseComponent):
-    """Submit one kind of job from one process."""
+class IdenticalJobCallers(BaseComponent):
+    """Callers in one process that submit identical jobs."""
 
     channel = "equal-callers"
 
@@ -71,12 +74,12 @@
         self,
         plan: CallersPlan,
         timer_queue: TimerQueue,
-        finished: Callable[[CallersReport], None],
+        on_finished: Callable[[CallersReport], None],
     ) -> None:
-        """Open a client; circuits passes the constructor's arguments."""
+        """Create a client; circuits passes the constructor's arguments."""
         self._plan = plan
         self._timer_queue = timer_queue
-        self._finished = finished
+        self._on_finished = on_finished
         self._rng = random.Random(plan.seed)
         self._body = _body(plan)
         limits = HttpClientLimits(
@@ -85,21 +88,21 @@
         client = HttpClient(split_address(plan.host), timer_queue, limits)
         self._client = client.register(self)
         self._headers = (("Authorization", f"Bearer {plan.token}"),)
-        self._open = 0
+        self._open_jobs = 0
         self._jobs = 0
         self._in_window = 0
-        self._added: list[float] = []
+        self._added_ms: list[float] = []
         self._failures: Counter[str] = Counter()
-        timer_queue.call_later(0.0, self._begin)
+        timer_queue.call_later(0.0, self._start)
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         now = self._timer_queue.now
         self._window = (
             now + self._plan.warm_up_s,
             now + self._plan.warm_up_s + self._plan.seconds,
         )
         self._timer_queue.call_later(
-            self._plan.warm_up_s + self._plan.seconds, self._end
+            self._plan.warm_up_s + self._plan.seconds, self._finish
         )
         if self._plan.rate:
             self._arrive()
@@ -114,54 +117,59 @@
             self._timer_queue.call_later(gap, self._arrive)
 
     def _submit(self) -> None:
-        since = self._timer_queue.now
-        self._open += 1
+        submitted_at = self._timer_queue.now
+        self._open_jobs += 1
         self._client.request(
             "POST",
             "/v1/jobs?wait=true",
             self._body,
             CALL_TIMEOUT_S,
-            lambda done: self._answered(since, done),
+            lambda result: self._on_reply(submitted_at, result),
             self._headers,
         )
 
-    def _answered(
-        self, since: float, done: Result[ClientResponse, PlatformError]
+    def _on_reply(
+        self, submitted_at: float, result: Result[ClientResponse, PlatformError]
     ) -> None:
         now = self._timer_queue.now
-        self._open -= 1
+        self._open_jobs -= 1
         self._jobs += 1
-        self._check(done, now, since)
+        self._record_answer(result, now, submitted_at)
         if not self._plan.rate and now < self._window[1]:
             self._submit()
 
-    def _check(
-        self, done: Result[ClientResponse, PlatformError], now: float, since: float
+    def _record_answer(
+        self,
+        result: Result[ClientResponse, PlatformError],
+        now: float,
+        submitted_at: float,
     ) -> None:
-        if not isinstance(done, Ok):
-            self._failures[type(done.err_value).__name__] += 1
+        if not isinstance(result, Ok):
+            self._failures[type(result.err_value).__name__] += 1
             return
-        answer = _ANSWERS.decode(done.ok_value.body)
+        answer = _ANSWERS.decode(result.ok_value.body)
         if answer.state != COMPLETE or len(answer.outputs) != self._plan.tasks:
             self._failures[answer.code or answer.state] += 1
         elif self._window[0] <= now < self._window[1]:
             self._in_window += 1
-            self._added.append((now - since) * MS - self._plan.run_ms)
+            self._added_ms.append((now - submitted_at) * MS - self._plan.run_ms)
 
-    def _end(self) -> None:
-        if self._open:
-            self._timer_queue.call_later(0.05, self._end)
+    def _finish(self) -> None:
+        if self._open_jobs:
+            self._timer_queue.call_later(0.05, self._finish)
             return
         report = CallersReport(
-            self._in_window, self._jobs, tuple(self._added), dict(self._failures)
+            self._in_window, self._jobs, tuple(self._added_ms), dict(self._failures)
         )
-        self._finished(report)
+        self._on_finished(report)
 
 
-def percentile(values: list[float], share: float) -> float:
-    """Return the value that a share of all values does not exceed."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return the value that a fraction of all values does not exceed."""
     ordered = sorted(values)
-    return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else math.nan
+    return (
+        ordered[max(0, math.ceil(fraction * len(ordered)) - 1)] if ordered else math.nan
+    )
 
 
 def _body(plan: CallersPlan) -> bytes:
--- a/jackdawspur/load/_driver.py
+++ b/jackdawspur/load/_driver.py
@@ -1,4 +1,4 @@
-"""Callers on one circuits loop: submit at random times, check what comes back."""
+"""Callers on one circuits loop that submit at random times and check the answers."""
 
 import random
 from collections.abc import Callable
@@ -22,25 +22,25 @@
 
 __all__ = ["LoadDriver", "LoadPlan"]
 
-CONNECTIONS_A_HOST = 96
+CONNECTIONS_PER_HOST = 96
 CALL_TIMEOUT_S = 40.0
 SETTLE_S = 1.0
 ROUND_TRIP_MS = 1.0
-PROGRESS_S = 2.0
-MAX_REPEATS = 3
-REPEAT_AFTER_S = 0.3
-START_REQUESTS = "/v1/starts"
-STATUS_REQUESTS = "/v1/status"
-STOP_REQUESTS = "/v1/stop"
+PROGRESS_INTERVAL_S = 2.0
+MAX_RETRIES = 3
+RETRY_DELAY_S = 0.3
+START_PATH = "/v1/starts"
+STATUS_PATH = "/v1/status"
+STOP_PATH = "/v1/stop"
 COMPLETE = "complete"
 REFUSED = "refused"
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """Say what to do for how long; `rate` in jobs a second.
+    """What to submit and for how long; `rate` is in jobs per second.
 
-    `other_tasks` is how many tasks other callers start meanwhile.
+    `other_tasks` is the number of tasks that other callers start during the run.
     """
 
     deployment: str
@@ -63,7 +63,7 @@
 
 
 class LoadDriver(BaseComponent):
-    """Submit jobs for a while, wait for their answers, and ask the upstreams."""
+    """Submits jobs, waits for their answers and reads the counters of upstreams."""
 
     channel = "load"
 
@@ -74,50 +74,52 @@
         report_progress: Callable[[str], None],
         on_finished: Callable[[LoadCounters, UpstreamCounts, int], None],
     ) -> None:
-        """Open clients; circuits passes the constructor's arguments."""
+        """Create clients; circuits passes the constructor's arguments."""
         self._plan = plan
         self._timer_queue = timer_queue
-        self._say = report_progress
-        self._finished = on_finished
+        self._report_progress = report_progress
+        self._on_finished = on_finished
         self._rng = random.Random(plan.seed)
-        self._tally = LoadCounters()
+        self._counters = LoadCounters()
         limits = HttpClientLimits(
-            max_connections=CONNECTIONS_A_HOST, max_pending_requests=4096
+            max_connections=CONNECTIONS_PER_HOST, max_pending_requests=4096
         )
         self._hosts = [self._client(a, limits) for a in plan.entry_hosts]
-        self._ends_at = timer_queue.now + plan.seconds
-        self._gives_up_at = self._ends_at + CALL_TIMEOUT_S
+        self._submit_until = timer_queue.now + plan.seconds
+        self._give_up_at = self._submit_until + CALL_TIMEOUT_S
         self._before: dict[str, WorkerCounters] = {}
         self._after: dict[str, WorkerCounters] = {}
-        # Connections need the poller, which is found once the loop runs.
+        # Connections need the poller, which is available only once the loop runs.
         timer_queue.call_later(
-            0.0, lambda: self._ask_counters(self._before, self._begin)
+            0.0, lambda: self._fetch_counters(self._before, self._start)
         )
 
     def _client(self, address: str, limits: HttpClientLimits) -> HttpClient:
         client = HttpClient(split_address(address), self._timer_queue, limits)
         return client.register(self)
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         self._next_arrival()
         self._progress()
 
     def _next_arrival(self) -> None:
-        if self._timer_queue.now >= self._ends_at:
-            self._wait_for_rest()
+        if self._timer_queue.now >= self._submit_until:
+            self._wait_for_open_jobs()
             return
         gap = self._rng.expovariate(self._plan.rate)
         self._timer_queue.call_later(gap, self._arrive)
 
     def _arrive(self) -> None:
-        self._tally.jobs += 1
-        job = plan_job(self._plan.mix, self._tally.jobs, self._rng)
-        self._tally.tasks_submitted += len(job.outputs)
-        key = "" if job.kind.idempotent else f"{self._plan.seed}-{self._tally.jobs}"
+        self._counters.jobs += 1
+        job = plan_job(self._plan.mix, self._counters.jobs, self._rng)
+        self._counters.tasks_submitted += len(job.outputs)
+        key = "" if job.kind.idempotent else f"{self._plan.seed}-{self._counters.jobs}"
         self._submit(job, key, self._timer_queue.now, 0)
         self._next_arrival()
 
-    def _submit(self, job: PlannedJob, key: str, since: float, repeats: int) -> None:
+    def _submit(
+        self, job: PlannedJob, key: str, submitted_at: float, retries: int
+    ) -> None:
         host = self._rng.choice(self._hosts)
         headers = [("Authorization", f"Bearer {self._plan.token}")]
         if key:
@@ -127,78 +129,87 @@
             "/v1/jobs?wait=true",
             job.body,
             CALL_TIMEOUT_S,
-            lambda done: self._answered(job, key, since, repeats, done),
+            lambda result: self._on_reply(job, key, submitted_at, retries, result),
             tuple(headers),
         )
 
-    def _answered(
+    def _on_reply(
         self,
         job: PlannedJob,
         key: str,
-        since: float,
-        repeats: int,
-        done: Result[ClientResponse, PlatformError],
+        submitted_at: float,
+        retries: int,
+        result: Result[ClientResponse, PlatformError],
     ) -> None:
-        if isinstance(done, Ok):
-            elapsed_ms = (self._timer_queue.now - since) * 1000.0
-            self._check(job, done.ok_value, elapsed_ms)
-        elif key and repeats < MAX_REPEATS:
-            # The key makes a repeat safe, also at another host.
+        if isinstance(result, Ok):
+            elapsed_ms = (self._timer_queue.now - submitted_at) * 1000.0
+            self._check_answer(job, result.ok_value, elapsed_ms)
+        elif key and retries < MAX_RETRIES:
+            # The idempotency key makes a retry safe, also on another host.
             self._timer_queue.call_later(
-                REPEAT_AFTER_S, lambda: self._submit(job, key, since, repeats + 1)
+                RETRY_DELAY_S, lambda: self._submit(job, key, submitted_at, retries + 1)
             )
         else:
-            self._tally.failed += 1
-            self._tally.codes[type(done.err_value).__name__] += 1
+            self._counters.failed += 1
+            self._counters.codes[type(result.err_value).__name__] += 1
 
-    def _check(self, job: PlannedJob, reply: ClientResponse, elapsed_ms: float) -> None:
+    def _check_answer(
+        self, job: PlannedJob, reply: ClientResponse, elapsed_ms: float
+    ) -> None:
         answer = msgspec.json.decode(reply.body, type=_AnswerBody)
-        tally = self._tally
+        counters = self._counters
         if answer.state == COMPLETE:
-            tally.partial += len(answer.outputs) != len(job.outputs)
-            tally.wrong += answer.outputs != job.outputs
+            counters.partial += len(answer.outputs) != len(job.outputs)
+            counters.wrong += answer.outputs != job.outputs
             ratio = elapsed_ms / (job.ideal_ms + ROUND_TRIP_MS)
-            tally.completed(len(job.outputs), ratio)
+            counters.record_complete(len(job.outputs), ratio)
             return
-        tally.codes[answer.code or answer.state] += 1
+        counters.codes[answer.code or answer.state] += 1
         if answer.not_run:
-            tally.tasks_not_run += len(job.outputs)
+            counters.tasks_not_run += len(job.outputs)
         if answer.state == REFUSED:
-            tally.refused += 1
+            counters.refused += 1
         else:
-            tally.failed += 1
+            counters.failed += 1
 
     def _progress(self) -> None:
-        tally = self._tally
-        self._say(
-            f"jobs {tally.jobs}, complete {tally.complete}, failed {tally.failed}, "
-            f"refused {tally.refused}, open {tally.jobs - tally.ended}"
+        counters = self._counters
+        self._report_progress(
+            f"jobs {counters.jobs}, complete {counters.complete}, "
+            f"failed {counters.failed}, refused {counters.refused}, "
+            f"open {counters.jobs - counters.ended}"
         )
-        if self._timer_queue.now < self._ends_at:
-            self._timer_queue.call_later(PROGRESS_S, self._progress)
+        if self._timer_queue.now < self._submit_until:
+            self._timer_queue.call_later(PROGRESS_INTERVAL_S, self._progress)
 
-    def _wait_for_rest(self) -> None:
-        open_jobs = self._tally.jobs - self._tally.ended
-        if open_jobs and self._timer_queue.now < self._gives_up_at:
-            self._timer_queue.call_later(0.1, self._wait_for_rest)
+    def _wait_for_open_jobs(self) -> None:
+        open_jobs = self._counters.jobs - self._counters.ended
+        if open_jobs and self._timer_queue.now < self._give_up_at:
+            self._timer_queue.call_later(0.1, self._wait_for_open_jobs)
             return
-        # Stopped and late tasks still reach the upstreams' counters.
+        # Wait until the upstreams have counted stopped and late tasks as well.
         self._timer_queue.call_later(
-            SETTLE_S, lambda: self._ask_counters(self._after, self._finish)
+            SETTLE_S, lambda: self._fetch_counters(self._after, self._finish)
         )
 
-    def _ask_counters(
-        self, into: dict[str, WorkerCounters], then: Callable[[], None]
+    def _fetch_counters(
+        self,
+        counters_by_upstream: dict[str, WorkerCounters],
+        on_done: Callable[[], None],
     ) -> None:
-        left = set(self._plan.upstreams)
-
-        def counted(address: str, done: Result[ClientResponse, PlatformError]) -> None:
-            if isinstance(done, Ok):
-                body = done.ok_value.body
-                into[address] = msgspec.json.decode(body, type=WorkerCounters)
-            left.discard(address)
-            if not left:
-                then()
+        pending = set(self._plan.upstreams)
+
+        def on_reply(
+            address: str, result: Result[ClientResponse, PlatformError]
+        ) -> None:
+            if isinstance(result, Ok):
+                body = result.ok_value.body
+                counters_by_upstream[address] = msgspec.json.decode(
+                    body, type=WorkerCounters
+                )
+            pending.discard(address)
+            if not pending:
+                on_done()
 
         for address in self._plan.upstreams:
             client = self._client(address, HttpClientLimits(max_connections=1))
@@ -207,7 +218,7 @@
                 "/v1/counters",
                 b"",
                 5.0,
-                lambda done, address=address: counted(address, done),
+                lambda result, address=address: on_reply(address, result),
             )
 
     def _finish(self) -> None:
@@ -215,13 +226,13 @@
             starts=self._sum(lambda c: c.starts),
             started_twice=self._sum(lambda c: c.started_twice),
             refused=self._sum(lambda c: sum(c.refusals.values())),
-            status_queries=self._sum(lambda c: c.requests.get(STATUS_REQUESTS, 0)),
-            stops=self._sum(lambda c: c.requests.get(STOP_REQUESTS, 0)),
+            status_queries=self._sum(lambda c: c.requests.get(STATUS_PATH, 0)),
+            stops=self._sum(lambda c: c.requests.get(STOP_PATH, 0)),
         )
-        open_jobs = self._tally.jobs - self._tally.ended
-        self._finished(self._tally, totals, open_jobs)
+        open_jobs = self._counters.jobs - self._counters.ended
+        self._on_finished(self._counters, totals, open_jobs)
 
     def _sum(self, read: Callable[[WorkerCounters], int]) -> int:
-        """Return how much a counter grew during the run, over all upstreams."""
+        """Return the growth of a counter during the run, summed over all upstreams."""
         after = sum(read(counters) for counters in self._after.values())
         return after - sum(read(counters) for counters in self._before.values())
--- a/jackdawspur/load/_mix.py
+++ b/jackdawspur/load/_mix.py
@@ -1,4 +1,4 @@
-"""What callers submit: kinds of jobs and their sizes."""
+"""Mixes of jobs that callers submit: kinds, sizes and run times."""
 
 import random
 from dataclasses import dataclass
@@ -7,16 +7,16 @@
 
 __all__ = ["DEPLOYMENT_MIXES", "JobKind", "Mix", "PlannedJob", "plan_job"]
 
-# One task in this many takes several seconds, as the users say of theirs.
+# One of this number of tasks takes several seconds, as the users report of their jobs.
 LONG_TASK_EVERY = 400
 LONG_TASK_MS = (2000.0, 4000.0)
-# Long enough that no deadline hides how long a job really waited.
+# Long enough that no deadline hides how long a job waits.
 DEADLINE_MS = 20_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class JobKind:
-    """Describe one kind of request; run times in milliseconds."""
+    """One kind of job; `tasks` and `run_ms` are ranges, run times in milliseconds."""
 
     job_class: str
     weight: float
@@ -27,20 +27,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """Hold the kinds of one customer."""
+    """The kinds of jobs of one customer."""
 
     customer: str
     kinds: tuple[JobKind, ...]
 
     def mean_slot_seconds(self) -> float:
-        """Return the mean slot time of a job, long tasks included."""
+        """Return the mean slot time of a job, including long tasks."""
         total = sum(kind.weight for kind in self.kinds)
         return sum(k.weight * _slot_seconds(k) for k in self.kinds) / total
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedJob:
-    """Hold one job to submit and the outputs it must bring."""
+    """A job to submit and the outputs that its answer must have."""
 
     kind: JobKind
     body: bytes
@@ -90,7 +90,7 @@
 
 
 def plan_job(mix: Mix, number: int, rng: random.Random) -> PlannedJob:
-    """Return the next job of a mix."""
+    """Return a random job of a mix; `number` makes its outputs unique."""
     kind = rng.choices(mix.kinds, [k.weight for k in mix.kinds])[0]
     count = rng.randint(*kind.tasks)
     times = [_run_ms(kind, rng) for _ in range(count)]
--- a/jackdawspur/load/_report.py
+++ b/jackdawspur/load/_report.py
@@ -1,4 +1,4 @@
-"""What a load run found, told by callers and upstreams, not by the dispatcher."""
+"""Results of a load run, as observed by callers and upstreams."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,14 +8,14 @@
 
 __all__ = ["Latencies", "LoadCounters", "LoadReport", "UpstreamCounts"]
 
-# The histogram holds whole numbers; ratios are kept in thousandths.
+# Histograms hold integers, so ratios are recorded in thousandths.
 RATIO_SCALE = 1000
 ALL_JOBS = HistogramKey("all", "all")
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCounts:
-    """Add up what the upstreams counted themselves."""
+    """Sums of the counters of all upstreams."""
 
     starts: int = 0
     started_twice: int = 0
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Latencies:
-    """Give response times over the ideal, as ratios."""
+    """Percentiles of the ratio of response times to ideal ones."""
 
     p50: float
     p99: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Give the result of a run, as the last line that it prints."""
+    """Result of a run, printed as its last line."""
 
     deployment: str
     jobs: int
@@ -54,7 +54,7 @@
 
     @property
     def invariants_held(self) -> bool:
-        """Tell whether every invariant held."""
+        """Return whether every invariant held."""
         broken = (
             self.partial,
             self.wrong,
@@ -66,7 +66,7 @@
 
 
 class LoadCounters:
-    """Count answers as they come."""
+    """Counters of submitted jobs and of their answers."""
 
     def __init__(self) -> None:
         self.jobs = 0
@@ -83,11 +83,11 @@
 
     @property
     def ended(self) -> int:
-        """Return the number of jobs that have their answer."""
+        """Return the number of jobs that have got an answer."""
         return self.complete + self.failed + self.refused
 
-    def completed(self, tasks: int, ratio: float) -> None:
-        """Count a whole answer and its response time over the ideal."""
+    def record_complete(self, tasks: int, ratio: float) -> None:
+        """Count a complete answer and record its response time over the ideal."""
         self.complete += 1
         self.tasks_complete += tasks
         self._ratios.record(ALL_JOBS, ratio * RATIO_SCALE)
@@ -99,7 +99,7 @@
         unanswered: int,
         other_tasks: int = 0,
     ) -> LoadReport:
-        """Return the result of the run; `other_tasks` were other callers'."""
+        """Return the result of the run; other callers submitted `other_tasks`."""
         possible = self.tasks_submitted - self.tasks_not_run + other_tasks
         wasted = upstreams.refused + upstreams.status_queries + upstreams.stops
         return LoadReport(
@@ -113,7 +113,7 @@
             wrong=self.wrong,
             task_starts=upstreams.starts,
             tasks_started_twice=upstreams.started_twice,
-            # More starts than tasks that may have run: some "not run" was false.
+            # More starts than tasks that may have run: a "not run" answer was wrong.
             not_run_but_started=max(0, upstreams.starts - possible),
             wasted_messages_per_job=round(wasted / max(1, self.jobs), 5),
             response_over_ideal=self._latencies(),
@@ -121,9 +121,11 @@
         )
 
     def _latencies(self) -> Latencies:
-        found: Iterable = self._ratios.summarize()
-        for one in found:
+        summaries: Iterable = self._ratios.summarize()
+        for summary in summaries:
             return Latencies(
-                one.p50 / RATIO_SCALE, one.p99 / RATIO_SCALE, one.p999 / RATIO_SCALE
+                summary.p50 / RATIO_SCALE,
+                summary.p99 / RATIO_SCALE,
+                summary.p999 / RATIO_SCALE,
             )
         return Latencies(0.0, 0.0, 0.0)
--- a/jackdawspur/load/_speed_processes.py
+++ b/jackdawspur/load/_speed_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the speed measurement: entry host, racks, log; all end with it."""
+"""Processes of the speed measurement: an entry host, worker pools and a log."""
 
 import hashlib
 import json
@@ -20,31 +20,33 @@
 TOKEN = "speed-token"
 OPERATOR = "speed-operator"
 ZONE = "z1"
-RACKS = 6
-WORKERS_A_RACK = 4
+WORKER_POOLS = 6
+WORKERS_PER_POOL = 4
 SLOTS = 256
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 JOB_CLASS = "equal"
 
 
 class SpeedError(JackdawspurError):
-    """Raise when the measured deployment does not come to stand."""
+    """Raised when the measured deployment does not become ready."""
 
 
 class Deployment:
-    """Run one entry host against stand-ins in other processes."""
+    """One entry host and its stand-ins, each in a process of its own."""
 
     def __init__(self, folder: Path, profile: Path | None = None) -> None:
         self._folder = folder
         self._processes: list[subprocess.Popen] = []
         self.http = _free_address()
-        self.upstreams = [_free_address() for _ in range(RACKS * WORKERS_A_RACK)]
+        self.upstreams = [
+            _free_address() for _ in range(WORKER_POOLS * WORKERS_PER_POOL)
+        ]
         log = _free_address()
         self._start("log", "standin", "log", settings={"address": log})
-        for rack in range(RACKS):
-            addresses = self.upstreams[rack::RACKS]
+        for pool in range(WORKER_POOLS):
+            addresses = self.upstreams[pool::WORKER_POOLS]
             settings = {"addresses": addresses, "slots": SLOTS, "cpus": 4096}
-            self._start(f"rack{rack}", "standin", "worker", settings=settings)
+            self._start(f"rack{pool}", "standin", "worker", settings=settings)
         entry = self._start(
             "entry",
             "entry",
@@ -53,26 +55,26 @@
         )
         self.entry = psutil.Process(entry.pid)
 
-    def begin(self) -> None:
-        """Put a first configuration in force; raise `SpeedError`."""
+    def configure(self) -> None:
+        """Put a first configuration in force; raise `SpeedError` on a timeout."""
         self._configure()
 
     def cpu_s(self) -> float:
-        """Return the entry host's processor time."""
+        """Return the processor time of the entry host in seconds."""
         times = self.entry.cpu_times()
         return times.user + times.system
 
     def rss_mb(self) -> float:
-        """Return the entry host's memory in megabytes."""
+        """Return the resident memory of the entry host in megabytes."""
         return self.entry.memory_info().rss / 1e6
 
-    def end(self) -> None:
-        """End what was started, the entry host first so that it drains."""
+    def stop(self) -> None:
+        """Stop all processes, the entry host first so that it drains."""
         for process in reversed(self._processes):
             process.terminate()
         for process in self._processes:
             with suppress(subprocess.TimeoutExpired):
-                process.wait(LIMIT_S)
+                process.wait(TIMEOUT_S)
             process.kill()
 
     def _start(self, name, *arguments, settings, before=()) -> subprocess.Popen:
@@ -108,18 +110,18 @@
         }
 
     def _configure(self) -> None:
-        """Put a first configuration in force as an operator would."""
+        """Plan and confirm a first configuration by the operators' commands."""
         path = self._folder / "configuration.json"
         path.write_text(json.dumps(self._configuration()))
-        plan = self._folder / "plan"
-        self._until(lambda: self._command(plan, "plan", "--first", str(path)))
-        number = re.search(r"^plan (\S+) ", plan.read_text(), re.MULTILINE)[1]
-        self._until(lambda: self._command(plan, "confirm", number))
-        self._until(self._ready)
+        output = self._folder / "plan"
+        self._wait_until(lambda: self._command(output, "plan", "--first", str(path)))
+        plan_id = re.search(r"^plan (\S+) ", output.read_text(), re.MULTILINE)[1]
+        self._wait_until(lambda: self._command(output, "confirm", plan_id))
+        self._wait_until(self._is_ready)
 
     def _command(self, output: Path, name: str, *arguments: str) -> bool:
         with output.open("w") as file:
-            done = subprocess.run(
+            completed = subprocess.run(
                 [
                     sys.executable,
                     "-m",
@@ -133,20 +135,20 @@
                 stderr=subprocess.DEVNULL,
                 check=False,
             )
-        return done.returncode == 0
+        return completed.returncode == 0
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         from http.client import HTTPConnection
 
         connection = HTTPConnection(*split_address(self.http), timeout=5)
         connection.request("GET", "/readyz")
         return connection.getresponse().status == 200
 
-    def _until(self, done) -> None:
-        limit = time.monotonic() + LIMIT_S
-        while not done():
-            if time.monotonic() > limit:
-                raise SpeedError(f"the deployment did not get ready: {self._folder}")
+    def _wait_until(self, condition) -> None:
+        deadline = time.monotonic() + TIMEOUT_S
+        while not condition():
+            if time.monotonic() > deadline:
+                raise SpeedError(f"the deployment did not become ready: {self._folder}")
             time.sleep(0.1)
 
     def _configuration(self) -> dict:
@@ -167,13 +169,13 @@
         upstreams = [
             {
                 "zone": ZONE,
-                "name": f"w{place}",
+                "name": f"w{index}",
                 "address": address,
                 "slots": SLOTS,
                 "cpus": 4096,
-                "rack": f"r{place % RACKS}",
+                "rack": f"r{index % WORKER_POOLS}",
             }
-            for place, address in enumerate(self.upstreams)
+            for index, address in enumerate(self.upstreams)
         ]
         return {
             "schema_version": 1,
--- a/jackdawspur/load/speed.py
+++ b/jackdawspur/load/speed.py
@@ -1,7 +1,7 @@
-"""Measure one entry host as a process: ``python -m jackdawspur.load.speed``.
+"""Speed measurement of one entry host: ``python -m jackdawspur.load.speed``.
 
-The entry host, the stand-ins and the callers are processes of their own. The last
-line is one JSON object; times in milliseconds, memory in megabytes.
+The entry host, the stand-ins and the callers run in separate processes. The last line
+of the output is one JSON object; times in milliseconds, memory in megabytes.
 """
 
 import json
@@ -23,7 +23,7 @@
 from jackdawspur.load._closed_loop import (
     CallersPlan,
     CallersReport,
-    EqualCallers,
+    IdenticalJobCallers,
     percentile,
 )
 from jackdawspur.load._speed_processes import JOB_CLASS, TOKEN, Deployment
@@ -32,23 +32,23 @@
 
 CALLER_PROCESSES = 3
 SIZES = (1, 10, 60, 360)
-CALLERS_OF_SIZE = {1: 40, 10: 12, 60: 4, 360: 1}
+CALLERS_BY_TASKS = {1: 40, 10: 12, 60: 4, 360: 1}
 RUN_MS = 20.0
-HELD_TASKS = 5040
-HELD_MS = 4000.0
-COSTS_SHOWN = 25
+RUNNING_TASKS = 5040
+RUNNING_TASK_MS = 4000.0
+PROFILE_LINES = 25
 DIRECT_STARTS = 60
 
 FLAGS = flags.FLAGS
 flags.DEFINE_float("seconds", 4.0, "Length of each measurement.", 0.5, 600.0)
-flags.DEFINE_list("sizes", [str(size) for size in SIZES], "Tasks a job.")
-flags.DEFINE_string("profile", None, "Write a profile of the entry host here.")
-flags.DEFINE_string("callers", None, "Run callers by this plan (used by itself).")
+flags.DEFINE_list("sizes", [str(size) for size in SIZES], "Numbers of tasks per job.")
+flags.DEFINE_string("profile", None, "File for a profile of the entry host.")
+flags.DEFINE_string("callers", None, "Plan of a caller process (internal).")
 
 
 @dataclass(frozen=True, slots=True)
 class SizeFigures:
-    """Give what was measured with jobs of one size."""
+    """Figures measured with jobs of one size."""
 
     tasks: int
     jobs_per_s: float
@@ -70,43 +70,49 @@
     plan = msgspec.json.decode(encoded, type=CallersPlan)
     reports: list[CallersReport] = []
 
-    def finished(report: CallersReport) -> None:
+    def on_finished(report: CallersReport) -> None:
         reports.append(report)
         root.stop()
 
-    EqualCallers(plan, timer_queue, finished).register(root)
+    IdenticalJobCallers(plan, timer_queue, on_finished).register(root)
     root.run()
     sys.stdout.write(msgspec.json.encode(reports[0]).decode())
 
 
-def _spawn(plan: CallersPlan) -> subprocess.Popen:
+def _spawn_callers(plan: CallersPlan) -> subprocess.Popen:
     encoded = msgspec.json.encode(plan).decode()
     module = [sys.executable, "-m", "jackdawspur.load.speed"]
     return subprocess.Popen([*module, f"--callers={encoded}"], stdout=subprocess.PIPE)
 
 
-def _call(plan: CallersPlan, processes: int = CALLER_PROCESSES) -> list[CallersReport]:
-    share = replace(plan, rate=plan.rate / processes)
-    running = [_spawn(replace(share, seed=place)) for place in range(processes)]
+def _run_caller_processes(
+    plan: CallersPlan, processes: int = CALLER_PROCESSES
+) -> list[CallersReport]:
+    process_plan = replace(plan, rate=plan.rate / processes)
+    running = [
+        _spawn_callers(replace(process_plan, seed=index)) for index in range(processes)
+    ]
     outputs = [process.communicate()[0] for process in running]
     return [msgspec.json.decode(output, type=CallersReport) for output in outputs]
 
 
 def _measure(deployment: Deployment, tasks: int, seconds: float) -> SizeFigures:
-    callers = CALLERS_OF_SIZE.get(tasks, 4)
+    callers = CALLERS_BY_TASKS.get(tasks, 4)
     plan = CallersPlan(
         deployment.http, TOKEN, JOB_CLASS, tasks, RUN_MS, callers, 0.0, 1.0, seconds, 0
     )
     before, since = deployment.cpu_s(), time.monotonic()
-    top = _call(plan)
+    full_load = _run_caller_processes(plan)
     cpu_s = deployment.cpu_s() - before
     cores = cpu_s / (time.monotonic() - since)
-    jobs = max(1, sum(report.jobs for report in top))
-    rate = sum(report.jobs_in_window for report in top) / seconds
-    half = _call(replace(plan, rate=max(1.0, rate / 2), callers=64))
-    added = [each for report in half for each in report.added_ms]
+    jobs = max(1, sum(report.jobs for report in full_load))
+    rate = sum(report.jobs_in_window for report in full_load) / seconds
+    half_load = _run_caller_processes(
+        replace(plan, rate=max(1.0, rate / 2), callers=64)
+    )
+    added = [each for report in half_load for each in report.added_ms]
     failures: dict[str, int] = {}
-    for report in top + half:
+    for report in full_load + half_load:
         for code, count in report.failures.items():
             failures[code] = failures.get(code, 0) + count
     return SizeFigures(
@@ -118,17 +124,17 @@
         round(cores, 2),
         round(percentile(added, 0.5), 2),
         round(percentile(added, 0.99), 2),
-        round(sum(report.jobs_in_window for report in half) / seconds, 1),
+        round(sum(report.jobs_in_window for report in half_load) / seconds, 1),
         failures,
     )
 
 
-def _measure_direct(deployment: Deployment) -> float:
-    """Return what one start and one poll at a stand-in add to a task, at p50."""
+def _measure_direct_added_ms(deployment: Deployment) -> float:
+    """Return the p50 that one start and one poll at a stand-in add to a task's time."""
     connection = HTTPConnection(*split_address(deployment.upstreams[0]))
     added, cursor = [], 0
-    for place in range(DIRECT_STARTS):
-        start = {"task": f"z1.x.1.1/{place}", "lease_ms": 5000.0}
+    for index in range(DIRECT_STARTS):
+        start = {"task": f"z1.x.1.1/{index}", "lease_ms": 5000.0}
         payload = json.dumps({"run_ms": RUN_MS})
         starts = {"holder": "z1.x.1", "starts": [{**start, "payload": payload}]}
         since = time.monotonic()
@@ -141,23 +147,32 @@
     return percentile(added, 0.5)
 
 
-def _measure_held(deployment: Deployment) -> float:
-    """Return the memory while thousands of tasks run upstream."""
-    callers = HELD_TASKS // 360
+def _measure_memory_mb(deployment: Deployment) -> float:
+    """Return the peak memory while thousands of tasks run on upstreams."""
+    callers = RUNNING_TASKS // 360
     plan = CallersPlan(
-        deployment.http, TOKEN, JOB_CLASS, 360, HELD_MS, callers, 0.0, 0.0, 0.1, 0
+        deployment.http,
+        TOKEN,
+        JOB_CLASS,
+        360,
+        RUNNING_TASK_MS,
+        callers,
+        0.0,
+        0.0,
+        0.1,
+        0,
     )
-    process = _spawn(plan)
-    most = 0.0
+    process = _spawn_callers(plan)
+    peak_mb = 0.0
     while process.poll() is None:
-        most = max(most, deployment.rss_mb())
+        peak_mb = max(peak_mb, deployment.rss_mb())
         time.sleep(0.05)
     process.communicate()
-    return most
+    return peak_mb
 
 
 def main(_arguments: list[str]) -> None:
-    """Measure and print."""
+    """Run all measurements and print the figures."""
     if FLAGS.callers:
         _run_callers(FLAGS.callers)
         return
@@ -165,21 +180,21 @@
     with tempfile.TemporaryDirectory(prefix="speed-") as folder:
         deployment = Deployment(Path(folder), profile)
         try:
-            deployment.begin()
+            deployment.configure()
             report = {"rss_idle_mb": round(deployment.rss_mb(), 1)}
-            direct = round(_measure_direct(deployment), 2)
-            report["direct_added_p50_ms"] = direct
-            held = round(_measure_held(deployment), 1)
-            report[f"rss_{HELD_TASKS}_tasks_mb"] = held
+            direct_added_ms = round(_measure_direct_added_ms(deployment), 2)
+            report["direct_added_p50_ms"] = direct_added_ms
+            memory_mb = round(_measure_memory_mb(deployment), 1)
+            report[f"rss_{RUNNING_TASKS}_tasks_mb"] = memory_mb
             for size in FLAGS.sizes:
                 figures = asdict(_measure(deployment, int(size), FLAGS.seconds))
                 sys.stdout.write(json.dumps(figures) + "\n")
                 sys.stdout.flush()
                 report[f"tasks_{size}"] = figures
         finally:
-            deployment.end()
+            deployment.stop()
     if profile:
-        pstats.Stats(str(profile)).sort_stats("tottime").print_stats(COSTS_SHOWN)
+        pstats.Stats(str(profile)).sort_stats("tottime").print_stats(PROFILE_LINES)
     sys.stdout.write(json.dumps(report) + "\n")
 
 
