--- a/jackdawspur/standins/__init__.py
+++ b/jackdawspur/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform: upstreams, log and host list."""
+"""Stand-ins for the services of the platform: upstreams, log and host list."""
 
 from jackdawspur.standins._hostlist import HostListFaults, HostListSettings
 from jackdawspur.standins._hostlist_service import (
--- a/jackdawspur/standins/_hostlist.py
+++ b/jackdawspur/standins/_hostlist.py
@@ -1,4 +1,4 @@
-"""What a stand-in host list shows, one lag late; the time is passed."""
+"""Stand-in host list with a lag, without sockets; callers pass the current time."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostListSettings:
-    """Say where the list is served, how far it lags and what it shows at first."""
+    """Address, lag and initial hosts of the list."""
 
     address: str
     lag_ms: float = 5000.0
@@ -22,9 +22,9 @@
 
 
 class HostListFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Say how the list misbehaves; a post replaces all faults set before.
+    """Faults of the list; a post replaces all faults set before.
 
-    `outage` answers 503; `lose_replies` counts replies that are dropped.
+    With `outage` the list replies 503; `lose_replies` is a number of replies to drop.
     """
 
     outage: bool = False
@@ -33,7 +33,7 @@
 
 
 class LaggingList:
-    """Keep the last lists, and show the one that is old enough."""
+    """Recent versions of the list, of which readers get the one a lag ago."""
 
     def __init__(self, settings: HostListSettings, now: float) -> None:
         self._settings = settings
@@ -46,24 +46,24 @@
         return self._faults
 
     def set_faults(self, faults: HostListFaults) -> None:
-        """Behave so from now on."""
+        """Replace the current faults."""
         self._faults = faults
 
     def replace(self, hosts: HostsBody, now: float) -> None:
-        """Set the true list."""
-        self.shown(now)
+        """Replace the current list."""
+        self.visible(now)
         self._lists.append((now, hosts))
 
-    def change(self, host: HostBody, now: float) -> None:
-        """Add a host to the true list, or replace what it says of it."""
-        others = self._others(host)
+    def put(self, host: HostBody, now: float) -> None:
+        """Add a host to the current list, or replace its entry."""
+        others = self._without(host)
         self.replace(HostsBody((*others, host)), now)
 
     def remove(self, host: HostBody, now: float) -> None:
-        """Take a host from the true list."""
-        self.replace(HostsBody(self._others(host)), now)
+        """Remove a host from the current list."""
+        self.replace(HostsBody(self._without(host)), now)
 
-    def shown(self, now: float) -> HostsBody:
+    def visible(self, now: float) -> HostsBody:
         """Return the list as it was one lag ago."""
         lag_ms = self._faults.lag_ms
         if lag_ms is None:
@@ -72,7 +72,7 @@
             self._lists.popleft()
         return self._lists[0][1]
 
-    def _others(self, host: HostBody) -> tuple[HostBody, ...]:
+    def _without(self, host: HostBody) -> tuple[HostBody, ...]:
         name = (host.zone, host.name)
         current = self._lists[-1][1].hosts
         return tuple(each for each in current if (each.zone, each.name) != name)
--- a/jackdawspur/standins/_http_service.py
+++ b/jackdawspur/standins/_http_service.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in over HTTP with circuits.web, with replies that may come late."""
+"""Base of the HTTP services of stand-ins, with asynchronous replies."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -27,20 +27,20 @@
 
 
 class StandinError(JackdawspurError):
-    """Base of errors in the stand-ins."""
+    """Base class of errors in the stand-ins."""
 
 
 class BadQuery(StandinError):
-    """Raise when a query parameter is missing or not a number."""
+    """Raised when a query parameter is missing or not a number."""
 
 
 class Exchange:
-    """Hold one request until its reply is sent or dropped."""
+    """A request until its reply is sent or dropped."""
 
-    __slots__ = ("_query", "_service", "body", "call", "method", "path")
+    __slots__ = ("_query", "_service", "body", "call_id", "method", "path")
 
     def __init__(self, service: "HttpService", call: Call) -> None:
-        self.call = call.call_id
+        self.call_id = call.call_id
         self.method = call.method
         self.path = call.path
         self.body = call.body
@@ -54,34 +54,34 @@
             raise BadQuery(f"missing query parameter: {name}")
         return values[0]
 
-    def call_id(self, name: str) -> float:
+    def number(self, name: str) -> float:
         """Return a query parameter as a number; raise `BadQuery`."""
         try:
             return float(self.text(name))
         except ValueError as error:
             raise BadQuery(f"not a number: {name}") from error
 
-    def whole(self, name: str) -> int:
-        """Return a query parameter as a whole number; raise `BadQuery`."""
+    def integer(self, name: str) -> int:
+        """Return a query parameter as an integer; raise `BadQuery`."""
         try:
             return int(self.text(name))
         except ValueError as error:
-            raise BadQuery(f"not a whole number: {name}") from error
+            raise BadQuery(f"not an integer: {name}") from error
 
     def reply(self, body, status: int = HTTPStatus.OK) -> None:
-        """Send a reply, encoded as JSON, if the connection still stands."""
+        """Send a reply, encoded as JSON, if the connection is still open."""
         encoded = HttpResponse(int(status), msgspec.json.encode(body))
-        self._service.web.reply(self.call, encoded)
+        self._service.web.reply(self.call_id, encoded)
 
     def reply_bytes(self, data: bytes) -> None:
-        """Send a reply of raw bytes, if the connection still stands."""
+        """Send a reply of raw bytes if the connection is still open."""
         encoded = HttpResponse(
             int(HTTPStatus.OK), data, content_type="application/octet-stream"
         )
-        self._service.web.reply(self.call, encoded)
+        self._service.web.reply(self.call_id, encoded)
 
     def guard(self, answer: "Answer") -> None:
-        """Let `answer` answer, and turn a bad request into its reply."""
+        """Call `answer` with this exchange; reply 400 to an invalid request."""
         try:
             answer(self)
         except (msgspec.MsgspecError, StandinError) as error:
@@ -89,20 +89,20 @@
 
     def drop(self) -> None:
         """Close the connection without a reply."""
-        self._service.web.abort_call(self.call)
+        self._service.web.abort_call(self.call_id)
 
 
 Answer = Callable[[Exchange], None]
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Say what was wrong with a request."""
+    """Body of an error reply."""
 
     error: str
 
 
 class HttpService(BaseComponent, WebService):
-    """Listen on one address and hand each request to `serve`."""
+    """Server on one address that passes each request to `serve`."""
 
     def __init__(self, address: tuple[str, int], channel: str) -> None:
         super().__init__(channel=channel)
@@ -114,39 +114,40 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Return where it listens; the system chose the port if it was 0."""
+        """Return host and port; the system chooses the port if it was given as 0."""
         return self._host, self.web.port
 
     def serve(self, exchange: Exchange) -> None:
         """Answer a request, now or later."""
         raise NotImplementedError
 
-    def gone(self, call_id: int) -> None:
-        """Take note that the caller of an open exchange left."""
+    def on_caller_disconnected(self, call_id: int) -> None:
+        """Handle the disconnect of the caller of an open exchange."""
 
     def handle_call(self, call: Call) -> None:
-        """Hand a call on as an exchange."""
+        """Wrap a call in an exchange and serve it."""
         Exchange(self, call).guard(self.serve)
 
     def caller_disconnected(self, call_id: int) -> None:
-        """Pass on that the caller of an open call left."""
-        self.gone(call_id)
+        """Pass on the disconnect of the caller of an open call."""
+        self.on_caller_disconnected(call_id)
 
     @handler("signal", channel="*")
     def _on_signal(self, *_signal) -> None:
-        """Stop at once: what is in flight is the other side's to notice."""
+        """Stop at once; peers must notice that requests in flight get no reply."""
         self.root.stop()
 
 
 def not_found(exchange: Exchange) -> None:
-    """Answer that there is nothing at this path."""
+    """Reply that the path does not exist."""
     exchange.reply(ErrorBody(f"nothing at {exchange.path}"), HTTPStatus.NOT_FOUND)
 
 
 def serve_until_stopped(make: Callable[[Manager, TimerQueue], object]) -> None:
-    """Run a loop with what `make` registers at it.
+    """Run an event loop with the components that `make` registers.
 
-    circuits' default poller is select, which fails beyond 1,024 connections.
+    It uses epoll: the default poller of circuits is select, which fails beyond 1,024
+    connections.
     """
     root = Manager()
     EPoll().register(root)
--- a/jackdawspur/standins/_log.py
+++ b/jackdawspur/standins/_log.py
@@ -1,4 +1,4 @@
-"""What a stand-in log keeps, trims and refuses; the time is passed."""
+"""Stand-in log without sockets; callers pass the current time."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSettings:
-    """Size the log: where it listens, its delay, limits and retention.
+    """Address, delay, limits and retention of the log.
 
-    `append_delay_ms` in milliseconds; `appends_per_s` with a burst of one second.
+    `appends_per_s` allows bursts of one second.
     """
 
     address: str
@@ -28,11 +28,12 @@
 
 
 class LogFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Say how the log misbehaves; a post replaces all faults set before.
+    """Faults of the log; a post replaces all faults set before.
 
-    `outage` answers 503 without effect; `silent` gives no answer and no effect;
-    `lose_appends` and `lose_reads` count replies dropped after their effect; a
-    retention that is set here holds from now on.
+    With `outage` the log replies 503 without effect; with `silent` it sends no reply
+    and has no effect. `lose_appends` and `lose_reads` are numbers of replies to drop
+    after the request took effect. A rate or retention set here replaces that of the
+    settings.
     """
 
     outage: bool = False
@@ -46,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class _StreamKept:
+class _Stream:
     next_offset: int
     records: deque[tuple[float, RecordBody]]
 
@@ -57,12 +58,12 @@
 
 
 class LogStore:
-    """Keep streams of records in order, within the retention."""
+    """Streams of records in order, within the retention."""
 
     def __init__(self, settings: LogSettings) -> None:
         self._settings = settings
         self._faults = LogFaults()
-        self._streams: dict[str, _StreamKept] = {}
+        self._streams: dict[str, _Stream] = {}
         self._tokens = settings.appends_per_s
         self._tokens_at = 0.0
 
@@ -73,60 +74,62 @@
 
     @property
     def settings(self) -> LogSettings:
-        """Return the settings it was made with."""
+        """Return the settings of the log."""
         return self._settings
 
     def set_faults(self, faults: LogFaults) -> None:
-        """Behave so from now on."""
+        """Replace the current faults."""
         self._faults = faults
 
     def admit(self, stream: str, now: float) -> bool:
-        """Take one append from the rate limit, or refuse it."""
-        rate = _set(self._faults.appends_per_s, self._settings.appends_per_s)
+        """Return whether the rate limit and the number of streams allow an append."""
+        rate = _override(self._faults.appends_per_s, self._settings.appends_per_s)
         tokens = self._tokens + (now - self._tokens_at) * rate
         self._tokens = min(rate, tokens)
         self._tokens_at = now
-        known = stream in self._streams or (len(self._streams) < self._settings.streams)
-        if self._tokens < 1.0 or not known:
+        allowed = stream in self._streams or (
+            len(self._streams) < self._settings.streams
+        )
+        if self._tokens < 1.0 or not allowed:
             return False
         self._tokens -= 1.0
         return True
 
     def append(self, stream: str, body: str, now: float) -> int:
         """Append a record; return its offset."""
-        kept = self._streams.setdefault(stream, _StreamKept(0, deque()))
-        offset = kept.next_offset
-        kept.next_offset += 1
-        kept.records.append((now, RecordBody(offset, body)))
-        self._trim(kept, now)
+        stored = self._streams.setdefault(stream, _Stream(0, deque()))
+        offset = stored.next_offset
+        stored.next_offset += 1
+        stored.records.append((now, RecordBody(offset, body)))
+        self._trim(stored, now)
         return offset
 
     def first(self, stream: str, now: float) -> int:
         """Return the oldest offset of a stream that can be read."""
-        kept = self._streams.get(stream)
-        if kept is None:
+        stored = self._streams.get(stream)
+        if stored is None:
             return 0
-        self._trim(kept, now)
-        return kept.first
+        self._trim(stored, now)
+        return stored.first
 
     def read(self, stream: str, offset: int, now: float) -> tuple[RecordBody, ...]:
-        """Return records from `offset` on, which must not be trimmed."""
-        kept = self._streams.get(stream)
-        if kept is None:
+        """Return the records from `offset` on, which must not be trimmed."""
+        stored = self._streams.get(stream)
+        if stored is None:
             return ()
         skipped = max(0, offset - self.first(stream, now))
-        end = min(len(kept.records), skipped + self._settings.records_per_reply)
-        return tuple(kept.records[place][1] for place in range(skipped, end))
+        end = min(len(stored.records), skipped + self._settings.records_per_reply)
+        return tuple(stored.records[index][1] for index in range(skipped, end))
 
-    def _trim(self, kept: _StreamKept, now: float) -> None:
-        records_kept = _set(self._faults.records_kept, self._settings.records_kept)
-        seconds_kept = _set(self._faults.seconds_kept, self._settings.seconds_kept)
-        records = kept.records
+    def _trim(self, stored: _Stream, now: float) -> None:
+        records_kept = _override(self._faults.records_kept, self._settings.records_kept)
+        seconds_kept = _override(self._faults.seconds_kept, self._settings.seconds_kept)
+        records = stored.records
         while records and (
             len(records) > records_kept or records[0][0] <= now - seconds_kept
         ):
             records.popleft()
 
 
-def _set(fault, setting):
+def _override(fault, setting):
     return setting if fault is None else fault
--- a/jackdawspur/standins/_log_service.py
+++ b/jackdawspur/standins/_log_service.py
@@ -1,4 +1,4 @@
-"""Serve the stand-in log over HTTP."""
+"""HTTP service of the stand-in log."""
 
 from collections import Counter
 from http import HTTPMethod, HTTPStatus
@@ -27,29 +27,29 @@
 
 
 class _Poll:
-    """Hold a read that waits for a record, until its time is up."""
+    """A read that waits for a record or for its timeout."""
 
-    __slots__ = ("deadline", "exchange", "offset", "stream")
+    __slots__ = ("exchange", "offset", "stream", "timer")
 
     def __init__(self, exchange: Exchange, stream: str, offset: int) -> None:
         self.exchange = exchange
         self.stream = stream
         self.offset = offset
-        self.deadline: TimerHandle | None = None
+        self.timer: TimerHandle | None = None
 
 
 class LogService(HttpService):
-    """Put one log behind HTTP and misbehave as told."""
+    """Serves one log over HTTP and injects the faults that are set."""
 
     def __init__(self, store: LogStore, timer_queue: TimerQueue) -> None:
         super().__init__(split_address(store.settings.address), channel="log")
         self._store = store
         self._timer_queue = timer_queue
         self._polls: list[_Poll] = []
-        self._to_lose: Counter[HTTPMethod] = Counter()
+        self._replies_to_drop: Counter[HTTPMethod] = Counter()
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer one request, unless there is an outage."""
+        """Answer a request according to the faults that are set."""
         if exchange.path == FAULTS:
             self._set_faults(exchange)
         elif self._store.faults.silent:
@@ -64,9 +64,9 @@
         else:
             self._read(exchange, unquote(exchange.path[len(STREAMS) :]))
 
-    def gone(self, call_id: int) -> None:
-        """Forget the reads of a closed connection."""
-        for poll in [each for each in self._polls if each.exchange.call == call_id]:
+    def on_caller_disconnected(self, call_id: int) -> None:
+        """Drop the reads of a closed connection."""
+        for poll in [each for each in self._polls if each.exchange.call_id == call_id]:
             self._drop_poll(poll)
 
     def _append(self, exchange: Exchange, stream: str) -> None:
@@ -79,12 +79,12 @@
         else:
             delay_ms = self._store.settings.append_delay_ms
             delay_s = delay_ms * self._store.faults.slow_factor / MS
-            text = _text(exchange.body)
+            text = _decode_text(exchange.body)
             self._timer_queue.call_later(
-                delay_s, lambda: self._appended(exchange, stream, text)
+                delay_s, lambda: self._complete_append(exchange, stream, text)
             )
 
-    def _appended(self, exchange: Exchange, stream: str, text: str) -> None:
+    def _complete_append(self, exchange: Exchange, stream: str, text: str) -> None:
         offset = self._store.append(stream, text, self._timer_queue.now)
         self._reply(exchange, AppendReply(offset))
         for poll in [each for each in self._polls if each.stream == stream]:
@@ -92,21 +92,21 @@
             self._answer(poll, final=True)
 
     def _read(self, exchange: Exchange, stream: str) -> None:
-        poll = _Poll(exchange, stream, exchange.whole("from"))
-        wait_ms = exchange.call_id("wait_ms")
+        poll = _Poll(exchange, stream, exchange.integer("from"))
+        wait_ms = exchange.number("wait_ms")
         if not self._answer(poll, final=wait_ms <= 0):
             self._polls.append(poll)
-            poll.deadline = self._timer_queue.call_later(
-                wait_ms / MS, lambda: self._late(poll)
+            poll.timer = self._timer_queue.call_later(
+                wait_ms / MS, lambda: self._on_timeout(poll)
             )
 
-    def _late(self, poll: _Poll) -> None:
+    def _on_timeout(self, poll: _Poll) -> None:
         self._drop_poll(poll)
         self._answer(poll, final=True)
 
     def _drop_poll(self, poll: _Poll) -> None:
         self._polls.remove(poll)
-        poll.deadline.cancel()
+        poll.timer.cancel()
 
     def _answer(self, poll: _Poll, final: bool) -> bool:
         now = self._timer_queue.now
@@ -121,8 +121,8 @@
         return False
 
     def _reply(self, exchange: Exchange, body) -> None:
-        if self._to_lose[exchange.method] > 0:
-            self._to_lose[exchange.method] -= 1
+        if self._replies_to_drop[exchange.method] > 0:
+            self._replies_to_drop[exchange.method] -= 1
             exchange.drop()
         else:
             exchange.reply(body)
@@ -130,24 +130,24 @@
     def _set_faults(self, exchange: Exchange) -> None:
         faults = msgspec.json.decode(exchange.body, type=LogFaults)
         self._store.set_faults(faults)
-        self._to_lose[HTTPMethod.POST] = faults.lose_appends
-        self._to_lose[HTTPMethod.GET] = faults.lose_reads
+        self._replies_to_drop[HTTPMethod.POST] = faults.lose_appends
+        self._replies_to_drop[HTTPMethod.GET] = faults.lose_reads
         exchange.reply(faults)
 
 
 def make_log(
     settings: LogSettings, root: Manager, timer_queue: TimerQueue
 ) -> LogService:
-    """Register a log at a loop."""
+    """Register a log with an event loop."""
     return LogService(LogStore(settings), timer_queue).register(root)
 
 
 def run_log(settings: LogSettings) -> None:
-    """Serve the log until the process is told to stop."""
+    """Serve the log until the process is stopped."""
     serve_until_stopped(lambda root, timer_queue: make_log(settings, root, timer_queue))
 
 
-def _text(body: bytes) -> str:
+def _decode_text(body: bytes) -> str:
     try:
         return body.decode()
     except UnicodeDecodeError as error:
--- a/jackdawspur/standins/_platform_caller.py
+++ b/jackdawspur/standins/_platform_caller.py
@@ -1,10 +1,10 @@
-"""What callers of the customers' platform send."""
+"""Requests of callers of the customers' platform."""
 
 import json
 
 __all__ = ["PLATFORM_HEADERS", "PLATFORM_ROUTE", "platform_job_body"]
 
-# The route of the jobs below, as the platform's configuration names it.
+# Route of the jobs below, as in the platform's configuration.
 PLATFORM_ROUTE = {
     "name": "r-1",
     "host": "a.example",
@@ -15,15 +15,15 @@
     "stretch": 1.6,
     "max_attempts": 3,
 }
-# Callers wait longer than the route's time-out, and say so.
+# Callers wait longer than the timeout of the route, and send their own deadline.
 PLATFORM_HEADERS = {"Host": PLATFORM_ROUTE["host"], "X-Deadline-Ms": "5000"}
-# Two such tasks fit into a worker of 32 cores.
+# In thousandths of a core; two tasks fit into a worker of 32 cores.
 TASK_CPU = 14_000
 TASK_MEMORY_MB = 64
 
 
 def platform_job_body(run_ms: float, tasks: int, fails: bool) -> dict:
-    """Return the body of a job of one step, for the workers of this stand-in."""
+    """Return the body of a one-step job for the workers of this stand-in."""
     step = {
         "count": tasks,
         "cpu": TASK_CPU,
--- a/jackdawspur/standins/_platform_service.py
+++ b/jackdawspur/standins/_platform_service.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in of the customers' platform over HTTP: a store and its workers."""
+"""HTTP stand-in of the customers' platform: a store and workers."""
 
 import base64
 import struct
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """Say where the store and the workers listen and what the configuration is.
+    """Addresses of the store and the workers, and the configuration in the store.
 
-    Each worker has `cpu` thousandths of a core; `zones` are dealt to them in turn.
-    `announced` are the addresses at which workers are reached, if not their own.
+    Each worker has `cpu` thousandths of a core; `zones` are assigned to workers round
+    robin. `announced` are the workers' addresses in the store, if not their own.
     """
 
     store: str
@@ -65,9 +65,10 @@
 
 
 class _Faults(msgspec.Struct):
-    """Set what goes wrong: the store is away, workers are silent or off the list.
+    """Faults: the store is down or compacts its history, workers don't reply or are
+    removed from the list.
 
-    Workers stand by number.
+    Workers are given by index.
     """
 
     store_down: bool = False
@@ -77,10 +78,10 @@
 
 
 class PlatformReport(msgspec.Struct):
-    """Tell what all workers counted, and the names of tasks that began and were done.
+    """Counters of all workers, and the names of tasks that were started and done.
 
-    `lapsed` counts runs that ended with their lease; the other two must stay zero.
-    `twice` names the tasks with two runs at one time.
+    `lapsed` counts runs that ended because their lease expired; `over_capacity` and
+    `two_at_once` must stay zero. `twice` has the tasks with two runs at the same time.
     """
 
     starts: int = 0
@@ -93,13 +94,13 @@
 
 
 @dataclass(eq=False)
-class _Waiting:
+class _PendingExchange:
     exchange: Exchange
-    until: float
+    deadline: float
 
 
 class FencedWorkerService(HttpService):
-    """Put one worker behind HTTP; each task takes the same share of it."""
+    """Serves one worker over HTTP; each task takes the same amount of its CPU."""
 
     def __init__(
         self, address: str, worker: FencedWorker, timer_queue, cpu: int
@@ -108,54 +109,58 @@
         self.worker = worker
         self._timer_queue = timer_queue
         self._task_cpu = cpu
-        self._born_ms = int(time.time() * MS_PER_S)
-        self._waiting: list[_Waiting] = []
+        self._incarnation_ms = int(time.time() * MS_PER_S)
+        self._pending: list[_PendingExchange] = []
         self._tick()
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer one request; a silent worker never does."""
+        """Answer a request, unless the worker is set to be unresponsive."""
         if self.worker.silent:
             return
         if exchange.path == "/run-start":
-            asked = msgspec.json.decode(exchange.body, type=_Start)
+            request = msgspec.json.decode(exchange.body, type=_Start)
             reason = self.worker.start(
-                asked.task,
-                asked.run,
-                asked.spec,
-                asked.deadline_ms,
-                asked.fencing_token,
+                request.task,
+                request.run,
+                request.spec,
+                request.deadline_ms,
+                request.fencing_token,
                 self._task_cpu,
             )
             self._reply(exchange, reason)
         elif exchange.path == "/run-stop":
-            asked = msgspec.json.decode(exchange.body, type=_Stop)
-            reason = self.worker.stop(asked.task, asked.run, asked.fencing_token)
+            request = msgspec.json.decode(exchange.body, type=_Stop)
+            reason = self.worker.stop(request.task, request.run, request.fencing_token)
             self._reply(exchange, reason)
         elif exchange.path == "/hold":
-            self._hold(exchange)
+            self._poll(exchange)
         else:
             not_found(exchange)
 
-    def _hold(self, exchange: Exchange) -> None:
-        asked = msgspec.json.decode(exchange.body, type=_Hold)
-        reason = self.worker.hold(
-            asked.fencing_token, asked.last_seen, asked.deadline_ms
+    def _poll(self, exchange: Exchange) -> None:
+        request = msgspec.json.decode(exchange.body, type=_Hold)
+        reason = self.worker.poll(
+            request.fencing_token, request.last_seen, request.deadline_ms
         )
         if reason:
             self._reply(exchange, reason)
             return
-        until = self._timer_queue.now + asked.wait_ms / MS_PER_S
-        self._waiting.append(_Waiting(exchange, until))
-        self._answer_waiting()
+        deadline = self._timer_queue.now + request.wait_ms / MS_PER_S
+        self._pending.append(_PendingExchange(exchange, deadline))
+        self._answer_polls()
 
-    def _answer_waiting(self) -> None:
+    def _answer_polls(self) -> None:
         now = self._timer_queue.now
-        for waiting in list(self._waiting):
-            if self.worker.unseen or now >= waiting.until:
-                self._waiting.remove(waiting)
-                running, ended = self.worker.rows()
-                body = {"running": running, "ended": ended, "born": self._born_ms}
-                waiting.exchange.reply({"clock_ms": self.worker.clock_ms, **body})
+        for pending in list(self._pending):
+            if self.worker.unacknowledged_ends or now >= pending.deadline:
+                self._pending.remove(pending)
+                running, ended = self.worker.encode_runs()
+                body = {
+                    "running": running,
+                    "ended": ended,
+                    "born": self._incarnation_ms,
+                }
+                pending.exchange.reply({"clock_ms": self.worker.clock_ms, **body})
 
     def _reply(self, exchange: Exchange, reason: str) -> None:
         body = {"clock_ms": self.worker.clock_ms}
@@ -167,55 +172,57 @@
     def _tick(self) -> None:
         self.worker.tick()
         if not self.worker.silent:
-            self._answer_waiting()
+            self._answer_polls()
         self._timer_queue.call_later(TICK_S, self._tick)
 
 
 class StoreService(HttpService):
-    """Put the store behind HTTP, and set faults and report there too."""
+    """Serves the store, the faults and the report over HTTP."""
 
     def __init__(self, settings: PlatformSettings, timer_queue: TimerQueue) -> None:
         super().__init__(split_address(settings.store), channel="platform-store")
         self._store = KeyedStore()
         self._timer_queue = timer_queue
-        self._tally = FencedWorkerCounters()
+        self._counters = FencedWorkerCounters()
         self._faults = _Faults()
-        self._waiting: list[tuple[_Waiting, str, int]] = []
+        self._pending: list[tuple[_PendingExchange, str, int]] = []
         document = msgspec.json.encode(settings.configuration)
         self._store.append(OPERATOR, "config", document)
         self._entries: list[bytes] = []
-        self.workers = [self._worker(n, settings) for n in range(len(settings.workers))]
+        self.workers = [
+            self._make_worker(n, settings) for n in range(len(settings.workers))
+        ]
         self._tick()
 
-    def _worker(self, number: int, settings: PlatformSettings) -> FencedWorker:
-        name = f"w{number}"
+    def _make_worker(self, index: int, settings: PlatformSettings) -> FencedWorker:
+        name = f"w{index}"
         entry = {
             "service": settings.configuration["routes"][0]["service"],
-            "address": (settings.announced or settings.workers)[number],
-            "zone": settings.zones[number % len(settings.zones)],
+            "address": (settings.announced or settings.workers)[index],
+            "zone": settings.zones[index % len(settings.zones)],
             "capacity": {"cpu": settings.cpu, "mem_mb": 131_072, "gpus": 0},
             "labels": [],
         }
         self._entries.append(msgspec.json.encode(entry))
-        self._store.append(SERVERS, name, self._entries[number])
+        self._store.append(SERVERS, name, self._entries[index])
         clock = lambda: self._timer_queue.now  # noqa: E731
-        return FencedWorker(name, settings.cpu, self._tally, clock)
+        return FencedWorker(name, settings.cpu, self._counters, clock)
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Answer a request."""
         if exchange.path == "/faults":
             self._set_faults(exchange)
         elif exchange.path == "/report":
-            tally = self._tally
+            counters = self._counters
             exchange.reply(
                 PlatformReport(
-                    tally.starts,
-                    tally.over_capacity,
-                    tally.two_at_once,
-                    tally.lapsed,
-                    sorted(tally.running),
-                    sorted(tally.done),
-                    tally.twice,
+                    counters.starts,
+                    counters.over_capacity,
+                    counters.two_at_once,
+                    counters.lapsed,
+                    sorted(counters.running_by_task),
+                    sorted(counters.done),
+                    counters.twice,
                 )
             )
         elif self._faults.store_down:
@@ -232,15 +239,15 @@
     def _set_faults(self, exchange: Exchange) -> None:
         before = self._faults.unlisted
         self._faults = msgspec.json.decode(exchange.body, type=_Faults)
-        for number, worker in enumerate(self.workers):
-            worker.silent = number in self._faults.silent
-            unlisted = number in self._faults.unlisted
-            if unlisted != (number in before):
-                entry = b"" if unlisted else self._entries[number]
+        for index, worker in enumerate(self.workers):
+            worker.silent = index in self._faults.silent
+            unlisted = index in self._faults.unlisted
+            if unlisted != (index in before):
+                entry = b"" if unlisted else self._entries[index]
                 self._store.append(SERVERS, worker.name, entry)
         if self._faults.forget:
             for topic in (OPERATOR, SERVERS):
-                self._store.forget(topic)
+                self._store.compact(topic)
         exchange.reply(self._faults)
 
     def _append(self, exchange: Exchange) -> None:
@@ -259,25 +266,25 @@
         exchange.reply({"items": items, "more": False, "end": end})
 
     def _read(self, exchange: Exchange) -> None:
-        until = self._timer_queue.now + exchange.call_id("wait_ms") / MS_PER_S
-        waiting = _Waiting(exchange, until)
-        entry = (waiting, exchange.text("topic"), exchange.whole("from"))
-        self._waiting.append(entry)
+        deadline = self._timer_queue.now + exchange.number("wait_ms") / MS_PER_S
+        pending = _PendingExchange(exchange, deadline)
+        entry = (pending, exchange.text("topic"), exchange.integer("from"))
+        self._pending.append(entry)
         self._answer_readers()
 
     def _answer_readers(self) -> None:
         now = self._timer_queue.now
-        for entry in list(self._waiting):
-            waiting, topic, offset = entry
-            found = self._store.read(topic, offset)
-            if found is None:
-                waiting.exchange.reply({"first": 0}, 410)
-            elif found[0] or now >= waiting.until:
-                data, end, first = found
-                waiting.exchange.reply_bytes(struct.pack(">QQ", end, first) + data)
+        for entry in list(self._pending):
+            pending, topic, offset = entry
+            records = self._store.read(topic, offset)
+            if records is None:
+                pending.exchange.reply({"first": 0}, 410)
+            elif records[0] or now >= pending.deadline:
+                data, end, first = records
+                pending.exchange.reply_bytes(struct.pack(">QQ", end, first) + data)
             else:
                 continue
-            self._waiting.remove(entry)
+            self._pending.remove(entry)
 
     def _tick(self) -> None:
         self._answer_readers()
@@ -287,7 +294,7 @@
 def make_platform(
     settings: PlatformSettings, root: Manager, timer_queue: TimerQueue
 ) -> StoreService:
-    """Register a store and its workers at a loop."""
+    """Register a store and its workers with an event loop."""
     store = StoreService(settings, timer_queue).register(root)
     for address, worker in zip(settings.workers, store.workers, strict=True):
         FencedWorkerService(address, worker, timer_queue, settings.cpu // 2).register(
@@ -297,7 +304,7 @@
 
 
 def run_platform(settings: PlatformSettings) -> None:
-    """Serve the stand-in until the process is told to stop."""
+    """Serve the stand-in until the process is stopped."""
     serve_until_stopped(
         lambda root, timer_queue: make_platform(settings, root, timer_queue)
     )
--- a/jackdawspur/standins/_start_costs.py
+++ b/jackdawspur/standins/_start_costs.py
@@ -1,4 +1,4 @@
-"""Measure what a start request and a task in it cost, at a worker that runs."""
+"""Measurement of the cost of start requests and their tasks at a running worker."""
 
 import statistics
 import time
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchCost:
-    """Report one size of batch: microseconds of processor time and p50 in ms."""
+    """Cost of one batch size: processor time per request in microseconds, p50 in ms."""
 
     tasks: int
     requests: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCosts:
-    """Report the processor time, in microseconds, of a request and of each task."""
+    """Processor time of a request and of each task in it, in microseconds."""
 
     client_request_us: float
     client_task_us: float
@@ -55,19 +55,19 @@
 
 
 class answered(Event):
-    """Tell the loop that an answer is there."""
+    """Event that wakes the loop after a reply."""
 
 
-class _Bench:
+class _StartBenchmark:
     def __init__(self, address: str) -> None:
         self._root = Manager()
-        # Only a running manager polls; here the bench itself gives it its ticks.
+        # Only a running manager polls; here the benchmark itself calls tick().
         self._root._running = True
         EPoll().register(self._root)
         timer_queue = TimerQueue().register(self._root)
-        where = split_address(address)
-        self._client = HttpClient(where, timer_queue).register(self._root)
-        polls = HttpClient(where, timer_queue).register(self._root)
+        peer_address = split_address(address)
+        self._client = HttpClient(peer_address, timer_queue).register(self._root)
+        polls = HttpClient(peer_address, timer_queue).register(self._root)
         self._upstream = HttpUpstreamClient(UPSTREAM, HOLDER, self._client, polls)
         self._sequence = time.time_ns()
 
@@ -95,31 +95,31 @@
         self._sequence += 1
         submission = SubmissionId(HOLDER, self._sequence)
         starts = [
-            TaskStart(TaskId(submission, place), PAYLOAD, LEASE_MS)
-            for place in range(tasks)
+            TaskStart(TaskId(submission, index), PAYLOAD, LEASE_MS)
+            for index in range(tasks)
         ]
-        begun = time.perf_counter()
-        reply = self._ask(lambda done: self._upstream.start(starts, done))
-        took = time.perf_counter() - begun
+        started_at = time.perf_counter()
+        reply = self._wait_for_result(lambda done: self._upstream.start(starts, done))
+        elapsed_s = time.perf_counter() - started_at
         refused = [each for each in reply.unwrap().verdicts if each.refusal]
         if refused:
             raise PlatformError(f"the worker refused a start: {refused[0]}")
-        return took
+        return elapsed_s
 
     def _counters(self) -> WorkerCounters:
-        reply = self._ask(
+        reply = self._wait_for_result(
             lambda done: self._client.request(
                 "GET", "/v1/counters", b"", TIMEOUT_S, done
             )
         )
         return msgspec.json.decode(reply.unwrap().body, type=WorkerCounters)
 
-    def _ask(self, call: Callable[[Callable], None]) -> Result:
+    def _wait_for_result(self, call: Callable[[Callable], None]) -> Result:
         results: list[Result] = []
 
         def finish(result: Result) -> None:
             results.append(result)
-            # A queued event keeps the poller from waiting in this same tick.
+            # A queued event keeps the poller from waiting in this tick.
             self._root.fire(answered())
 
         call(finish)
@@ -131,11 +131,11 @@
 def measure_start_costs(
     address: str, tasks: int = 64, requests: int = 1000
 ) -> StartCosts:
-    """Measure batches of one and of `tasks` at a running worker with slots enough."""
-    bench = _Bench(address)
-    small = bench.measure(1, requests)
-    large = bench.measure(tasks, requests)
-    bench.close()
+    """Measure batches of one and of `tasks` tasks at a worker with enough slots."""
+    benchmark = _StartBenchmark(address)
+    small = benchmark.measure(1, requests)
+    large = benchmark.measure(tasks, requests)
+    benchmark.close()
     client_task_us = (large.client_us - small.client_us) / (tasks - 1)
     worker_task_us = (large.worker_us - small.worker_us) / (tasks - 1)
     return StartCosts(
--- a/jackdawspur/standins/_worker.py
+++ b/jackdawspur/standins/_worker.py
@@ -1,4 +1,4 @@
-"""What a stand-in upstream does with starts, polls and faults; the time is passed."""
+"""Stand-in upstream without sockets; callers pass the current time."""
 
 from collections import Counter, OrderedDict, deque
 
@@ -23,13 +23,13 @@
 __all__ = ["Worker"]
 
 MS = 1000.0
-# A cursor starts above any that an earlier run of this worker can have handed out:
-# a run makes fewer than this many results in each millisecond of its life.
+# The first cursor of an incarnation exceeds all cursors of earlier ones, as long as an
+# incarnation has fewer than this number of results per millisecond of its life.
 CURSORS_PER_INCARNATION = 1000
 
 
 class Worker:
-    """Run tasks in slots, and keep each result until its holder has it."""
+    """Runs tasks in slots and keeps each result until its holder acknowledges it."""
 
     def __init__(self, settings: WorkerSettings, incarnation: int, seed: int) -> None:
         self._settings = settings
@@ -43,10 +43,10 @@
         self._forgotten: OrderedDict[str, None] = OrderedDict()
         self._sealed: OrderedDict[str, None] = OrderedDict()
         self._results: dict[str, deque[tuple[int, OutcomeBody]]] = {}
-        self._starts_of: OrderedDict[str, int] = OrderedDict()
+        self._start_counts: OrderedDict[str, int] = OrderedDict()
         self._refusals: Counter[str] = Counter()
-        self._twice = 0
-        self._usage_seen: deque[tuple[float, int, bool]] = deque()
+        self._started_twice = 0
+        self._usage_history: deque[tuple[float, int, bool]] = deque()
 
     @property
     def faults(self) -> WorkerFaults:
@@ -55,7 +55,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the number of this run."""
+        """Return the incarnation of this worker."""
         return self._incarnation
 
     @property
@@ -65,95 +65,99 @@
 
     @property
     def next_change(self) -> float | None:
-        """Return the time at which a running task ends or lapses."""
+        """Return when the next running task ends or its lease expires, if any runs."""
         if not self._running:
             return None
-        return min(min(each.ends, each.lapses) for each in self._running.values())
+        return min(
+            min(each.ends_at, each.lease_expires_at) for each in self._running.values()
+        )
 
     def set_faults(self, faults: WorkerFaults, now: float) -> None:
-        """Behave so from now on; `die` happens once."""
+        """Replace the current faults; `die` is executed once."""
         self.advance(now)
         self._faults = faults
         self._behaviour.faults = faults
         if faults.die:
             self._die()
-        self._note_usage(now)
+        self._record_usage(now)
 
     def advance(self, now: float) -> None:
-        """End what is due.
+        """End the tasks that are due.
 
-        A task whose lease lapsed first is stopped, also when both happened while
-        the worker was frozen.
+        A task whose lease expires before its end is stopped, even if both times passed
+        while the worker was frozen.
         """
         due = [
-            (min(task.ends, task.lapses), task.order, name)
+            (min(task.ends_at, task.lease_expires_at), task.order, name)
             for name, task in self._running.items()
-            if min(task.ends, task.lapses) <= now
+            if min(task.ends_at, task.lease_expires_at) <= now
         ]
-        for when, _, name in sorted(due):
+        for ended_at, _, name in sorted(due):
             task = self._running.pop(name)
-            if task.lapses < task.ends:
+            if task.lease_expires_at < task.ends_at:
                 self._end(task.holder, _stopped(task, "its lease lapsed"))
             else:
                 self._end(task.holder, task.outcome)
-            self._note_usage(when)
+            self._record_usage(ended_at)
 
     def start(self, request: StartsRequest, now: float) -> StartsReply:
-        """Start what fits."""
+        """Start the tasks that fit, and refuse the others."""
         self.advance(now)
         verdicts = tuple(
             VerdictBody(start.task, self._start(request.holder, start, now))
             for start in request.starts
         )
-        self._note_usage(now)
+        self._record_usage(now)
         return StartsReply(self._incarnation, verdicts)
 
     def results(self, holder: str, after: int, now: float) -> StatusReply:
-        """Return the results after a cursor; those up to it are forgotten."""
+        """Return the results after a cursor; those up to it are dropped."""
         self.advance(now)
-        kept = self._results.get(holder)
-        if kept is None:
+        results = self._results.get(holder)
+        if results is None:
             return StatusReply(self._incarnation, (), self._cursor)
-        while kept and kept[0][0] <= after:
-            kept.popleft()
-        if not kept:
+        while results and results[0][0] <= after:
+            results.popleft()
+        if not results:
             return StatusReply(self._incarnation, (), self._cursor)
         limit = self._settings.results_per_reply
-        page = [kept[place] for place in range(min(limit, len(kept)))]
+        page = [results[index] for index in range(min(limit, len(results)))]
         outcomes = tuple(outcome for _, outcome in page)
         return StatusReply(self._incarnation, outcomes, page[-1][0])
 
     def status(self, tasks: tuple[str, ...], seal: bool, now: float) -> StatusReply:
-        """Tell how far tasks are; with `seal`, bar those that never started."""
+        """Return the state of tasks; `seal` keeps unstarted ones from ever starting."""
         self.advance(now)
         outcomes = tuple(self._status(task, seal) for task in tasks)
         return StatusReply(self._incarnation, outcomes)
 
     def stop(self, tasks: tuple[str, ...], now: float) -> StatusReply:
-        """Stop what runs and bar what never started."""
+        """Stop running tasks and keep unstarted ones from ever starting."""
         self.advance(now)
         for name in tasks:
             task = self._running.pop(name, None)
             if task is not None:
                 self._end(task.holder, _stopped(task, "it was stopped"))
-        self._note_usage(now)
+        self._record_usage(now)
         return self.status(tasks, True, now)
 
     def usage(self, now: float) -> UsageReply:
-        """Report the load as it was one lag ago."""
+        """Return the load with the lag of the settings."""
         self.advance(now)
-        self._note_usage(now)
-        seen = self._usage_seen
-        while len(seen) > 1 and seen[1][0] <= now - self._settings.usage_lag_ms / MS:
-            seen.popleft()
-        _, busy, leaving = seen[0]
+        self._record_usage(now)
+        history = self._usage_history
+        while (
+            len(history) > 1 and history[1][0] <= now - self._settings.usage_lag_ms / MS
+        ):
+            history.popleft()
+        _, busy, leaving = history[0]
         return UsageReply(self._incarnation, self._settings.slots, busy, leaving)
 
     def counters(self) -> WorkerCounters:
-        """Report what was counted since the process started."""
+        """Return the counters since the process started."""
         return WorkerCounters(
             starts=self._started,
-            started_twice=self._twice,
+            started_twice=self._started_twice,
             refusals=dict(self._refusals),
             busy=self.busy,
         )
@@ -163,12 +167,12 @@
         if refusal is not None:
             self._refusals[refusal.value] += 1
             return refusal
-        # A second start of a task runs again under a key of its own. A worker that
-        # hid it would hide the fault that this stand-in is there to count.
-        earlier = self._count_start(start.task)
+        # A second start of a task runs as well, and the first gets another key: a
+        # worker that ignored it would hide the fault that this stand-in counts.
+        earlier_starts = self._count_start(start.task)
         if start.task in self._running:
-            other = self._running.pop(start.task)
-            self._running[f"{start.task}#{earlier}"] = other
+            earlier_task = self._running.pop(start.task)
+            self._running[f"{start.task}#{earlier_starts}"] = earlier_task
         self._ended.pop(start.task, None)
         self._results.setdefault(holder, deque())
         order = self._started
@@ -189,13 +193,16 @@
             or start.accelerators > settings.accelerators
         ):
             return RefusalReason.TOO_LARGE
-        if len(self._running) >= settings.slots or not self._has_room(holder):
+        if len(self._running) >= settings.slots or not self._reserve_holder(holder):
             return RefusalReason.FULL
         return None
 
-    def _has_room(self, holder: str) -> bool:
-        """Make room for one more holder; a restarted host is a new one each time."""
-        if holder in self._results or len(self._results) < self._settings.holders_kept:
+    def _reserve_holder(self, holder: str) -> bool:
+        """Return whether the results of a holder can be kept.
+
+        Evicts an idle holder if necessary: a host is a new holder after each restart.
+        """
+        if holder in self._results or len(self._results) < self._settings.max_holders:
             return True
         busy = {task.holder for task in self._running.values()}
         idle = next((each for each in self._results if each not in busy), None)
@@ -205,12 +212,12 @@
         return True
 
     def _count_start(self, task: str) -> int:
-        earlier = self._starts_of.get(task, 0)
+        earlier_starts = self._start_counts.get(task, 0)
         self._started += 1
-        self._twice += earlier > 0
-        self._starts_of[task] = earlier + 1
-        _bound(self._starts_of, self._settings.starts_remembered)
-        return earlier
+        self._started_twice += earlier_starts > 0
+        self._start_counts[task] = earlier_starts + 1
+        _evict_oldest(self._start_counts, self._settings.max_start_counts)
+        return earlier_starts
 
     def _status(self, task: str, seal: bool) -> OutcomeBody:
         if task in self._running:
@@ -221,22 +228,22 @@
             return OutcomeBody(task, TaskState.UNKNOWN)
         if seal:
             self._sealed[task] = None
-            _bound(self._sealed, self._settings.seals_kept)
+            _evict_oldest(self._sealed, self._settings.max_seals)
         if task in self._sealed:
             return OutcomeBody(task, TaskState.SEALED)
         return OutcomeBody(task, TaskState.UNKNOWN)
 
     def _end(self, holder: str, outcome: OutcomeBody) -> None:
         self._cursor += 1
-        kept = self._results.setdefault(holder, deque())
-        kept.append((self._cursor, outcome))
-        if len(kept) > self._settings.results_kept:
-            kept.popleft()
+        results = self._results.setdefault(holder, deque())
+        results.append((self._cursor, outcome))
+        if len(results) > self._settings.max_results:
+            results.popleft()
         self._ended[outcome.task] = outcome
-        while len(self._ended) > self._settings.outcomes_kept:
-            # It did run here, so a later status query must not call it sealed.
+        while len(self._ended) > self._settings.max_outcomes:
+            # The task ran here, so a later status query must not report it as sealed.
             self._forgotten[self._ended.popitem(last=False)[0]] = None
-        _bound(self._forgotten, self._settings.starts_remembered)
+        _evict_oldest(self._forgotten, self._settings.max_start_counts)
 
     def _die(self) -> None:
         self._incarnation += 1
@@ -246,16 +253,16 @@
         self._sealed.clear()
         self._results.clear()
 
-    def _note_usage(self, now: float) -> None:
-        self._usage_seen.append((now, len(self._running), self._faults.leaving))
-        if len(self._usage_seen) > self._settings.usage_kept:
-            self._usage_seen.popleft()
+    def _record_usage(self, now: float) -> None:
+        self._usage_history.append((now, len(self._running), self._faults.leaving))
+        if len(self._usage_history) > self._settings.max_usage_samples:
+            self._usage_history.popleft()
 
 
 def _stopped(task: RunningTask, why: str) -> OutcomeBody:
     return OutcomeBody(task.outcome.task, TaskState.STOPPED, error=why)
 
 
-def _bound(kept: OrderedDict, limit: int) -> None:
-    while len(kept) > limit:
-        kept.popitem(last=False)
+def _evict_oldest(entries: OrderedDict, limit: int) -> None:
+    while len(entries) > limit:
+        entries.popitem(last=False)
--- a/jackdawspur/standins/_worker_service.py
+++ b/jackdawspur/standins/_worker_service.py
@@ -1,4 +1,4 @@
-"""Serve workers over HTTP; many of them in one process."""
+"""HTTP service of stand-in workers, many of them in one process."""
 
 import time
 from collections import Counter, deque
@@ -36,19 +36,19 @@
 
 
 class _Poll:
-    """Hold a long poll until a result of its holder is there, or its time is up."""
+    """A long poll that waits for a result of its holder or for its timeout."""
 
-    __slots__ = ("after", "deadline", "exchange", "holder")
+    __slots__ = ("after", "exchange", "holder", "timer")
 
     def __init__(self, exchange: Exchange, holder: str, after: int) -> None:
         self.exchange = exchange
         self.holder = holder
         self.after = after
-        self.deadline: TimerHandle | None = None
+        self.timer: TimerHandle | None = None
 
 
 class WorkerService(HttpService):
-    """Put one worker behind HTTP and misbehave as told."""
+    """Serves one worker over HTTP and injects the faults that are set."""
 
     def __init__(
         self,
@@ -61,14 +61,14 @@
         self._worker = worker
         self._timer_queue = timer_queue
         self._polls: list[_Poll] = []
-        self._wake: TimerHandle | None = None
+        self._wake_timer: TimerHandle | None = None
         self._wake_at: float | None = None
         self._frozen_until = 0.0
-        self._after_thaw: deque[Callable[[], None]] = deque()
-        self._held: deque[Callable[[], None]] = deque()
+        self._deferred_requests: deque[Callable[[], None]] = deque()
+        self._held_replies: deque[Callable[[], None]] = deque()
         self._requests: Counter[str] = Counter()
-        self._to_lose: Counter[str] = Counter()
-        self._answers = {
+        self._replies_to_drop: Counter[str] = Counter()
+        self._request_handlers = {
             STARTS: self._starts,
             RESULTS: self._results,
             STATUS: self._status,
@@ -78,24 +78,24 @@
 
     @property
     def worker(self) -> Worker:
-        """Return the worker behind it."""
+        """Return the worker that is served."""
         return self._worker
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer one request, unless the worker is frozen."""
+        """Answer a request; defer it while the worker is frozen."""
         self._requests[exchange.path] += 1
         if exchange.path == FAULTS:
             self._set_faults(exchange)
         elif exchange.path == COUNTERS:
             exchange.reply(self._counters())
         else:
-            answer = self._answers.get(exchange.path, not_found)
-            self._unless_frozen(lambda: exchange.guard(answer))
+            handler = self._request_handlers.get(exchange.path, not_found)
+            self._run_or_defer(lambda: exchange.guard(handler))
 
-    def gone(self, call_id: int) -> None:
-        """Forget the poll of a caller that left."""
-        for poll in [each for each in self._polls if each.exchange.call == call_id]:
-            poll.deadline.cancel()
+    def on_caller_disconnected(self, call_id: int) -> None:
+        """Drop the poll of a caller that disconnected."""
+        for poll in [each for each in self._polls if each.exchange.call_id == call_id]:
+            poll.timer.cancel()
             self._polls.remove(poll)
 
     def _counters(self) -> WorkerCounters:
@@ -105,12 +105,12 @@
             processor_s=time.process_time(),
         )
 
-    def _unless_frozen(self, act: Callable[[], None]) -> None:
+    def _run_or_defer(self, action: Callable[[], None]) -> None:
         if self._timer_queue.now < self._frozen_until:
-            self._after_thaw.append(act)
+            self._deferred_requests.append(action)
             return
-        act()
-        # Whatever was asked may have ended tasks that were due.
+        action()
+        # Any request may have ended tasks that were due.
         self._answer_polls()
         self._set_wake()
 
@@ -119,13 +119,13 @@
         self._reply(exchange, self._worker.start(request, self._timer_queue.now))
 
     def _results(self, exchange: Exchange) -> None:
-        poll = _Poll(exchange, exchange.text("holder"), exchange.whole("after"))
-        wait_ms = exchange.call_id("wait_ms")
+        poll = _Poll(exchange, exchange.text("holder"), exchange.integer("after"))
+        wait_ms = exchange.number("wait_ms")
         if not self._answer_poll(poll, final=wait_ms <= 0):
             self._polls.append(poll)
-            poll.deadline = self._timer_queue.call_later(
+            poll.timer = self._timer_queue.call_later(
                 wait_ms / MS,
-                lambda: self._unless_frozen(lambda: self._poll_late(poll)),
+                lambda: self._run_or_defer(lambda: self._on_poll_timeout(poll)),
             )
 
     def _status(self, exchange: Exchange) -> None:
@@ -140,7 +140,7 @@
     def _usage(self, exchange: Exchange) -> None:
         self._reply(exchange, self._worker.usage(self._timer_queue.now))
 
-    def _poll_late(self, poll: _Poll) -> None:
+    def _on_poll_timeout(self, poll: _Poll) -> None:
         if poll in self._polls:
             self._polls.remove(poll)
             self._answer_poll(poll, final=True)
@@ -148,7 +148,7 @@
     def _answer_polls(self) -> None:
         for poll in list(self._polls):
             if self._answer_poll(poll, final=False):
-                poll.deadline.cancel()
+                poll.timer.cancel()
                 self._polls.remove(poll)
 
     def _answer_poll(self, poll: _Poll, final: bool) -> bool:
@@ -159,11 +159,11 @@
         return False
 
     def _reply(self, exchange: Exchange, body) -> None:
-        if self._to_lose[exchange.path] > 0:
-            self._to_lose[exchange.path] -= 1
+        if self._replies_to_drop[exchange.path] > 0:
+            self._replies_to_drop[exchange.path] -= 1
             exchange.drop()
         elif self._worker.faults.hold_replies:
-            self._held.append(lambda: exchange.reply(body))
+            self._held_replies.append(lambda: exchange.reply(body))
         else:
             exchange.reply(body)
 
@@ -171,22 +171,22 @@
         faults = msgspec.json.decode(exchange.body, type=WorkerFaults)
         now = self._timer_queue.now
         self._worker.set_faults(faults, now)
-        self._to_lose[STARTS] = faults.lose_starts
-        self._to_lose[RESULTS] = faults.lose_results
-        self._to_lose[STATUS] = faults.lose_status
-        self._to_lose[STOP] = faults.lose_stops
+        self._replies_to_drop[STARTS] = faults.lose_starts
+        self._replies_to_drop[RESULTS] = faults.lose_results
+        self._replies_to_drop[STATUS] = faults.lose_status
+        self._replies_to_drop[STOP] = faults.lose_stops
         self._frozen_until = now + faults.frozen_ms / MS
         self._timer_queue.call_later(faults.frozen_ms / MS, self._thaw)
-        while self._held and not faults.hold_replies:
-            self._held.popleft()()
+        while self._held_replies and not faults.hold_replies:
+            self._held_replies.popleft()()
         exchange.reply(faults)
 
     def _thaw(self) -> None:
         if self._timer_queue.now < self._frozen_until:
             return
         self._advance()
-        while self._after_thaw:
-            self._after_thaw.popleft()()
+        while self._deferred_requests:
+            self._deferred_requests.popleft()()
 
     def _advance(self) -> None:
         self._wake_at = None
@@ -197,29 +197,31 @@
         self._set_wake()
 
     def _set_wake(self) -> None:
-        change = self._worker.next_change
-        if change is None or (self._wake_at is not None and self._wake_at <= change):
+        next_change = self._worker.next_change
+        if next_change is None or (
+            self._wake_at is not None and self._wake_at <= next_change
+        ):
             return
-        if self._wake is not None:
-            self._wake.cancel()
-        self._wake_at = change
-        delay = max(0.0, change - self._timer_queue.now)
-        self._wake = self._timer_queue.call_later(delay, self._advance)
+        if self._wake_timer is not None:
+            self._wake_timer.cancel()
+        self._wake_at = next_change
+        delay = max(0.0, next_change - self._timer_queue.now)
+        self._wake_timer = self._timer_queue.call_later(delay, self._advance)
 
 
 def make_worker_pool(
     settings: WorkerPoolSettings, root: Manager, timer_queue: TimerQueue
 ) -> tuple[WorkerService, ...]:
-    """Register the workers of one process at its loop."""
+    """Register the workers of one process with its event loop."""
     incarnation = int(time.time() * MS)
     return tuple(
-        _make_service(settings, place, text, timer_queue, incarnation).register(root)
-        for place, text in enumerate(settings.addresses)
+        _make_service(settings, index, text, timer_queue, incarnation).register(root)
+        for index, text in enumerate(settings.addresses)
     )
 
 
 def run_worker(settings: WorkerPoolSettings) -> None:
-    """Serve the workers until the process is told to stop."""
+    """Serve the workers until the process is stopped."""
     serve_until_stopped(
         lambda root, timer_queue: make_worker_pool(settings, root, timer_queue)
     )
@@ -227,11 +229,11 @@
 
 def _make_service(
     settings: WorkerPoolSettings,
-    place: int,
+    index: int,
     address: str,
     timer_queue: TimerQueue,
     incarnation: int,
 ) -> WorkerService:
-    sizes: WorkerSettings = settings.worker
-    worker = Worker(sizes, incarnation, settings.seed + place)
-    return WorkerService(worker, split_address(address), timer_queue, str(place))
+    worker_settings: WorkerSettings = settings.worker
+    worker = Worker(worker_settings, incarnation, settings.seed + index)
+    return WorkerService(worker, split_address(address), timer_queue, str(index))
--- a/jackdawspur/standins/_worker_task.py
+++ b/jackdawspur/standins/_worker_task.py
@@ -1,4 +1,4 @@
-"""How one task of the stand-in upstream runs and ends."""
+"""Simulated run of one task on the stand-in upstream."""
 
 import random
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class Payload(msgspec.Struct, frozen=True):
-    """Say how a task of the stand-in behaves."""
+    """Payload of a task that sets its run time, its output and its failure."""
 
     run_ms: float | None = None
     output: str | None = None
@@ -24,30 +24,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """Hold a task in its slot: when it ends, lapses, and with what."""
+    """A task in its slot; times in seconds, `outcome` is that at its regular end."""
 
     holder: str
-    ends: float
-    lapses: float
+    ends_at: float
+    lease_expires_at: float
     outcome: OutcomeBody
     order: int
 
 
 class TaskBehaviour:
-    """Decide from its payload and the faults how a task runs."""
+    """Run time and outcome of tasks, from their payloads and the faults."""
 
     def __init__(self, default_run_ms: float, seed: int) -> None:
         self.faults = WorkerFaults()
         self._default_run_ms = default_run_ms
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def run(self, holder: str, start: StartBody, now: float, order: int) -> RunningTask:
-        """Return the task as it will run from now on."""
+        """Return the task with its end and its outcome if it starts now."""
         payload = _payload(start.payload)
         return RunningTask(
             holder=holder,
-            ends=now + self._run_ms(payload) / MS,
-            lapses=now + start.lease_ms / MS,
+            ends_at=now + self._run_ms(payload) / MS,
+            lease_expires_at=now + start.lease_ms / MS,
             outcome=self._outcome(start, payload),
             order=order,
         )
@@ -57,7 +57,7 @@
         if faults.fail_all:
             return 0.0
         run_ms = self._default_run_ms if payload.run_ms is None else payload.run_ms
-        if self._random.random() < faults.straggler_fraction:
+        if self._rng.random() < faults.straggler_fraction:
             run_ms *= faults.straggler_factor
         return run_ms * faults.slow_factor
 
--- a/jackdawspur/standins/_worker_types.py
+++ b/jackdawspur/standins/_worker_types.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSettings:
-    """Size one worker; times in milliseconds, counts bound what it remembers."""
+    """Resources of one worker, and limits of what it stores."""
 
     slots: int = 8
     cpus: int = 32
@@ -18,17 +18,17 @@
     default_run_ms: float = 100.0
     usage_lag_ms: float = 1000.0
     results_per_reply: int = 512
-    results_kept: int = 10000
-    holders_kept: int = 256
-    outcomes_kept: int = 10000
-    seals_kept: int = 100000
-    starts_remembered: int = 1000000
-    usage_kept: int = 4096
+    max_results: int = 10000
+    max_holders: int = 256
+    max_outcomes: int = 10000
+    max_seals: int = 100000
+    max_start_counts: int = 1000000
+    max_usage_samples: int = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerPoolSettings:
-    """Say where a process serves its workers, one on each address ``IP:port``."""
+    """Workers served by one process, one on each address ``IP:port``."""
 
     addresses: tuple[str, ...]
     worker: WorkerSettings = field(default_factory=WorkerSettings)
@@ -36,11 +36,11 @@
 
 
 class WorkerFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Say how a worker misbehaves; a post replaces all faults set before.
+    """Faults of a worker; a post replaces all faults set before.
 
-    `lose_starts`, `lose_results`, `lose_status` and `lose_stops` count replies that
-    are dropped after their effect; `hold_replies` keeps replies back until it is unset;
-    `frozen_ms` stops the whole worker for that long; `die` drops all tasks.
+    `lose_starts`, `lose_results`, `lose_status` and `lose_stops` are numbers of replies
+    to drop after the request took effect; `hold_replies` delays all replies until it is
+    unset; `frozen_ms` suspends the whole worker for this time; `die` drops all tasks.
     """
 
     slow_factor: float = 1.0
@@ -58,9 +58,9 @@
 
 
 class WorkerCounters(msgspec.Struct, frozen=True):
-    """Report what a worker counted, over all its incarnations.
+    """Counters of a worker over all its incarnations.
 
-    `processor_s` is the processor time of the whole process, in seconds.
+    `processor_s` is the processor time of the whole process in seconds.
     """
 
     starts: int = 0
--- a/jackdawspur/standins/tests/test_worker.py
+++ b/jackdawspur/standins/tests/test_worker.py
@@ -1,4 +1,4 @@
-"""What the worker stand-in does with time, on time that the tests pass in."""
+"""Tests of the worker stand-in, with times set by the tests."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     return [each.state for each in reply.outcomes]
 
 
-def test_lapsed_lease_stops_the_task_and_frees_its_slot(worker):
+def test_expired_lease_stops_the_task_and_frees_its_slot(worker):
     start(worker, "s/0", run_ms=2000.0, lease_ms=500.0)
     assert states(worker.results(HOLDER, 0, 0.499)) == []
     assert states(worker.results(HOLDER, 0, 0.5)) == [TaskState.STOPPED]
@@ -35,7 +35,7 @@
 
 
 def test_second_start_of_a_task_runs_and_is_counted(worker):
-    """The worker must not hide a double start: counting them is its purpose."""
+    """The worker must not hide a double start, because its purpose is to count them."""
     start(worker, "s/0")
     start(worker, "s/0")
     start(worker, "s/1")
@@ -46,7 +46,7 @@
     assert worker.counters().started_twice == 2
 
 
-def test_refusals_say_why(worker):
+def test_refusals_have_a_reason_and_are_counted(worker):
     assert start(worker, "s/0", lease_ms=0.0) == [RefusalReason.EXPIRED]
     assert start(worker, "s/0", cpus=33) == [RefusalReason.TOO_LARGE]
     worker.set_faults(WorkerFaults(leaving=True), 0.0)
@@ -55,8 +55,8 @@
     assert worker.counters().starts == 0
 
 
-def test_death_forgets_tasks_and_shows_a_new_incarnation(worker):
-    """A cursor from before the death must not acknowledge results of after it."""
+def test_crash_drops_tasks_and_starts_a_new_incarnation(worker):
+    """A cursor from before the crash must not acknowledge results from after it."""
     start(worker, "s/0")
     before = worker.results(HOLDER, 0, 1.0)
     worker.set_faults(WorkerFaults(die=True), 1.0)
@@ -65,13 +65,13 @@
     after = worker.results(HOLDER, before.cursor, 2.0)
     assert states(after) == [TaskState.DONE]
     assert after.incarnation == before.incarnation + 1
-    reborn = Worker(WorkerSettings(), incarnation=6, seed=1)
-    start(reborn, "s/2")
-    assert states(reborn.results(HOLDER, after.cursor, 1.0)) == [TaskState.DONE]
+    restarted = Worker(WorkerSettings(), incarnation=6, seed=1)
+    start(restarted, "s/2")
+    assert states(restarted.results(HOLDER, after.cursor, 1.0)) == [TaskState.DONE]
 
 
-def test_task_that_ran_long_ago_is_not_called_sealed():
-    worker = Worker(WorkerSettings(outcomes_kept=1), incarnation=5, seed=1)
+def test_task_that_ran_long_ago_is_not_reported_as_sealed():
+    worker = Worker(WorkerSettings(max_outcomes=1), incarnation=5, seed=1)
     start(worker, "s/0", "s/1")
     reply = worker.status(("s/0", "s/1", "s/2"), True, 1.0)
     assert states(reply) == [TaskState.UNKNOWN, TaskState.DONE, TaskState.SEALED]
@@ -86,13 +86,13 @@
     assert worker.next_change == pytest.approx(0.3)
     worker.set_faults(WorkerFaults(straggler_fraction=0.25), 10.0)
     slow = 0
-    for place in range(400):
-        start(worker, f"t/{place}", now=20.0 + place)
-        slow += worker.next_change > 20.5 + place
+    for index in range(400):
+        start(worker, f"t/{index}", now=20.0 + index)
+        slow += worker.next_change > 20.5 + index
     assert 70 <= slow <= 130
 
 
-def test_usage_lags(worker):
+def test_usage_is_reported_with_a_lag(worker):
     start(worker, "s/0", "s/1", now=10.0, run_ms=9000.0, lease_ms=99999.0)
     worker.set_faults(WorkerFaults(leaving=True), 10.2)
     assert worker.usage(11.1).leaving is False
@@ -101,10 +101,10 @@
 
 
 def test_holders_of_hosts_that_restart_are_bounded():
-    worker = Worker(WorkerSettings(holders_kept=2), incarnation=5, seed=1)
-    for place in range(20):
-        task = StartBody(f"s/{place}", "{}", 50.0)
-        reply = worker.start(StartsRequest(f"h{place}", (task,)), float(place))
+    worker = Worker(WorkerSettings(max_holders=2), incarnation=5, seed=1)
+    for index in range(20):
+        task = StartBody(f"s/{index}", "{}", 50.0)
+        reply = worker.start(StartsRequest(f"h{index}", (task,)), float(index))
         assert reply.verdicts[0].refusal is None
     assert states(worker.results("h17", 0, 30.0)) == []
     assert states(worker.results("h19", 0, 30.0)) == [TaskState.STOPPED]
