--- a/jackdawspur/standins/_log_service.py
+++ b/jackdawspur/standins/_log_service.py
@@ -29,7 +29,7 @@
 class _Poll:
     """A read that waits for a record or for its timeout."""
 
-    __slots__ = ("exchange", "offset", "stream", "timer")
+    __slots__ = ("timer", "exchange", "offset", "stream")
 
     def __init__(self, exchange: Exchange, stream: str, offset: int) -> None:
         self.exchange = exchange
--- a/jackdawspur/standins/_worker_service.py
+++ b/jackdawspur/standins/_worker_service.py
@@ -38,7 +38,7 @@
 class _Poll:
     """A long poll that waits for a result of its holder or for its timeout."""
 
-    __slots__ = ("after", "exchange", "holder", "timer")
+    __slots__ = ("after", "timer", "exchange", "holder")
 
     def __init__(self, exchange: Exchange, holder: str, after: int) -> None:
         self.exchange = exchange
