--- a/jackdawspur/adapters/_http_client.py
+++ b/jackdawspur/adapters/_http_client.py
@@ -85,7 +85,7 @@
         """
         call = _Call(self._encode(method, path, body, headers), done)
         if self._closed or len(self._waiting) >= self._limits.max_pending_requests:
-            refusal = Unavailable(f"too many requests wait for {self._peer}")
+            refusal = Unavailable(f"client of {self._peer} is closed or its queue full")
             self._timer_queue.call_later(0.0, lambda: done(Err(refusal)))
             return
         call.timer = self._timer_queue.call_later(
@@ -184,7 +184,9 @@
     def _on_timeout(self, call: _Call) -> None:
         if call in self._waiting:
             self._waiting.remove(call)
-            self._end(call, Err(Unavailable(f"no connection to {self._peer} in time")))
+            self._end(
+                call, Err(Unavailable(f"no free connection to {self._peer} in time"))
+            )
             return
         for connection, in_flight_call in self._in_flight.items():
             if in_flight_call is call:
--- a/jackdawspur/adapters/_requests.py
+++ b/jackdawspur/adapters/_requests.py
@@ -79,7 +79,7 @@
         """Add bytes from the connection."""
         self._buffer += data
 
-    def take(self) -> HttpRequest | None:
+    def next_request(self) -> HttpRequest | None:
         """Remove and return the next request, or None if it isn't complete.
 
         Errors: `RequestError`.
@@ -95,7 +95,7 @@
         self._continue_sent = False
         return _build_request(head.parser, body)
 
-    def wants_continue(self) -> bool:
+    def needs_continue(self) -> bool:
         """Return whether to send 100 Continue; true at most once per request."""
         if self._head is None or self._continue_sent or self._buffer:
             return False
--- a/jackdawspur/adapters/_web.py
+++ b/jackdawspur/adapters/_web.py
@@ -83,8 +83,9 @@
 class _Connection:
     """State of one connection.
 
-    `since` is when its unfinished request started, or when its last reply was sent;
-    `half_closed` means that the peer has shut down its sending side.
+    `since` is when it was accepted, its unfinished request started or its last reply
+    was sent, whichever is latest. `half_closed` means that the peer has shut down its
+    sending side.
     """
 
     sock: socket
@@ -176,7 +177,7 @@
         if connection is not None:
             self._sockets.close_when_sent(connection.sock)
 
-    def accepted(self, sock: socket) -> None:
+    def on_accepted(self, sock: socket) -> None:
         """Accept a connection; beyond the bound, close an idle one in its place.
 
         Otherwise idle connections that are never used would lock out all callers.
@@ -195,7 +196,7 @@
         else:
             self._sockets.close_when_sent(sock)
 
-    def received(self, sock: socket, data: bytes) -> None:
+    def on_received(self, sock: socket, data: bytes) -> None:
         """Process bytes from a caller."""
         connection = self._connections[sock]
         if not data:
@@ -206,7 +207,7 @@
             connection.reader.feed(data)
             self._advance(connection)
 
-    def gone(self, sock: socket) -> None:
+    def on_closed(self, sock: socket) -> None:
         """Remove a closed connection and report its open call to the service."""
         connection = self._connections.pop(sock)
         if self._calls.pop(connection.call_id, None) is not None:
@@ -239,7 +240,7 @@
                 self._sockets.pause_reading(connection.sock)
             return
         try:
-            request = connection.reader.take()
+            request = connection.reader.next_request()
         except RequestError as error:
             self._refuse(connection, refusal_response(error.code, str(error)))
             return
@@ -248,7 +249,7 @@
         elif connection.half_closed:
             text = "the connection ended before the request was complete"
             self._refuse(connection, refusal_response(FailureCode.INVALID, text))
-        elif connection.reader.wants_continue():
+        elif connection.reader.needs_continue():
             self._sockets.send(connection.sock, CONTINUE)
 
     def _handle_request(self, connection: _Connection, request: HttpRequest) -> None:
--- a/jackdawspur/adapters/_web_sockets.py
+++ b/jackdawspur/adapters/_web_sockets.py
@@ -15,15 +15,15 @@
     """Receiver of what happens on connections, by direct calls instead of events."""
 
     @abc.abstractmethod
-    def accepted(self, sock: socket) -> None:
+    def on_accepted(self, sock: socket) -> None:
         """Handle a new connection."""
 
     @abc.abstractmethod
-    def received(self, sock: socket, data: bytes) -> None:
+    def on_received(self, sock: socket, data: bytes) -> None:
         """Process bytes; empty bytes mean that the peer has stopped sending."""
 
     @abc.abstractmethod
-    def gone(self, sock: socket) -> None:
+    def on_closed(self, sock: socket) -> None:
         """Handle the close of a connection."""
 
 
@@ -77,7 +77,7 @@
 
     def _on_accept_done(self, sock: socket, _fire_connect_event: bool = True) -> None:
         super()._on_accept_done(sock, False)
-        self._owner.accepted(sock)
+        self._owner.on_accepted(sock)
 
     def _read(self, sock: socket) -> None:
         if sock not in self._clients:
@@ -89,7 +89,7 @@
         except OSError:
             self._close(sock)
             return
-        self._owner.received(sock, data)
+        self._owner.on_received(sock, data)
 
     def _close(self, sock: socket) -> None:
         was_connected = sock in self._clients
@@ -97,7 +97,7 @@
             self._closeq.remove(sock)
         super()._close(sock)
         if was_connected:
-            self._owner.gone(sock)
+            self._owner.on_closed(sock)
 
     @handler("disconnect")
     def _on_disconnected(self, sock: socket) -> None:
--- a/jackdawspur/adapters/tests/test_upstream_http.py
+++ b/jackdawspur/adapters/tests/test_upstream_http.py
@@ -82,15 +82,15 @@
     The requests have timed out, and the next one must get only its own verdict.
     """
     fault(hold_replies=True)
-    held = []
-    upstream.start([start(0)], held.append)
+    timed_out = []
+    upstream.start([start(0)], timed_out.append)
     loop.settle()
     loop.pass_time(1.1)
-    assert isinstance(held[0].unwrap_err(), OutcomeUnknown)
+    assert isinstance(timed_out[0].unwrap_err(), OutcomeUnknown)
     fault()
     reply = loop.ask(upstream.start, [start(1)])
     assert [each.task for each in reply.unwrap().verdicts] == [task(1)]
-    assert (len(held), worker.worker.counters().starts) == (1, 2)
+    assert (len(timed_out), worker.worker.counters().starts) == (1, 2)
 
 
 def test_poll_without_results_ends_in_time_and_blocks_no_start(loop, upstream):
--- a/jackdawspur/load/_closed_loop.py
+++ b/jackdawspur/load/_closed_loop.py
@@ -47,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallersReport:
-    """Answers within the measured window; `added_ms` are times beyond the run time."""
+    """Results of the callers; `added_ms` is response time minus run time per job.
+
+    `jobs_in_window` and `added_ms` are of answers within the measured window.
+    """
 
     jobs_in_window: int = 0
     jobs: int = 0
--- a/jackdawspur/load/_driver.py
+++ b/jackdawspur/load/_driver.py
@@ -223,16 +223,16 @@
 
     def _finish(self) -> None:
         totals = UpstreamCounts(
-            starts=self._sum(lambda c: c.starts),
-            started_twice=self._sum(lambda c: c.started_twice),
-            refused=self._sum(lambda c: sum(c.refusals.values())),
-            status_queries=self._sum(lambda c: c.requests.get(STATUS_PATH, 0)),
-            stops=self._sum(lambda c: c.requests.get(STOP_PATH, 0)),
+            starts=self._sum_growth(lambda c: c.starts),
+            started_twice=self._sum_growth(lambda c: c.started_twice),
+            refused=self._sum_growth(lambda c: sum(c.refusals.values())),
+            status_queries=self._sum_growth(lambda c: c.requests.get(STATUS_PATH, 0)),
+            stops=self._sum_growth(lambda c: c.requests.get(STOP_PATH, 0)),
         )
         open_jobs = self._counters.jobs - self._counters.ended
         self._on_finished(self._counters, totals, open_jobs)
 
-    def _sum(self, read: Callable[[WorkerCounters], int]) -> int:
+    def _sum_growth(self, read: Callable[[WorkerCounters], int]) -> int:
         """Return the growth of a counter during the run, summed over all upstreams."""
         after = sum(read(counters) for counters in self._after.values())
         return after - sum(read(counters) for counters in self._before.values())
--- a/jackdawspur/standins/_fenced_worker.py
+++ b/jackdawspur/standins/_fenced_worker.py
@@ -36,8 +36,8 @@
 
     `over_capacity` and `two_at_once` must stay zero; `lapsed` counts runs that ended
     because their lease expired. `running_by_task` has the number of current runs of
-    every task ever started, `done` the tasks with a successful run, `twice` those that
-    had two runs at the same time.
+    every task ever started, `done` the tasks with a successful run, and `twice` the
+    starts of tasks that were already running.
     """
 
     starts: int = 0
@@ -50,7 +50,7 @@
 
 
 class FencedWorker:
-    """Runs the tasks started under the highest fence while its lease is valid."""
+    """Obeys only the highest fence so far, and runs tasks while the lease is valid."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         return int(self._clock() * MS_PER_S)
 
     @property
-    def unacknowledged_ends(self) -> int:
+    def unacknowledged_end_count(self) -> int:
         """Return the number of ends that are not yet acknowledged."""
         return len(self._unacknowledged_ends)
 
--- a/jackdawspur/standins/_log.py
+++ b/jackdawspur/standins/_log.py
@@ -82,7 +82,7 @@
         self._faults = faults
 
     def admit(self, stream: str, now: float) -> bool:
-        """Return whether the rate limit and the number of streams allow an append."""
+        """Consume a token of the rate limit; return False if the append is refused."""
         rate = _override(self._faults.appends_per_s, self._settings.appends_per_s)
         tokens = self._tokens + (now - self._tokens_at) * rate
         self._tokens = min(rate, tokens)
--- a/jackdawspur/standins/_platform_service.py
+++ b/jackdawspur/standins/_platform_service.py
@@ -65,10 +65,10 @@
 
 
 class _Faults(msgspec.Struct):
-    """Faults: the store is down or compacts its history, workers don't reply or are
-    removed from the list.
+    """Faults of the store and of workers, which are given by index.
 
-    Workers are given by index.
+    `silent` workers send no replies, `unlisted` ones are removed from the list, and
+    `forget` compacts the topics of the store.
     """
 
     store_down: bool = False
@@ -81,7 +81,7 @@
     """Counters of all workers, and the names of tasks that were started and done.
 
     `lapsed` counts runs that ended because their lease expired; `over_capacity` and
-    `two_at_once` must stay zero. `twice` has the tasks with two runs at the same time.
+    `two_at_once` must stay zero. `twice` has the starts of tasks already running.
     """
 
     starts: int = 0
@@ -152,7 +152,7 @@
     def _answer_polls(self) -> None:
         now = self._timer_queue.now
         for pending in list(self._pending):
-            if self.worker.unacknowledged_ends or now >= pending.deadline:
+            if self.worker.unacknowledged_end_count or now >= pending.deadline:
                 self._pending.remove(pending)
                 running, ended = self.worker.encode_runs()
                 body = {
--- a/jackdawspur/standins/_start_costs.py
+++ b/jackdawspur/standins/_start_costs.py
@@ -78,16 +78,16 @@
     def measure(self, tasks: int, requests: int) -> BatchCost:
         for _ in range(10):
             self._start(tasks)
-        worker = self._counters().processor_s
-        client = time.process_time()
+        worker_s = self._counters().processor_s
+        client_s = time.process_time()
         times = [self._start(tasks) for _ in range(requests)]
-        client = time.process_time() - client
-        worker = self._counters().processor_s - worker
+        client_s = time.process_time() - client_s
+        worker_s = self._counters().processor_s - worker_s
         return BatchCost(
             tasks=tasks,
             requests=requests,
-            client_us=client / requests * MICRO,
-            worker_us=worker / requests * MICRO,
+            client_us=client_s / requests * MICRO,
+            worker_us=worker_s / requests * MICRO,
             p50_ms=statistics.median(times) * MILLI,
         )
 
--- a/jackdawspur/standins/_worker.py
+++ b/jackdawspur/standins/_worker.py
@@ -40,7 +40,7 @@
         self._faults = WorkerFaults()
         self._running: dict[str, RunningTask] = {}
         self._ended: OrderedDict[str, OutcomeBody] = OrderedDict()
-        self._forgotten: OrderedDict[str, None] = OrderedDict()
+        self._evicted: OrderedDict[str, None] = OrderedDict()
         self._sealed: OrderedDict[str, None] = OrderedDict()
         self._results: dict[str, deque[tuple[int, OutcomeBody]]] = {}
         self._start_counts: OrderedDict[str, int] = OrderedDict()
@@ -95,7 +95,7 @@
         for ended_at, _, name in sorted(due):
             task = self._running.pop(name)
             if task.lease_expires_at < task.ends_at:
-                self._end(task.holder, _stopped(task, "its lease lapsed"))
+                self._end(task.holder, _stopped(task, "its lease expired"))
             else:
                 self._end(task.holder, task.outcome)
             self._record_usage(ended_at)
@@ -176,7 +176,7 @@
         self._ended.pop(start.task, None)
         self._results.setdefault(holder, deque())
         order = self._started
-        self._running[start.task] = self._behaviour.run(holder, start, now, order)
+        self._running[start.task] = self._behaviour.simulate(holder, start, now, order)
         return None
 
     def _refusal(self, holder: str, start: StartBody) -> RefusalReason | None:
@@ -224,7 +224,7 @@
             return OutcomeBody(task, TaskState.RUNNING)
         if task in self._ended:
             return self._ended[task]
-        if task in self._forgotten:
+        if task in self._evicted:
             return OutcomeBody(task, TaskState.UNKNOWN)
         if seal:
             self._sealed[task] = None
@@ -242,14 +242,14 @@
         self._ended[outcome.task] = outcome
         while len(self._ended) > self._settings.max_outcomes:
             # The task ran here, so a later status query must not report it as sealed.
-            self._forgotten[self._ended.popitem(last=False)[0]] = None
-        _evict_oldest(self._forgotten, self._settings.max_start_counts)
+            self._evicted[self._ended.popitem(last=False)[0]] = None
+        _evict_oldest(self._evicted, self._settings.max_start_counts)
 
     def _die(self) -> None:
         self._incarnation += 1
         self._running.clear()
         self._ended.clear()
-        self._forgotten.clear()
+        self._evicted.clear()
         self._sealed.clear()
         self._results.clear()
 
--- a/jackdawspur/standins/_worker_task.py
+++ b/jackdawspur/standins/_worker_task.py
@@ -41,8 +41,10 @@
         self._default_run_ms = default_run_ms
         self._rng = random.Random(seed)
 
-    def run(self, holder: str, start: StartBody, now: float, order: int) -> RunningTask:
-        """Return the task with its end and its outcome if it starts now."""
+    def simulate(
+        self, holder: str, start: StartBody, now: float, order: int
+    ) -> RunningTask:
+        """Return the task that starts now, with its end and its outcome."""
         payload = _payload(start.payload)
         return RunningTask(
             holder=holder,
@@ -62,7 +64,7 @@
         return run_ms * faults.slow_factor
 
     def _outcome(self, start: StartBody, payload: Payload) -> OutcomeBody:
-        failure = "told to fail everything" if self.faults.fail_all else payload.fail
+        failure = "set to fail all tasks" if self.faults.fail_all else payload.fail
         if failure:
             return OutcomeBody(start.task, TaskState.FAILED, error=failure)
         output = start.payload if payload.output is None else payload.output
