--- a/jackdawspur/configuration/__init__.py
+++ b/jackdawspur/configuration/__init__.py
@@ -1,11 +1,11 @@
-"""The configuration: documents, records, fold, plan and confirm, snapshots."""
+"""The configuration: documents, log records, replication, and the operator API."""
 
-from jackdawspur.configuration._budget import (
+from jackdawspur.configuration._append_rate_limiter import (
     AppendLimit,
     AppendPurpose,
     AppendRateLimiter,
-    appends_a_day,
-    limit_of,
+    append_limit,
+    appends_per_day,
 )
 from jackdawspur.configuration._changes import (
     Change,
@@ -15,11 +15,11 @@
 )
 from jackdawspur.configuration._checks import load_configuration, load_intent
 from jackdawspur.configuration._cluster_spec import (
+    build_cluster_spec,
     customer_of,
     find_job_class,
     operator_of,
     token_hash,
-    world_of,
 )
 from jackdawspur.configuration._document import (
     SCHEMA_VERSION,
@@ -60,7 +60,7 @@
     WriteAuditEntry,
 )
 from jackdawspur.configuration._operator_api import OperatorApi
-from jackdawspur.configuration._planner import Plan, ZoneCapacity, plan_of
+from jackdawspur.configuration._planner import Plan, ZoneCapacity, build_plan
 from jackdawspur.configuration._readiness import LogHealth, Readiness, ReadinessReason
 from jackdawspur.configuration._records import (
     Confirm,
@@ -168,7 +168,7 @@
     "ZoneEntry",
     "ZoneInForce",
     "ZoneReports",
-    "appends_a_day",
+    "appends_per_day",
     "apply_changes",
     "changes_between",
     "customer_of",
@@ -176,12 +176,12 @@
     "encode_record",
     "find_job_class",
     "format_operator_reply",
-    "limit_of",
+    "append_limit",
     "load_configuration",
     "load_intent",
     "new_proposal",
     "operator_of",
-    "plan_of",
+    "build_plan",
     "token_hash",
-    "world_of",
+    "build_cluster_spec",
 ]
--- a/jackdawspur/configuration/_budget.py
+++ b/jackdawspur/configuration/_append_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Account for every append that this host makes to the log."""
+"""Rate limits for this host's appends to the log."""
 
 import enum
 from dataclasses import dataclass
@@ -7,19 +7,19 @@
     "AppendLimit",
     "AppendPurpose",
     "AppendRateLimiter",
-    "appends_a_day",
-    "limit_of",
+    "appends_per_day",
+    "append_limit",
 ]
 
-# The log takes several hundred appends a second from everyone.
+# The log accepts several hundred appends per second from all of its clients.
 LOG_APPENDS_PER_S = 300.0
-# Left to other systems and to repeats after lost replies.
-CLAIMS_SHARE = 0.5
-SECONDS_A_DAY = 86_400
+# The rest is left to other systems and to retries after lost replies.
+CLAIMS_FRACTION = 0.5
+SECONDS_PER_DAY = 86_400
 
 
 class AppendPurpose(enum.StrEnum):
-    """Say what an append is for."""
+    """Purpose of an append."""
 
     PROPOSAL = "proposal"
     CONFIRM = "confirm"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendLimit:
-    """Bound appends: `rate` a second in the long run, `burst` at once."""
+    """Limit of appends: `rate` per second in the long run, `burst` at once."""
 
     rate: float
     burst: float
@@ -42,51 +42,56 @@
 }
 
 
-def limit_of(purpose: AppendPurpose, hosts: int) -> AppendLimit:
-    """Return a host's limit; claims share half the log's rate among all hosts."""
+def append_limit(purpose: AppendPurpose, hosts: int) -> AppendLimit:
+    """Return a host's limit; for claims, all hosts share half of the log's rate."""
     if purpose is AppendPurpose.CLAIM:
-        rate = LOG_APPENDS_PER_S * CLAIMS_SHARE / max(hosts, 1)
+        rate = LOG_APPENDS_PER_S * CLAIMS_FRACTION / max(hosts, 1)
         return AppendLimit(rate=rate, burst=max(1.0, 2 * rate))
     return CONFIGURATION_LIMITS[purpose]
 
 
 class AppendRateLimiter:
-    """Hold one token bucket a purpose; what it refuses isn't appended."""
+    """Token bucket for each purpose; appends that it refuses must not be made."""
 
     def __init__(self, hosts: int, now: float) -> None:
         self.made = dict.fromkeys(AppendPurpose, 0)
         self.refused = dict.fromkeys(AppendPurpose, 0)
-        self._limits = {purpose: limit_of(purpose, hosts) for purpose in AppendPurpose}
+        self._limits = {
+            purpose: append_limit(purpose, hosts) for purpose in AppendPurpose
+        }
         self._tokens = {p: limit.burst for p, limit in self._limits.items()}
-        self._filled = dict.fromkeys(AppendPurpose, now)
+        self._refilled_at = dict.fromkeys(AppendPurpose, now)
 
     def set_host_count(self, hosts: int) -> None:
-        """Share the log among another number of entry hosts."""
-        self._limits = {purpose: limit_of(purpose, hosts) for purpose in AppendPurpose}
+        """Set the number of entry hosts that share the rate of the log."""
+        self._limits = {
+            purpose: append_limit(purpose, hosts) for purpose in AppendPurpose
+        }
 
     def try_acquire(self, purpose: AppendPurpose, now: float) -> bool:
-        """Tell whether one append may be made, and account for it."""
+        """Return whether one append may be made, and count it as made or refused."""
         limit = self._limits[purpose]
-        elapsed = max(0.0, now - self._filled[purpose])
+        elapsed = max(0.0, now - self._refilled_at[purpose])
         tokens = min(limit.burst, self._tokens[purpose] + elapsed * limit.rate)
-        self._filled[purpose] = now
+        self._refilled_at[purpose] = now
         granted = tokens >= 1
         self._tokens[purpose] = tokens - granted
         (self.made if granted else self.refused)[purpose] += 1
         return granted
 
 
-def appends_a_day(
+def appends_per_day(
     changes: int,
     snapshot_after_changes: int,
     snapshot_interval_s: float,
     writers: int = 1,
 ) -> int:
-    """Return the configuration's appends a day, without repeats.
+    """Return the configuration's appends per day, without retries.
 
-    Each change is a proposal and a confirm. `writers` above one counts the doubles
-    of a mesh in that many parts; the number of zones and hosts doesn't enter.
+    Each change is a proposal and a confirm. `writers` above one counts the duplicate
+    snapshots of a network partitioned into that many parts. The numbers of zones and
+    hosts don't matter.
     """
     by_count = changes // snapshot_after_changes
-    by_time = int(SECONDS_A_DAY // snapshot_interval_s)
+    by_time = int(SECONDS_PER_DAY // snapshot_interval_s)
     return 2 * changes + writers * (by_count + by_time)
--- a/jackdawspur/configuration/_changes.py
+++ b/jackdawspur/configuration/_changes.py
@@ -1,4 +1,4 @@
-"""Typed changes of the configuration; an intent is a list of them."""
+"""Changes of the configuration; an intent is a list of them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -46,13 +46,13 @@
     "upstreams",
 )
 Entry = CustomerEntry | OperatorEntry | ZoneEntry | EntryHostEntry | UpstreamEntry
-# `zone.name` for hosts and upstreams, the name for the rest; unique in its section.
+# `zone.name` for hosts and upstreams, else the name; unique in its section.
 Key = str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutCustomer:
-    """Add a customer or replace it."""
+    """Add or replace a customer."""
 
     __pydantic_config__ = STRICT
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutOperator:
-    """Add an operator or replace it."""
+    """Add or replace an operator."""
 
     __pydantic_config__ = STRICT
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutZone:
-    """Add an availability zone or replace it."""
+    """Add or replace an availability zone."""
 
     __pydantic_config__ = STRICT
 
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutEntryHost:
-    """Add an entry host or replace it."""
+    """Add or replace an entry host."""
 
     __pydantic_config__ = STRICT
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutUpstream:
-    """Add an upstream or replace it."""
+    """Add or replace an upstream."""
 
     __pydantic_config__ = STRICT
 
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Remove:
-    """Remove one object; `zone` stays empty where a name alone is unique."""
+    """Remove one object; `zone` is empty if the name alone is unique."""
 
     __pydantic_config__ = STRICT
 
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Intent:
-    """Ask for changes; mass removal must be allowed in so many words."""
+    """Requested changes; mass removal must be allowed explicitly."""
 
     __pydantic_config__ = STRICT
 
@@ -159,7 +159,7 @@
 
 
 def target_of(change: Change) -> tuple[str, Key]:
-    """Return the section and key that a change touches."""
+    """Return the section and key of the object that a change modifies."""
     if isinstance(change, SetPolicies):
         return "policies", ""
     if isinstance(change, Remove):
@@ -170,7 +170,7 @@
 def apply_changes(
     base: Configuration, changes: Iterable[Change]
 ) -> tuple[Configuration, tuple[FieldError, ...]]:
-    """Return the configuration after the changes, and those that can't be made."""
+    """Return the changed configuration, and an error for each inapplicable change."""
     touched: dict[str, dict[Key, Entry]] = {}
     seen: set[tuple[str, Key]] = set()
     errors = []
@@ -178,7 +178,9 @@
     for index, change in enumerate(changes):
         section, key = target = target_of(change)
         if target in seen:
-            errors.append(FieldError(f"changes[{index}]", f"touches {key!r} twice"))
+            errors.append(
+                FieldError(f"changes[{index}]", f"changes {key!r} a second time")
+            )
         seen.add(target)
         if isinstance(change, SetPolicies):
             policies = change.policies
@@ -195,7 +197,7 @@
 
 
 def changes_between(base: Configuration, wanted: Configuration) -> tuple[Change, ...]:
-    """Return the changes that lead from one configuration to another."""
+    """Return the changes that turn one configuration into another."""
     changes: list[Change] = []
     for section in SECTIONS:
         changes += _section_changes(section, base, wanted)
--- a/jackdawspur/configuration/_checks.py
+++ b/jackdawspur/configuration/_checks.py
@@ -1,4 +1,4 @@
-"""Validate documents and intents; report every fault at once with its path."""
+"""Validation of documents and intents; reports all errors at once with their paths."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -32,8 +32,8 @@
 _INTENT = TypeAdapter(Intent)
 _CHANGE = TypeAdapter(Change)
 _ENTRIES = {
-    section: TypeAdapter(kind)
-    for section, kind in zip(
+    section: TypeAdapter(entry_type)
+    for section, entry_type in zip(
         SECTIONS,
         (CustomerEntry, OperatorEntry, ZoneEntry, EntryHostEntry, UpstreamEntry),
         strict=True,
@@ -42,11 +42,11 @@
 
 
 def load_configuration(text: str | bytes) -> Configuration:
-    """Return the document in a JSON text; raise `InvalidConfiguration`."""
+    """Return the document in a JSON text; raise `InvalidConfiguration` on errors."""
     try:
         document = _DOCUMENT.validate_json(text, strict=True)
     except ValidationError as error:
-        partial, zones = _readable_entries(text)
+        partial, zones = _valid_entries(text)
         errors = (
             *field_errors(error),
             *_check_duplicates(partial),
@@ -59,28 +59,30 @@
 
 
 def load_intent(text: str | bytes, current: Configuration) -> Intent:
-    """Return the intent in a JSON text; raise `InvalidConfiguration`."""
+    """Return the intent in a JSON text; raise `InvalidConfiguration` on errors."""
     try:
         intent = _INTENT.validate_json(text, strict=True)
     except ValidationError as error:
-        changes, zones = _readable_changes(text)
+        changes, zones = _valid_changes(text)
         after, _ = apply_changes(current, changes)
         errors = *field_errors(error), *check_references(after, zones)
         raise InvalidConfiguration(errors) from error
-    after, impossible = apply_changes(current, intent.changes)
-    if errors := (*impossible, *check_references(after)):
+    after, inapplicable = apply_changes(current, intent.changes)
+    if errors := (*inapplicable, *check_references(after)):
         raise InvalidConfiguration(errors)
     return intent
 
 
 def check_references(
-    document: Configuration, more_zones: Iterable[str] = ()
+    document: Configuration, extra_zones: Iterable[str] = ()
 ) -> Iterator[FieldError]:
-    """Yield references to unknown zones, things named twice, a lack of operators.
+    """Yield errors that concern several entries of a document.
 
-    `more_zones` are names of zones whose entries are faulty for other reasons.
+    They are references to unknown zones, duplicate addresses, tokens and job
+    classes, and a lack of operators. `extra_zones` are names of zones whose entries
+    are invalid for other reasons.
     """
-    yield from _check_zones(document, more_zones)
+    yield from _check_zones(document, extra_zones)
     yield from _check_addresses(document)
     yield from _check_tokens(document)
     for customer in document.customers:
@@ -88,9 +90,11 @@
         for name, count in names.items():
             if count > 1:
                 path = f"customers[{customer.name}].classes[{name}]"
-                yield FieldError(path, f"stands {count} times")
+                yield FieldError(path, f"occurs {count} times")
     if not any({Right.PLAN, Right.CONFIRM} <= {*o.rights} for o in document.operators):
-        yield FieldError("operators", "nobody may both plan and confirm")
+        yield FieldError(
+            "operators", "no operator has the rights to plan and to confirm"
+        )
 
 
 def _check_duplicates(document: Configuration) -> Iterator[FieldError]:
@@ -98,13 +102,13 @@
         keys = Counter(key_of(entry) for entry in getattr(document, section))
         for key, count in keys.items():
             if count > 1:
-                yield FieldError(f"{section}[{key}]", f"stands {count} times")
+                yield FieldError(f"{section}[{key}]", f"occurs {count} times")
 
 
 def _check_zones(
-    document: Configuration, more_zones: Iterable[str]
+    document: Configuration, extra_zones: Iterable[str]
 ) -> Iterator[FieldError]:
-    zones = {zone.name for zone in document.zones}.union(more_zones)
+    zones = {zone.name for zone in document.zones}.union(extra_zones)
     for section in ("entry_hosts", "upstreams"):
         for entry in getattr(document, section):
             if entry.zone not in zones:
@@ -116,14 +120,14 @@
     hosts = document.entry_hosts
     addresses = [upstream.address for upstream in document.upstreams]
     addresses += [host.http for host in hosts] + [host.link for host in hosts]
-    # The fold comes here with every change: paths are worked out only for faults.
+    # Called for every change of the log, so paths are computed only for errors.
     if len(set(addresses)) == len(addresses):
         return
     owners: dict[str, str] = {}
     for path, address in _addresses(document):
         first = owners.setdefault(address, path)
         if first is not path:
-            yield FieldError(path, f"{address} is also {first}")
+            yield FieldError(path, f"{address} is also used by {first}")
 
 
 def _addresses(document: Configuration) -> Iterator[tuple[str, str]]:
@@ -136,7 +140,7 @@
 
 
 def _check_tokens(document: Configuration) -> Iterator[FieldError]:
-    # A token that two names share would let one act as the other.
+    # With a shared token one customer or operator could act as the other.
     owners: dict[str, str] = {}
     for section in ("customers", "operators"):
         for entry in getattr(document, section):
@@ -144,14 +148,14 @@
                 path = f"{section}[{entry.name}].token_sha256"
                 first = owners.setdefault(token, path)
                 if first is not path:
-                    yield FieldError(path, f"a token also stands at {first}")
+                    yield FieldError(path, f"a token is also used by {first}")
 
 
 def field_errors(error: ValidationError) -> tuple[FieldError, ...]:
-    """Return pydantic's findings as paths and messages, without the input."""
+    """Return pydantic's errors as paths and messages, without the input."""
     found = error.errors(include_input=False, include_url=False)
     parents = {f["loc"][:depth] for f in found for depth in range(len(f["loc"]))}
-    # A list whose faulty items were left out also counts as too short.
+    # Pydantic drops invalid items of a list, then reports it as too short.
     return tuple(
         FieldError(_path(f["loc"]), f["msg"])
         for f in found
@@ -162,7 +166,7 @@
 def _path(location: tuple[int | str, ...]) -> str:
     path = ""
     for index, part in enumerate(location):
-        # Pydantic names the kind of change after its number; JSON has no such level.
+        # Pydantic adds the type of change after its index; JSON has no such level.
         if index == 2 and location[0] == "changes":
             continue
         path += f"[{part}]" if isinstance(part, int) else f".{part}"
@@ -173,38 +177,38 @@
     try:
         decoded = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError):
-        # Nested too deeply; without this the operator's call would get no reply.
+        # RecursionError: nested too deeply. Uncaught, the operator would get no reply.
         return {}
     return decoded if isinstance(decoded, dict) else {}
 
 
-def _readable(adapter: TypeAdapter, raws: Any) -> tuple[list, list]:
-    good, bad = [], []
-    for raw in raws if isinstance(raws, list) else ():
+def _partition_valid(adapter: TypeAdapter, items: Any) -> tuple[list, list]:
+    valid, invalid = [], []
+    for raw in items if isinstance(items, list) else ():
         try:
-            good.append(adapter.validate_json(msgspec.json.encode(raw), strict=True))
+            valid.append(adapter.validate_json(msgspec.json.encode(raw), strict=True))
         except ValidationError:
-            bad.append(raw)
-    return good, bad
+            invalid.append(raw)
+    return valid, invalid
 
 
-def _names(raws: Iterable[Any]) -> tuple[str, ...]:
-    return tuple(str(raw.get("name")) for raw in raws if isinstance(raw, dict))
+def _names(items: Iterable[Any]) -> tuple[str, ...]:
+    return tuple(str(raw.get("name")) for raw in items if isinstance(raw, dict))
 
 
-def _readable_entries(text: str | bytes) -> tuple[Configuration, tuple[str, ...]]:
+def _valid_entries(text: str | bytes) -> tuple[Configuration, tuple[str, ...]]:
     raw = _decode_object(text)
-    sections, bad_zones = {}, ()
+    sections, invalid_zones = {}, ()
     for section, adapter in _ENTRIES.items():
-        good, bad = _readable(adapter, raw.get(section))
-        sections[section] = tuple(good)
+        valid, invalid = _partition_valid(adapter, raw.get(section))
+        sections[section] = tuple(valid)
         if section == "zones":
-            bad_zones = _names(bad)
-    return Configuration(**sections), bad_zones
+            invalid_zones = _names(invalid)
+    return Configuration(**sections), invalid_zones
 
 
-def _readable_changes(text: str | bytes) -> tuple[list[Change], tuple[str, ...]]:
-    good, bad = _readable(_CHANGE, _decode_object(text).get("changes"))
+def _valid_changes(text: str | bytes) -> tuple[list[Change], tuple[str, ...]]:
+    valid, invalid = _partition_valid(_CHANGE, _decode_object(text).get("changes"))
     put_zone = PutZone.__dataclass_fields__["op"].default
-    puts = (c for c in bad if isinstance(c, dict) and c.get("op") == put_zone)
-    return good, _names(put.get("entry") for put in puts)
+    puts = (c for c in invalid if isinstance(c, dict) and c.get("op") == put_zone)
+    return valid, _names(put.get("entry") for put in puts)
--- a/jackdawspur/configuration/_cluster_spec.py
+++ b/jackdawspur/configuration/_cluster_spec.py
@@ -1,4 +1,4 @@
-"""Turn a configuration into the model's world, and tokens into their owners."""
+"""Builds the cluster spec of a configuration, and finds the owners of tokens."""
 
 import hashlib
 import hmac
@@ -25,14 +25,14 @@
     "customer_of",
     "find_job_class",
     "operator_of",
-    "rebuilt_world",
+    "update_cluster_spec",
     "token_hash",
-    "world_of",
+    "build_cluster_spec",
 ]
 
 
-def world_of(configuration: Configuration, version: int) -> ClusterSpec:
-    """Return what one version of the configuration says of the world."""
+def build_cluster_spec(configuration: Configuration, version: int) -> ClusterSpec:
+    """Return the cluster spec of one version of the configuration."""
     return ClusterSpec(
         version=version,
         customers=tuple(map(_customer, configuration.customers)),
@@ -45,43 +45,45 @@
     )
 
 
-def rebuilt_world(
-    before: Configuration, world: ClusterSpec, after: Configuration, version: int
+def update_cluster_spec(
+    before: Configuration, cluster_spec: ClusterSpec, after: Configuration, version: int
 ) -> ClusterSpec:
-    """Return what `world_of` does for `after`, reusing what didn't change.
+    """Return the cluster spec of `after`, reusing the unchanged upstreams of `before`.
 
-    Built from nothing at 3,900 upstreams, it holds up the loop for several ms.
+    Building it from scratch with 3,900 upstreams blocks the loop for several ms.
     """
-    known = dict(zip(map(id, before.upstreams), world.upstreams, strict=True))
-    rest = world_of(replace(after, upstreams=()), version)
-    upstreams = tuple(known.get(id(e)) or _upstream(e) for e in after.upstreams)
+    unchanged = dict(
+        zip(map(id, before.upstreams), cluster_spec.upstreams, strict=True)
+    )
+    rest = build_cluster_spec(replace(after, upstreams=()), version)
+    upstreams = tuple(unchanged.get(id(e)) or _upstream(e) for e in after.upstreams)
     return replace(rest, upstreams=upstreams)
 
 
 def token_hash(token: str) -> str:
-    """Return the hash that stands in the document for a token."""
+    """Return the hash of a token, as stored in the document."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def customer_of(configuration: Configuration, token: str) -> CustomerEntry | None:
-    """Return the customer that a bearer token names."""
+    """Return the customer that owns a bearer token."""
     return _owner(configuration.customers, token)
 
 
 def operator_of(configuration: Configuration, token: str) -> OperatorEntry | None:
-    """Return the operator that a bearer token names."""
+    """Return the operator that owns a bearer token."""
     return _owner(configuration.operators, token)
 
 
 def find_job_class(customer: CustomerEntry, name: str) -> JobClass | None:
-    """Return the standing settings of one of a customer's job classes."""
+    """Return the settings of one of a customer's job classes."""
     return next((c for c in customer.classes if c.name == name), None)
 
 
 def _owner(entries, token: str):
     wanted = token_hash(token)
     for entry in entries:
-        # Constant time, so that response times don't help to guess a hash.
+        # Compared in constant time, so that response times reveal nothing of a hash.
         if any(hmac.compare_digest(wanted, known) for known in entry.token_sha256):
             return entry
     return None
--- a/jackdawspur/configuration/_diff.py
+++ b/jackdawspur/configuration/_diff.py
@@ -1,4 +1,4 @@
-"""Describe changes in lines that a person reads."""
+"""Descriptions of changes as lines of text."""
 
 from dataclasses import fields
 
@@ -21,7 +21,7 @@
 
 
 def describe(base: Configuration, changes: tuple[Change, ...]) -> tuple[str, ...]:
-    """Return one line a change, and one more for each field that differs."""
+    """Return a line for each change, and one for each field that differs."""
     lines: list[str] = []
     entries: dict[str, dict[str, Entry]] = {}
     for change in changes:
@@ -41,7 +41,10 @@
 
 
 def summarize(base: Configuration, changes: tuple[Change, ...]) -> tuple[str, ...]:
-    """Return the description of a few changes in full, of many only the first."""
+    """Return a shortened description.
+
+    A few changes are described in full; of more, only the first are named.
+    """
     lines = describe(base, changes[:SUMMARY_CHANGES])
     if len(changes) <= DETAILED_CHANGES:
         return lines
--- a/jackdawspur/configuration/_document.py
+++ b/jackdawspur/configuration/_document.py
@@ -1,4 +1,4 @@
-"""The configuration document: what operators state and hosts obey."""
+"""Data model of the configuration document that operators maintain."""
 
 import enum
 import ipaddress
@@ -11,7 +11,7 @@
 from jackdawspur.model._job import MAX_TASKS_PER_JOB
 
 __all__ = [
-    "HISTORY_KEPT",
+    "MAX_HISTORY",
     "SCHEMA_VERSION",
     "Configuration",
     "ContractTerms",
@@ -26,14 +26,14 @@
 ]
 
 SCHEMA_VERSION = 1
-# Changes that a fold remembers; snapshots have to be written more often than that.
-HISTORY_KEPT = 256
+# Changes that a state machine keeps; snapshots must be written more often than that.
+MAX_HISTORY = 256
 MAX_CUSTOMERS = 2_000
 MAX_OPERATORS = 500
 MAX_ZONES = 200
 MAX_ENTRY_HOSTS = 2_000
 MAX_UPSTREAMS = 20_000
-# An unknown field is a misspelt one: within a known schema version it is refused.
+# Within a known schema version, an unknown field is a spelling error: reject it.
 STRICT = ConfigDict(extra="forbid")
 
 
@@ -45,7 +45,7 @@
     except ValueError:
         number = 0
     if not 1 <= number <= 65535:
-        raise ValueError("must be IP:port; host names are not looked up")
+        raise ValueError("must be IP:port; host names are not resolved")
     return text
 
 
@@ -56,7 +56,7 @@
 
 
 class Right(enum.StrEnum):
-    """Name what an operator may do."""
+    """Permission of an operator."""
 
     VIEW = "view"
     PLAN = "plan"
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ContractTerms:
-    """State what a customer is promised; `max_wait_ms` in milliseconds."""
+    """Service-level terms of a customer; `max_wait_ms` in milliseconds."""
 
     __pydantic_config__ = STRICT
 
@@ -75,13 +75,13 @@
 
     @property
     def contract(self) -> Contract:
-        """Return the terms as the model's contract."""
+        """Return the terms as a `Contract` of the model."""
         return Contract(self.objective, self.tail_over_ideal, self.max_wait_ms)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobClass:
-    """Hold the standing settings of one class of jobs."""
+    """Default settings and limits of one job class."""
 
     __pydantic_config__ = STRICT
 
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CustomerEntry:
-    """Describe a customer, its tokens' SHA-256, its quota and contract."""
+    """Customer with the SHA-256 of its tokens, its quota and contract."""
 
     __pydantic_config__ = STRICT
 
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OperatorEntry:
-    """Describe an operator, the tokens' SHA-256 and rights."""
+    """Operator with the SHA-256 of its tokens, and its rights."""
 
     __pydantic_config__ = STRICT
 
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ZoneEntry:
-    """Describe an availability zone and its region."""
+    """Availability zone and its region."""
 
     __pydantic_config__ = STRICT
 
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryHostEntry:
-    """Say where an entry host listens."""
+    """Entry host and the addresses on which it listens."""
 
     __pydantic_config__ = STRICT
 
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamEntry:
-    """Say where an upstream listens and what it can hold."""
+    """Upstream with its address and capacity."""
 
     __pydantic_config__ = STRICT
 
@@ -157,20 +157,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Policies:
-    """Hold what applies to every zone; the unit ends each name."""
+    """Settings of all zones; each name ends in its unit."""
 
     __pydantic_config__ = STRICT
 
     eject_after_failures: Annotated[int, Field(ge=1, le=1000)] = 2
     eject_max_share: Annotated[float, Field(ge=0, le=1)] = 0.34
     readmit_after_s: Annotated[float, Field(ge=0.1, le=3600)] = 5.0
-    snapshot_after_changes: Annotated[int, Field(ge=10, le=HISTORY_KEPT - 6)] = 200
+    snapshot_after_changes: Annotated[int, Field(ge=10, le=MAX_HISTORY - 6)] = 200
     snapshot_interval_s: Annotated[float, Field(ge=60, le=86_400)] = 3600.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """Hold everything that operators configure, in one schema version."""
+    """Complete configuration in one schema version."""
 
     __pydantic_config__ = STRICT
 
--- a/jackdawspur/configuration/_errors.py
+++ b/jackdawspur/configuration/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration."""
+"""Exceptions and error details of the configuration."""
 
 import enum
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class SkipReason(enum.StrEnum):
-    """Say why a record of the log changed nothing."""
+    """Reason why a record of the log was skipped."""
 
     UNREADABLE = "unreadable"
     FOREIGN = "foreign"
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldError:
-    """Name a field by its path and say what is wrong with it."""
+    """Path of an invalid field, and the reason."""
 
     path: str
     message: str
 
 
 class ConfigurationError(JackdawspurError):
-    """Base of errors in the configuration."""
+    """Base class of the configuration's exceptions."""
 
 
 class InvalidConfiguration(ConfigurationError):
-    """Raise with every fault of a document or intent at once."""
+    """Raised with all errors of a document or intent."""
 
     def __init__(self, errors: tuple[FieldError, ...]) -> None:
         super().__init__("; ".join(f"{e.path}: {e.message}" for e in errors))
@@ -45,7 +45,7 @@
 
 
 class RecordError(ConfigurationError):
-    """Raise when a record of the log can't be folded here."""
+    """Raised when this program can't apply a record of the log."""
 
     def __init__(self, reason: SkipReason, message: str) -> None:
         super().__init__(message)
--- a/jackdawspur/configuration/_operations.py
+++ b/jackdawspur/configuration/_operations.py
@@ -1,10 +1,10 @@
-"""Requests of operators and the replies to them."""
+"""Requests of operators, and the replies to them."""
 
 import enum
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from jackdawspur.configuration._budget import AppendPurpose
+from jackdawspur.configuration._append_rate_limiter import AppendPurpose
 from jackdawspur.configuration._errors import FieldError
 from jackdawspur.configuration._planner import Plan
 from jackdawspur.configuration._readiness import LogHealth, Readiness
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanAsked:
-    """Ask for the plan of an intent in JSON; `at` in seconds since 1970."""
+    """Request for the plan of an intent in JSON; `at` in seconds since 1970."""
 
     call: int
     token: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmAsked:
-    """Confirm a plan; asked again, it is the same confirm."""
+    """Request to confirm a plan; a repeat counts as the same confirm."""
 
     call: int
     token: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryAsked:
-    """Ask for changes with who, when and why, and for what was refused."""
+    """Request for the history of changes and refused requests."""
 
     call: int
     token: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusAsked:
-    """Ask for the state of the configuration as this host sees it."""
+    """Request for the state of the configuration on this host."""
 
     call: int
     token: str
@@ -73,7 +73,7 @@
 
 
 class OperatorReplyCode(enum.StrEnum):
-    """Say how a request ended."""
+    """Outcome of a request."""
 
     OK = "ok"
     INVALID = "invalid"
@@ -89,11 +89,12 @@
 
 
 class ChangeState(enum.StrEnum):
-    """Tell how far a change is.
+    """Progress of a change.
 
-    `PLANNED`: confirmed by nobody; `VOID`: based on a version that is not current.
-    `CONFIRMED`: ordered in the log, in force in no zone that reported yet.
-    `IN_FORCE`: in force in some zones. `ACCEPTED`: in every zone with entry hosts.
+    `PLANNED`: not confirmed yet. `VOID`: based on a version that is not current.
+    `CONFIRMED`: in the log, but no zone has reported it in force yet.
+    `IN_FORCE`: in force in some zones. `ACCEPTED`: in force in all zones with entry
+    hosts.
     """
 
     PLANNED = "planned"
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeStatus:
-    """Tell how far one change is and which zones lack it; a plan has no version."""
+    """Progress of one change and the zones that lack it; a plan has no version."""
 
     plan: str
     state: ChangeState
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Tell which version won against a plan and what changed since its base."""
+    """The version that won against a plan, and the changes since the plan's base."""
 
     base: int
     won: int
@@ -129,14 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """List every fault of an intent."""
+    """All errors of an intent."""
 
     errors: tuple[FieldError, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """Record one refused request."""
+    """One refused request."""
 
     at: float
     operator: str
@@ -147,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """List plans, changes in force, confirms that lost, and what was refused here."""
+    """Plans, changes in force, void confirms, and requests refused by this host."""
 
     plans: tuple[ChangeStatus, ...]
     changes: tuple[ChangeStatus, ...]
@@ -157,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendCount:
-    """Count the appends of one purpose since this host's start."""
+    """Number of appends of one purpose since this host's start."""
 
     purpose: AppendPurpose
     made: int
@@ -166,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorStatus:
-    """Show the configuration as this host sees it."""
+    """State of the configuration on this host."""
 
     version: int
     head: int
@@ -184,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorReply:
-    """Answer an operator; `page` names the operators' page on the matter."""
+    """Reply to an operator; `page` is the page that documents the code."""
 
     call: int
     status: HTTPStatus
@@ -198,6 +199,6 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteAuditEntry:
-    """Write one refusal to this host's log lines."""
+    """Write one refusal to this host's log."""
 
     entry: AuditEntry
--- a/jackdawspur/configuration/_operator_api.py
+++ b/jackdawspur/configuration/_operator_api.py
@@ -1,11 +1,11 @@
-"""Answer operators: plan, confirm, history and status."""
+"""Handles the operators' requests: plan, confirm, history and status."""
 
 from collections import deque
 from collections.abc import Iterable
 from functools import singledispatchmethod
 
 from jackdawspur.configuration import _views as views
-from jackdawspur.configuration._budget import AppendPurpose
+from jackdawspur.configuration._append_rate_limiter import AppendPurpose
 from jackdawspur.configuration._checks import load_intent
 from jackdawspur.configuration._cluster_spec import token_hash
 from jackdawspur.configuration._document import OperatorEntry
@@ -23,13 +23,13 @@
     WriteAuditEntry,
 )
 from jackdawspur.configuration._pending import (
-    Awaited,
-    Pending,
-    conflict_text,
-    reply_to,
-    right_for,
+    PendingAppend,
+    WaitingConfirm,
+    conflict_message,
+    make_reply,
+    required_right,
 )
-from jackdawspur.configuration._planner import Plan, plan_of
+from jackdawspur.configuration._planner import Plan, build_plan
 from jackdawspur.configuration._readiness import LogHealth
 from jackdawspur.configuration._records import (
     Confirm,
@@ -42,47 +42,51 @@
 
 __all__ = ["OperatorApi"]
 
-AUDIT_KEPT = 256
+MAX_AUDIT_ENTRIES = 256
 APPEND_RETRY_S = 0.5
-# Within the 6 s in which a change has to be in force, an operator gets an answer.
-APPEND_BOUND_S = 5.0
-# A plan asked for at one host may be confirmed at another that reads it later.
+# Below the 6 s within which a change must be in force, so that operators get an
+# answer in that time.
+APPEND_TIMEOUT_S = 5.0
+# How long a confirm waits until this host has read a plan made at another host.
 PLAN_WAIT_S = 1.0
-NOBODY = "-"
+UNKNOWN_OPERATOR = "-"
 
 OperatorEffect = OperatorReply | AppendRecord | WriteAuditEntry
 
 
 class OperatorApi:
-    """Answer the operators that reach this host; the log decides between hosts."""
+    """Handle the requests of operators to this host.
+
+    The order of the log decides between confirms at different hosts.
+    """
 
     def __init__(
-        self, keeper: ConfigurationReplica, bootstrap: Iterable[OperatorEntry] = ()
+        self, replica: ConfigurationReplica, bootstrap: Iterable[OperatorEntry] = ()
     ) -> None:
         self.refusals = 0
-        self._keeper = keeper
-        # Valid only until a first configuration names operators.
+        self._replica = replica
+        # Accepted only until the first configuration defines operators.
         self._bootstrap = tuple(bootstrap)
-        self._audit: deque[AuditEntry] = deque(maxlen=AUDIT_KEPT)
-        self._pending: dict[str, Pending] = {}
-        self._awaited: list[Awaited] = []
-        self._unreachable: frozenset[str] = frozenset()
+        self._audit: deque[AuditEntry] = deque(maxlen=MAX_AUDIT_ENTRIES)
+        self._pending: dict[str, PendingAppend] = {}
+        self._waiting_confirms: list[WaitingConfirm] = []
+        self._unreachable_zones: frozenset[str] = frozenset()
 
     @property
     def audit(self) -> tuple[AuditEntry, ...]:
-        """Return the newest refusals of this host, oldest first."""
+        """Return the most recent refusals of this host, oldest first."""
         return tuple(self._audit)
 
     def set_unreachable_zones(self, zones: Iterable[str]) -> None:
-        """Take from the view which zones this host doesn't reach."""
-        self._unreachable = frozenset(zones)
+        """Set the zones that the membership view reports as unreachable."""
+        self._unreachable_zones = frozenset(zones)
 
     def handle(self, now: float, request: OperatorRequest) -> list[OperatorEffect]:
-        """Take one request; return its reply or the append that it waits for."""
-        operator = self._operator(request.token)
+        """Process one request; return its reply or the append that it waits for."""
+        operator = self._find_operator(request.token)
         if operator is None:
-            return self._unknown_operator(request)
-        right = right_for(request)
+            return self._refuse_unknown_operator(request)
+        right = required_right(request)
         if right not in operator.rights:
             text = f"this needs the right to {right}; nothing was done"
             return self._refuse(
@@ -93,76 +97,81 @@
     def on_append_completed(
         self, now: float, event: AppendCompleted
     ) -> list[OperatorEffect]:
-        """Take the end of an append; a lost reply is resolved by the log."""
+        """Process the end of an append; the log shows the outcome of a lost reply."""
         pending = self._pending.get(event.record_id)
         if pending is None:
             return []
-        pending.under_way = False
-        pending.next_try = now + APPEND_RETRY_S
+        pending.in_flight = False
+        pending.next_attempt_at = now + APPEND_RETRY_S
         if event.offset is not None:
             pending.offset = event.offset
         elif event.maybe_sent:
-            pending.may_stand = True
-        elif not pending.may_stand:
-            text = "the log can't be reached; nothing changed, ask again later"
+            pending.maybe_appended = True
+        elif not pending.maybe_appended:
+            text = "the log can't be reached; nothing changed, retry later"
             return self._finish(pending, OperatorReplyCode.LOG_UNAVAILABLE, text)
         return self.resolve_pending(now)
 
     def resolve_pending(self, now: float) -> list[OperatorEffect]:
-        """Answer what the fold has decided; call after each fold and tick."""
+        """Answer the requests whose outcome is known now.
+
+        Call after each event of the replica, ticks included.
+        """
         effects: list[OperatorEffect] = []
-        awaited, self._awaited = self._awaited, []
+        awaited, self._waiting_confirms = self._waiting_confirms, []
         for waiting in awaited:
-            effects += self._look_again(waiting, now)
+            effects += self._retry_confirm(waiting, now)
         for pending in tuple(self._pending.values()):
-            effects += self._settle(pending, now)
+            effects += self._resolve(pending, now)
         return effects
 
     @singledispatchmethod
     def _on(
         self, request: OperatorRequest, now: float, name: str
     ) -> list[OperatorEffect]:
-        raise TypeError(f"not a request: {request!r}")
+        raise TypeError(f"not an operator request: {request!r}")
 
     @_on.register
     def _on_plan(
         self, request: PlanAsked, now: float, name: str
     ) -> list[OperatorEffect]:
-        fold = self._keeper.state_machine
-        if obstacle := views.obstacle(self._keeper):
+        state_machine = self._replica.state_machine
+        if obstacle := views.obstacle(self._replica):
             return self._refuse(request, name, OperatorReplyCode.NOT_READY, obstacle)
         try:
-            intent = load_intent(request.intent, fold.configuration)
+            intent = load_intent(request.intent, state_machine.configuration)
         except InvalidConfiguration as error:
             text = f"{len(error.errors)} faults; nothing was planned"
             faults = Faults(error.errors)
             return self._refuse(request, name, OperatorReplyCode.INVALID, text, faults)
-        proposal = new_proposal(intent, fold.version, name, request.at)
-        plan = plan_of(proposal, fold.configuration, self._unreachable)
+        proposal = new_proposal(intent, state_machine.version, name, request.at)
+        plan = build_plan(
+            proposal, state_machine.configuration, self._unreachable_zones
+        )
         if plan.mass_removal and not intent.allow_mass_removal:
             text = "mass removal needs allow_mass_removal; nothing was planned"
             return self._refuse(
                 request, name, OperatorReplyCode.MASS_REMOVAL, text, plan
             )
-        if fold.plan(proposal.plan):
-            return [reply_to(request.call, OperatorReplyCode.OK, "planned", plan)]
+        if state_machine.plan(proposal.plan):
+            return [make_reply(request.call, OperatorReplyCode.OK, "planned", plan)]
         return self._append(request, now, name, proposal, AppendPurpose.PROPOSAL, plan)
 
     @_on.register
     def _on_confirm(
         self, request: ConfirmAsked, now: float, name: str
     ) -> list[OperatorEffect]:
-        fold = self._keeper.state_machine
-        if done := fold.confirmed(request.plan):
-            status = views.change_status(self._keeper, done)
-            return [reply_to(request.call, OperatorReplyCode.OK, "confirmed", status)]
-        if obstacle := views.obstacle(self._keeper):
+        state_machine = self._replica.state_machine
+        if applied := state_machine.confirmed(request.plan):
+            status = views.change_status(self._replica, applied)
+            return [make_reply(request.call, OperatorReplyCode.OK, "confirmed", status)]
+        if obstacle := views.obstacle(self._replica):
             return self._refuse(request, name, OperatorReplyCode.NOT_READY, obstacle)
-        proposal = fold.plan(request.plan)
+        proposal = state_machine.plan(request.plan)
         if proposal is None:
-            self._awaited.append(Awaited(request, now + PLAN_WAIT_S))
+            self._waiting_confirms.append(WaitingConfirm(request, now + PLAN_WAIT_S))
             return []
-        if proposal.base != fold.head:
+        if proposal.base != state_machine.head:
             return self._conflict(request, name, proposal)
         confirm = Confirm(
             id=f"confirm-{proposal.plan}",
@@ -175,50 +184,64 @@
         )
         return self._append(request, now, name, confirm, AppendPurpose.CONFIRM)
 
-    def _look_again(self, waiting: Awaited, now: float) -> list[OperatorEffect]:
-        request, fold = waiting.request, self._keeper.state_machine
-        if fold.plan(request.plan) or fold.confirmed(request.plan):
+    def _retry_confirm(
+        self, waiting: WaitingConfirm, now: float
+    ) -> list[OperatorEffect]:
+        request, state_machine = waiting.request, self._replica.state_machine
+        if state_machine.plan(request.plan) or state_machine.confirmed(request.plan):
             return self.handle(now, request)
         if now < waiting.deadline:
-            self._awaited.append(waiting)
+            self._waiting_confirms.append(waiting)
             return []
-        if self._keeper.log_health is LogHealth.DOWN:
-            # The plan may stand in the log; an operator told to plan again would
-            # only make a second one.
-            text = "the log can't be read for this plan; nothing changed, ask again"
+        if self._replica.log_health is LogHealth.DOWN:
+            # The plan may be in the log; NOT_FOUND would make the operator create a
+            # second one.
+            text = "the log can't be read to find this plan; nothing changed, retry"
             return self._refuse(
-                request, NOBODY, OperatorReplyCode.LOG_UNAVAILABLE, text
+                request, UNKNOWN_OPERATOR, OperatorReplyCode.LOG_UNAVAILABLE, text
             )
-        text = "no such plan is kept; plan again"
-        return self._refuse(request, NOBODY, OperatorReplyCode.NOT_FOUND, text)
+        text = "there is no such plan, or it is no longer kept; plan again"
+        return self._refuse(
+            request, UNKNOWN_OPERATOR, OperatorReplyCode.NOT_FOUND, text
+        )
 
     @_on.register
     def _on_history(
         self, request: HistoryAsked, now: float, name: str
     ) -> list[OperatorEffect]:
-        history = views.history(self._keeper, self.audit)
-        return [reply_to(request.call, OperatorReplyCode.OK, "history", history)]
+        history = views.history(self._replica, self.audit)
+        return [make_reply(request.call, OperatorReplyCode.OK, "history", history)]
 
     @_on.register
     def _on_status(
         self, request: StatusAsked, now: float, name: str
     ) -> list[OperatorEffect]:
-        status = views.status(self._keeper, self.refusals)
-        return [reply_to(request.call, OperatorReplyCode.OK, "status", status)]
+        status = views.status(self._replica, self.refusals)
+        return [make_reply(request.call, OperatorReplyCode.OK, "status", status)]
 
-    def _operator(self, token: str) -> OperatorEntry | None:
-        known = self._keeper.state_machine.configuration.operators or self._bootstrap
+    def _find_operator(self, token: str) -> OperatorEntry | None:
+        operators = (
+            self._replica.state_machine.configuration.operators or self._bootstrap
+        )
         hashed = token_hash(token)
-        return next((o for o in known if hashed in o.token_sha256), None)
+        return next((o for o in operators if hashed in o.token_sha256), None)
 
-    def _unknown_operator(self, request: OperatorRequest) -> list[OperatorEffect]:
-        keeper = self._keeper
-        if not (keeper.state_machine.configuration.operators or keeper.readiness.ready):
-            # Without a configuration nobody's token is known: 401 would mislead.
-            text = "this host has no configuration yet; ask another"
-            return self._refuse(request, NOBODY, OperatorReplyCode.NOT_READY, text)
+    def _refuse_unknown_operator(
+        self, request: OperatorRequest
+    ) -> list[OperatorEffect]:
+        replica = self._replica
+        if not (
+            replica.state_machine.configuration.operators or replica.readiness.ready
+        ):
+            # Without a configuration no token is known, so 401 would be misleading.
+            text = "this host has no configuration yet; use another host"
+            return self._refuse(
+                request, UNKNOWN_OPERATOR, OperatorReplyCode.NOT_READY, text
+            )
         text = "the token names no operator; nothing was done"
-        return self._refuse(request, NOBODY, OperatorReplyCode.UNAUTHORIZED, text)
+        return self._refuse(
+            request, UNKNOWN_OPERATOR, OperatorReplyCode.UNAUTHORIZED, text
+        )
 
     def _append(
         self,
@@ -232,67 +255,75 @@
         if pending := self._pending.get(record.id):
             pending.calls.append(request.call)
             return []
-        if not self._keeper.budget.try_acquire(purpose, now):
-            text = "this host's share of the log is used up; ask again later"
+        if not self._replica.rate_limiter.try_acquire(purpose, now):
+            text = "this host has used up its share of appends to the log; retry later"
             return self._refuse(request, name, OperatorReplyCode.LOG_BUDGET, text)
-        deadline = now + APPEND_BOUND_S
-        self._pending[record.id] = Pending(
+        deadline = now + APPEND_TIMEOUT_S
+        self._pending[record.id] = PendingAppend(
             record, purpose, name, deadline, now, plan, [request.call]
         )
         return [AppendRecord(purpose, record.id, encode_record(record))]
 
-    def _settle(self, pending: Pending, now: float) -> list[OperatorEffect]:
+    def _resolve(self, pending: PendingAppend, now: float) -> list[OperatorEffect]:
         outcome = self._outcome(pending)
         if outcome:
             return self._finish(pending, *outcome)
         if now >= pending.deadline:
-            text = "the log didn't tell the outcome; ask the same again"
+            text = "the log doesn't show the outcome yet; repeat the same request"
             return self._finish(pending, OperatorReplyCode.OUTCOME_UNKNOWN, text)
-        if pending.under_way or pending.offset is not None or now < pending.next_try:
+        if (
+            pending.in_flight
+            or pending.offset is not None
+            or now < pending.next_attempt_at
+        ):
             return []
-        # The first append may stand. Repeating it is safe: its base or its plan id
-        # makes every copy after the first void on every host.
-        if not self._keeper.budget.try_acquire(pending.purpose, now):
-            pending.next_try = now + APPEND_RETRY_S
+        # The first append may have taken effect. Repeating it is safe: due to its base
+        # or its plan id, every host ignores all copies but the first.
+        if not self._replica.rate_limiter.try_acquire(pending.purpose, now):
+            pending.next_attempt_at = now + APPEND_RETRY_S
             return []
-        pending.under_way = True
+        pending.in_flight = True
         record = pending.record
         return [AppendRecord(pending.purpose, record.id, encode_record(record))]
 
-    def _outcome(self, pending: Pending):
-        fold, record = self._keeper.state_machine, pending.record
+    def _outcome(self, pending: PendingAppend):
+        state_machine, record = self._replica.state_machine, pending.record
         if isinstance(record, Proposal):
-            if pending.offset is None and fold.plan(record.plan) is None:
+            if pending.offset is None and state_machine.plan(record.plan) is None:
                 return None
             return OperatorReplyCode.OK, "planned", pending.plan
-        if done := fold.confirmed(record.plan):
+        if applied := state_machine.confirmed(record.plan):
             return (
                 OperatorReplyCode.OK,
                 "confirmed",
-                views.change_status(self._keeper, done),
+                views.change_status(self._replica, applied),
             )
-        if any(void.plan == record.plan for void in fold.voids):
-            conflict = views.conflict(self._keeper, record.base)
-            return OperatorReplyCode.CONFLICT, conflict_text(conflict.won), conflict
-        if pending.offset is not None and fold.through >= pending.offset:
-            text = "the log holds the confirm but it can't be applied; see skipped"
+        if any(void.plan == record.plan for void in state_machine.voids):
+            conflict = views.conflict(self._replica, record.base)
+            return OperatorReplyCode.CONFLICT, conflict_message(conflict.won), conflict
+        if pending.offset is not None and state_machine.through >= pending.offset:
+            text = "the confirm is in the log but can't be applied; see skipped records"
             return OperatorReplyCode.INVALID, text, None
         return None
 
-    def _finish(self, pending: Pending, code, text, body=None) -> list[OperatorEffect]:
+    def _finish(
+        self, pending: PendingAppend, code, text, body=None
+    ) -> list[OperatorEffect]:
         del self._pending[pending.record.id]
         effects: list[OperatorEffect] = []
         if code is not OperatorReplyCode.OK:
             at, action = pending.record.at, pending.purpose
-            effects.append(self._note(at, pending.operator, action, code, text))
-        effects += [reply_to(call, code, text, body) for call in pending.calls]
+            effects.append(
+                self._record_refusal(at, pending.operator, action, code, text)
+            )
+        effects += [make_reply(call, code, text, body) for call in pending.calls]
         return effects
 
     def _conflict(
         self, request: ConfirmAsked, name: str, proposal: Proposal
     ) -> list[OperatorEffect]:
-        conflict = views.conflict(self._keeper, proposal.base)
-        text = conflict_text(conflict.won)
+        conflict = views.conflict(self._replica, proposal.base)
+        text = conflict_message(conflict.won)
         return self._refuse(request, name, OperatorReplyCode.CONFLICT, text, conflict)
 
     def _refuse(
@@ -304,10 +335,10 @@
         body=None,
     ) -> list[OperatorEffect]:
         action = type(request).__name__.removesuffix("Asked").lower()
-        audited = self._note(request.at, name, action, code, text)
-        return [audited, reply_to(request.call, code, text, body)]
+        audited = self._record_refusal(request.at, name, action, code, text)
+        return [audited, make_reply(request.call, code, text, body)]
 
-    def _note(
+    def _record_refusal(
         self, at, operator, action, code: OperatorReplyCode, text: str
     ) -> WriteAuditEntry:
         self.refusals += 1
--- a/jackdawspur/configuration/_pending.py
+++ b/jackdawspur/configuration/_pending.py
@@ -1,9 +1,9 @@
-"""What the operators' desk waits for, and the form of its replies."""
+"""Pending requests of the operator API, and helpers to build its replies."""
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-from jackdawspur.configuration._budget import AppendPurpose
+from jackdawspur.configuration._append_rate_limiter import AppendPurpose
 from jackdawspur.configuration._document import Right
 from jackdawspur.configuration._operations import (
     ConfirmAsked,
@@ -15,7 +15,13 @@
 from jackdawspur.configuration._planner import Plan
 from jackdawspur.configuration._records import Confirm, Proposal
 
-__all__ = ["Awaited", "Pending", "conflict_text", "reply_to", "right_for"]
+__all__ = [
+    "WaitingConfirm",
+    "PendingAppend",
+    "conflict_message",
+    "make_reply",
+    "required_right",
+]
 
 PAGE = "operators/configuration"
 
@@ -35,42 +41,44 @@
 
 
 @dataclass(slots=True)
-class Pending:
-    """Hold an append until the log shows how it ended."""
+class PendingAppend:
+    """Append whose outcome the log has not shown yet."""
 
     record: Proposal | Confirm
     purpose: AppendPurpose
     operator: str
     deadline: float
-    next_try: float
+    next_attempt_at: float
     plan: Plan | None = None
     calls: list[int] = field(default_factory=list)
-    under_way: bool = True
-    may_stand: bool = False
+    in_flight: bool = True
+    maybe_appended: bool = False
     offset: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Awaited:
-    """Hold a confirm whose plan this host has yet to read."""
+class WaitingConfirm:
+    """Confirm of a plan that this host hasn't read from the log yet."""
 
     request: ConfirmAsked
     deadline: float
 
 
-def right_for(request: OperatorRequest) -> Right:
-    """Return the right that a request needs."""
+def required_right(request: OperatorRequest) -> Right:
+    """Return the right that a request requires."""
     if isinstance(request, PlanAsked):
         return Right.PLAN
     return Right.CONFIRM if isinstance(request, ConfirmAsked) else Right.VIEW
 
 
-def conflict_text(won: int) -> str:
-    """Return the sentence that tells an operator who won."""
+def conflict_message(won: int) -> str:
+    """Return the message that tells an operator which version won."""
     return f"version {won} won; nothing of this plan is in force, plan again"
 
 
-def reply_to(call: int, code: OperatorReplyCode, text: str, body=None) -> OperatorReply:
-    """Return a reply with its HTTP status and operators' page."""
+def make_reply(
+    call: int, code: OperatorReplyCode, text: str, body=None
+) -> OperatorReply:
+    """Return a reply with its HTTP status and the page that documents its code."""
     page = "" if code is OperatorReplyCode.OK else f"{PAGE}#{code.replace('_', '-')}"
     return OperatorReply(call, STATUS_OF[code], code, text, page, body)
--- a/jackdawspur/configuration/_planner.py
+++ b/jackdawspur/configuration/_planner.py
@@ -1,4 +1,4 @@
-"""Say what an intent would do before anything takes effect."""
+"""Computes the plan of an intent: what it would change, before it takes effect."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,16 +14,16 @@
 from jackdawspur.configuration._document import Configuration
 from jackdawspur.configuration._records import Proposal
 
-__all__ = ["Plan", "ZoneCapacity", "mass_removals", "plan_of"]
+__all__ = ["Plan", "ZoneCapacity", "mass_removals", "build_plan"]
 
-# Fewer removals than this are never "mass", unless they empty a section.
+# Fewer removals than this are no mass removal, unless they empty a section.
 MASS_REMOVAL_MIN = 3
-MASS_REMOVAL_SHARE = 0.2
+MASS_REMOVAL_FRACTION = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneCapacity:
-    """Compare a zone's upstream slots before and after."""
+    """Upstream slots of a zone before and after a change."""
 
     zone: str
     slots_before: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Tell what confirming would do; nothing is in force yet."""
+    """What a proposal would change if confirmed; nothing is in force yet."""
 
     id: str
     base: int
@@ -47,17 +47,17 @@
     mass_removal: tuple[str, ...] = ()
 
 
-def plan_of(
+def build_plan(
     proposal: Proposal, current: Configuration, unreachable: Iterable[str]
 ) -> Plan:
     """Return the plan of a proposal against the configuration it is based on.
 
-    `unreachable` names the zones that the view of this host doesn't reach.
+    `unreachable` names the zones that this host can't reach.
     """
     after, _ = apply_changes(current, proposal.changes)
     capacity = _capacity(current, after)
-    # Any job may run on any upstream, so a change of capacity touches everyone.
-    touched = _touched_customers(current, after, proposal.changes, bool(capacity))
+    # Any job may run on any upstream, so a change of capacity affects all customers.
+    affected = _affected_customers(current, after, proposal.changes, bool(capacity))
     known = {zone.name for zone in (*current.zones, *after.zones)}
     return Plan(
         id=proposal.plan,
@@ -70,8 +70,8 @@
             for change in proposal.changes
             if isinstance(change, Remove)
         ),
-        customers=touched,
-        job_classes=_classes_of(touched, current, after),
+        customers=affected,
+        job_classes=_class_names(affected, current, after),
         capacity=capacity,
         unreachable_zones=tuple(sorted(known.intersection(unreachable))),
         mass_removal=mass_removals(current, proposal.changes),
@@ -81,41 +81,43 @@
 def mass_removals(
     current: Configuration, changes: tuple[Change, ...]
 ) -> tuple[str, ...]:
-    """Return the sections that changes empty or cut by a large share."""
+    """Return the sections that the changes empty or reduce by a large fraction."""
     found = []
-    emptier, _ = apply_changes(current, changes)
+    result, _ = apply_changes(current, changes)
     for section in SECTIONS:
         removed = [c for c in changes if isinstance(c, Remove) and c.section == section]
         before = len(getattr(current, section))
-        after = len(getattr(emptier, section))
-        large = len(removed) >= max(MASS_REMOVAL_MIN, MASS_REMOVAL_SHARE * before)
+        after = len(getattr(result, section))
+        large = len(removed) >= max(MASS_REMOVAL_MIN, MASS_REMOVAL_FRACTION * before)
         if removed and (large or not after):
             found.append(f"{section}: {len(removed)} of {before}")
     return tuple(found)
 
 
-def _touched_customers(
+def _affected_customers(
     current: Configuration,
     after: Configuration,
     changes: tuple[Change, ...],
-    everyone: bool,
+    all_customers: bool,
 ) -> tuple[str, ...]:
-    if everyone or current.policies != after.policies:
+    if all_customers or current.policies != after.policies:
         return tuple(sorted({c.name for c in (*current.customers, *after.customers)}))
-    names = {c.entry.name for c in changes if isinstance(c, PutCustomer)}
+    customers = {c.entry.name for c in changes if isinstance(c, PutCustomer)}
     removes = (c for c in changes if isinstance(c, Remove))
-    names.update(c.name for c in removes if c.section == "customers")
-    return tuple(sorted(names))
+    customers.update(c.name for c in removes if c.section == "customers")
+    return tuple(sorted(customers))
 
 
-def _classes_of(names: tuple[str, ...], *documents: Configuration) -> tuple[str, ...]:
+def _class_names(
+    customers: tuple[str, ...], *documents: Configuration
+) -> tuple[str, ...]:
     return tuple(
         sorted(
             {
                 f"{customer.name}/{job_class.name}"
                 for document in documents
                 for customer in document.customers
-                if customer.name in names
+                if customer.name in customers
                 for job_class in customer.classes
             }
         )
--- a/jackdawspur/configuration/_readiness.py
+++ b/jackdawspur/configuration/_readiness.py
@@ -1,4 +1,4 @@
-"""Say whether this host's configuration is fit to serve, and why not."""
+"""Readiness of one host's configuration, and the reasons for it."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class LogHealth(enum.StrEnum):
-    """Tell how the log answers this host."""
+    """State of the log as this host observes it."""
 
     UNKNOWN = "unknown"
     UP = "up"
@@ -16,7 +16,7 @@
 
 
 class ReadinessReason(enum.StrEnum):
-    """Say why a host is ready or not."""
+    """Reason why a host is ready or not."""
 
     READY = "ready"
     READING_LOG = "reading_log"
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Readiness:
-    """Carry the answer of the readiness check."""
+    """Result of the readiness check."""
 
     ready: bool
     reason: ReadinessReason
 
     @property
     def message(self) -> str:
-        """Return the reason as a sentence for people."""
+        """Return the reason as text for operators."""
         return MESSAGES[self.reason]
--- a/jackdawspur/configuration/_records.py
+++ b/jackdawspur/configuration/_records.py
@@ -1,4 +1,4 @@
-"""Records of the configuration stream and their JSON form."""
+"""Records of the configuration stream, and their JSON encoding."""
 
 import hashlib
 from dataclasses import dataclass, replace
@@ -26,13 +26,13 @@
     "new_proposal",
 ]
 
-ID_LENGTH = 16
+PLAN_ID_LENGTH = 16
 KINDS = ("proposal", "confirm", "snapshot")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Proposal:
-    """Announce a plan; it changes nothing, any host may confirm it."""
+    """Plan that any host may confirm; by itself it changes nothing."""
 
     __pydantic_config__ = STRICT
 
@@ -54,9 +54,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Confirm:
-    """Put a plan in force if `base` is still current; carries all it needs.
+    """Put a plan into force if `base` is still current.
 
-    `at` in seconds since 1970.
+    Contains all changes of the plan. `at` is in seconds since 1970.
     """
 
     __pydantic_config__ = STRICT
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HistoryEntry:
-    """Tell who changed what, when and why; `version` is the confirm's offset."""
+    """Who changed what, when and why; `version` is the offset of the confirm."""
 
     __pydantic_config__ = STRICT
 
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot:
-    """Hold the whole state after the records up to the offset `through`."""
+    """Full state after all records up to and including the offset `through`."""
 
     __pydantic_config__ = STRICT
 
@@ -108,7 +108,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """Hold the fields that every schema version keeps, now and later."""
+    """Fields that are the same in all schema versions, future ones included."""
 
     kind: str
     schema_version: int
@@ -117,42 +117,42 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True):
-    """Hold what a host needs of a snapshot whose state it already has."""
+    """Fields of a snapshot that a host needs if it already has the state."""
 
     version: int
     at: float
 
 
-_MARK = msgspec.json.Decoder(SnapshotHeader)
+_SNAPSHOT_HEADER = msgspec.json.Decoder(SnapshotHeader)
 _ENVELOPE = msgspec.json.Decoder(Envelope)
-# A record nested deeper than the parser's stack must not stop every host's reader.
-UNREADABLE = (msgspec.DecodeError, RecursionError)
+# RecursionError: a record nested too deeply must not stop the readers of all hosts.
+DECODE_ERRORS = (msgspec.DecodeError, RecursionError)
 
 
 def decode_envelope(body: str) -> Envelope:
-    """Return the fields that stay the same for good; raise `RecordError`."""
+    """Return the fields common to all schema versions; raise `RecordError`."""
     try:
         return _ENVELOPE.decode(body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise RecordError(SkipReason.UNREADABLE, str(error)) from error
 
 
 def decode_snapshot_header(body: str) -> SnapshotHeader | None:
-    """Return the mark of a snapshot of this schema version, None for the rest.
+    """Return the header of a snapshot of this schema version, None for other records.
 
-    Decoding a whole snapshot at 3,900 upstreams holds up the loop for tens of ms.
+    Decoding a whole snapshot with 3,900 upstreams blocks the loop for tens of ms.
     """
     envelope = decode_envelope(body)
     if envelope.kind != "snapshot" or envelope.schema_version != SCHEMA_VERSION:
         return None
     try:
-        return _MARK.decode(body)
-    except UNREADABLE as error:
+        return _SNAPSHOT_HEADER.decode(body)
+    except DECODE_ERRORS as error:
         raise RecordError(SkipReason.UNREADABLE, str(error)) from error
 
 
 def decode_record(body: str) -> Record:
-    """Return a record of the known schema version; raise `RecordError`."""
+    """Return a record of the known schema version; raise `RecordError` otherwise."""
     envelope = decode_envelope(body)
     if envelope.schema_version > SCHEMA_VERSION:
         text = f"schema version {envelope.schema_version} is newer than this program"
@@ -173,10 +173,10 @@
 
 
 def new_proposal(intent: Intent, base: int, operator: str, at: float) -> Proposal:
-    """Return the record that announces an intent against a version.
+    """Return the proposal of an intent based on a version.
 
-    The id depends on content and base alone: a plan asked again after a lost reply
-    is the same plan, and the same intent on a newer base is another.
+    The id depends only on content and base: a plan requested again after a lost reply
+    is the same plan, but the same intent on a newer base is another plan.
     """
     proposal = Proposal(
         id="",
@@ -188,4 +188,4 @@
         allow_mass_removal=intent.allow_mass_removal,
     )
     content = encode_record(replace(proposal, at=0.0)).encode()
-    return replace(proposal, id=hashlib.sha256(content).hexdigest()[:ID_LENGTH])
+    return replace(proposal, id=hashlib.sha256(content).hexdigest()[:PLAN_ID_LENGTH])
--- a/jackdawspur/configuration/_replica_events.py
+++ b/jackdawspur/configuration/_replica_events.py
@@ -1,8 +1,8 @@
-"""What happens to the keeper of the configuration, and what it asks for."""
+"""Events that the configuration replica processes and effects that it returns."""
 
 from dataclasses import dataclass
 
-from jackdawspur.configuration._budget import AppendPurpose
+from jackdawspur.configuration._append_rate_limiter import AppendPurpose
 from jackdawspur.configuration._document import Configuration
 from jackdawspur.configuration._reports import Skipped
 from jackdawspur.external import LogRecord
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecordsRead:
-    """A read ended; without records the end of the log was reached."""
+    """A read completed; no records means that the end of the log was reached."""
 
     records: tuple[LogRecord, ...]
 
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LogStartAdvanced:
-    """A read found that the log now starts at `first`."""
+    """A read failed because the log was trimmed and now starts at `first`."""
 
     first: int
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsRequested:
-    """A peer wants records."""
+    """A peer requested records."""
 
     sender: HostId
     wanted: RecordsWanted
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsReceived:
-    """A peer passed records on."""
+    """A peer sent records."""
 
     sender: HostId
     passed: RecordsPassed
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LivePeersChanged:
-    """The view names the peers that live, without this host."""
+    """The live peers in the membership view, without this host."""
 
     live: tuple[HostId, ...]
 
@@ -83,7 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendCompleted:
-    """An append ended; `offset` None with `maybe_sent` means that it may stand."""
+    """An append completed; `offset` is None if it failed or its outcome is unknown.
+
+    With `maybe_sent`, the record may be in the log although no reply arrived.
+    """
 
     record_id: str
     offset: int | None
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaTick:
-    """Time passed; `wall` in seconds since 1970, only for the age of snapshots."""
+    """Periodic tick; `wall` in seconds since 1970, only for the age of snapshots."""
 
     wall: float
 
@@ -112,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadLog:
-    """Read the stream from an offset; exactly one read is under way at a time."""
+    """Read the stream from an offset; only one read is in flight at a time."""
 
     offset: int
     wait_ms: float
@@ -129,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRecords:
-    """Ask a peer for records."""
+    """Request records from a peer."""
 
     to: HostId
     wanted: RecordsWanted
@@ -137,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRecords:
-    """Pass records on to a peer."""
+    """Send records to a peer."""
 
     to: HostId
     passed: RecordsPassed
@@ -145,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActivateConfiguration:
-    """Put a newer version in force on this host."""
+    """Put a newer version into force on this host."""
 
     cluster_spec: ClusterSpec
     configuration: Configuration
@@ -153,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportSkipped:
-    """Tell the operators of a record that changed nothing."""
+    """Report a skipped record to the operators."""
 
     skipped: Skipped
 
--- a/jackdawspur/configuration/_reports.py
+++ b/jackdawspur/configuration/_reports.py
@@ -1,4 +1,4 @@
-"""Reports on records that did not come into force."""
+"""Reports on records of the log that had no effect."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Skipped:
-    """Report a record that changed nothing."""
+    """Record that was skipped."""
 
     offset: int
     reason: SkipReason
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Void:
-    """Report a confirm that lost: its base was no longer current."""
+    """Confirm that lost because its base was no longer current."""
 
     offset: int
     plan: str
--- a/jackdawspur/configuration/_snapshots.py
+++ b/jackdawspur/configuration/_snapshots.py
@@ -1,21 +1,22 @@
-"""Choose who writes a snapshot, and when."""
+"""Schedule which host writes a snapshot, and when."""
 
 from collections.abc import Iterable
 
 from jackdawspur.configuration._state_machine import ConfigurationStateMachine
 from jackdawspur.model import HostId
 
-__all__ = ["SnapshotTurns"]
+__all__ = ["SnapshotScheduler"]
 
-STAGGER_S = 5.0
+TURN_S = 5.0
 RETRY_S = 30.0
 
 
-class SnapshotTurns:
-    """Work out this host's turn from its own view.
+class SnapshotScheduler:
+    """Decide from this host's own view when it is its turn to write a snapshot.
 
-    A snapshot is due well before the log trims. If the first host can't reach the
-    log, or views differ, the next one follows; a double changes nothing.
+    A snapshot is due well before the log is trimmed. If the first host can't reach
+    the log, the next one writes it. If views differ, two hosts may write one, which is
+    harmless.
     """
 
     def __init__(self, host: HostId) -> None:
@@ -25,27 +26,29 @@
 
     def due(
         self,
-        fold: ConfigurationStateMachine,
-        able: bool,
+        state_machine: ConfigurationStateMachine,
+        can_write: bool,
         live: Iterable[HostId],
         wall: float,
         now: float,
     ) -> bool:
-        """Tell whether to write now; a true answer starts the wait for a retry."""
-        policies = fold.configuration.policies
-        aged = wall - fold.snapshot_at >= policies.snapshot_interval_s
-        many = fold.changes_since_snapshot >= policies.snapshot_after_changes
-        if not (able and (aged or many)):
+        """Return whether to write now; if so, start the delay before a retry."""
+        policies = state_machine.configuration.policies
+        aged = wall - state_machine.snapshot_at >= policies.snapshot_interval_s
+        many_changes = (
+            state_machine.changes_since_snapshot >= policies.snapshot_after_changes
+        )
+        if not (can_write and (aged or many_changes)):
             self._due_since = None
             return False
         if self._due_since is None:
             self._due_since = now
         names = sorted({(host.zone, host.name) for host in (*live, self._host)})
-        # The first one waits too: when hosts start together none has heard of the
-        # others yet, and each would believe that it is the first.
-        place = 1 + names.index((self._host.zone, self._host.name))
-        turn = place * STAGGER_S
-        if now < max(self._due_since + turn, self._not_before):
+        # The first host waits too: when hosts start together, none has received a
+        # heartbeat yet, and each would take itself for the first.
+        rank = 1 + names.index((self._host.zone, self._host.name))
+        delay = rank * TURN_S
+        if now < max(self._due_since + delay, self._not_before):
             return False
         self._not_before = now + RETRY_S
         return True
--- a/jackdawspur/configuration/_state_machine.py
+++ b/jackdawspur/configuration/_state_machine.py
@@ -1,4 +1,4 @@
-"""Fold the records of the log, in log order, into the version in force."""
+"""Apply the records of the log, in log order, to the configuration in force."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable
@@ -6,7 +6,7 @@
 from jackdawspur.configuration._changes import apply_changes
 from jackdawspur.configuration._checks import check_references
 from jackdawspur.configuration._diff import summarize
-from jackdawspur.configuration._document import HISTORY_KEPT, Configuration
+from jackdawspur.configuration._document import MAX_HISTORY, Configuration
 from jackdawspur.configuration._errors import RecordError, SkipReason
 from jackdawspur.configuration._records import (
     Confirm,
@@ -21,101 +21,102 @@
 from jackdawspur.configuration._reports import Skipped, Void
 from jackdawspur.external import LogRecord
 
-__all__ = ["NOTHING", "ConfigurationStateMachine"]
+__all__ = ["NO_VERSION", "ConfigurationStateMachine"]
 
-NOTHING = -1
-VOIDS_KEPT = 128
-SKIPPED_KEPT = 64
-PLANS_KEPT = 128
-# Bounds the memory of plans that nobody confirms; one change takes about 1 KB.
-PLANNED_CHANGES_KEPT = 8_000
-# Confirms that wait for a snapshot after a gap; a snapshot comes long before.
-HELD_RECORDS = 2_000
+NO_VERSION = -1
+MAX_VOIDS = 128
+MAX_SKIPPED = 64
+MAX_PLANS = 128
+# Bounds the memory of unconfirmed plans; one change takes about 1 KB.
+MAX_PLANNED_CHANGES = 8_000
+# Confirms buffered after a gap until a snapshot; one arrives long before this many.
+MAX_BUFFERED_RECORDS = 2_000
 
 
 class ConfigurationStateMachine:
-    """Keep the state that a prefix of the log gives; the same on every host.
+    """Replicated state machine: the same log prefix gives the same state on every host.
 
-    `version` is in force here. `head` is the confirm that won last; it is ahead of
-    `version` only while a winner has a schema that this program can't read. Without
-    `contiguous`, records before `through` were trimmed away unread: the last good
-    version serves, and nothing is judged until a snapshot covers the gap.
+    `version` is in force here. `head` is the last confirm that won; it is ahead of
+    `version` only while that confirm has a schema that this program can't decode.
+    `through` is the offset of the last record applied. If `contiguous` is false, the
+    log was trimmed before this host read some records up to `through`: the last valid
+    version stays in force, and no confirm is decided until a snapshot covers the gap.
     """
 
     def __init__(self) -> None:
         self.configuration = Configuration()
-        self.version = NOTHING
-        self.head = NOTHING
-        self.through = NOTHING
+        self.version = NO_VERSION
+        self.head = NO_VERSION
+        self.through = NO_VERSION
         self.contiguous = True
         self.snapshot_at = 0.0
-        self._snapshot_version = NOTHING
-        self._gap = NOTHING
+        self._snapshot_version = NO_VERSION
+        self._gap_end = NO_VERSION
         self._history: OrderedDict[str, HistoryEntry] = OrderedDict()
         self._plans: OrderedDict[str, Proposal] = OrderedDict()
-        self._voids: deque[Void] = deque(maxlen=VOIDS_KEPT)
-        self._skipped: deque[Skipped] = deque(maxlen=SKIPPED_KEPT)
-        self._held: deque[LogRecord] = deque()
+        self._voids: deque[Void] = deque(maxlen=MAX_VOIDS)
+        self._skipped: deque[Skipped] = deque(maxlen=MAX_SKIPPED)
+        self._buffered: deque[LogRecord] = deque()
 
     @property
     def changes_since_snapshot(self) -> int:
-        """Return how many changes in force the newest snapshot lacks."""
+        """Return the number of changes in force since the newest snapshot."""
         return len(self.changes_since(self._snapshot_version))
 
     @property
     def history(self) -> tuple[HistoryEntry, ...]:
-        """Return the newest changes in force, oldest first."""
+        """Return the most recent changes in force, oldest first."""
         return tuple(self._history.values())
 
     @property
     def voids(self) -> tuple[Void, ...]:
-        """Return the newest confirms that lost, oldest first."""
+        """Return the most recent void confirms, oldest first."""
         return tuple(self._voids)
 
     @property
     def skipped(self) -> tuple[Skipped, ...]:
-        """Return the newest records that changed nothing, oldest first."""
+        """Return the most recent records skipped without effect, oldest first."""
         return tuple(self._skipped)
 
     @property
     def plans(self) -> tuple[Proposal, ...]:
-        """Return the plans that nobody confirmed yet, oldest first."""
+        """Return the plans that are not confirmed yet, oldest first."""
         return tuple(self._plans.values())
 
     def plan(self, plan: str) -> Proposal | None:
-        """Return a proposal that is still kept."""
+        """Return the proposal of a plan, or None if it is no longer kept."""
         return self._plans.get(plan)
 
     def confirmed(self, plan: str) -> HistoryEntry | None:
-        """Return the change that a plan became."""
+        """Return the change that resulted from a plan, or None if it is unknown."""
         return self._history.get(plan)
 
     def changes_since(self, version: int) -> tuple[HistoryEntry, ...]:
-        """Return the changes in force that came after a version."""
+        """Return the changes in force after a version."""
         return tuple(e for e in self._history.values() if e.version > version)
 
     def apply_records(self, records: Iterable[LogRecord]) -> None:
-        """Fold records that follow `through` without a gap; repeats do nothing."""
+        """Apply records that follow `through` without a gap; ignore repeated ones."""
         for record in records:
             if record.offset <= self.through:
                 continue
-            self._fold_one(record)
+            self._apply_record(record)
             self.through = record.offset
 
     def skip_to(self, first: int) -> None:
-        """Note that records before the offset `first` can't be read any more."""
+        """Record that the log no longer holds records before the offset `first`."""
         if first > self.through + 1:
             self.contiguous = False
             self.through = first - 1
-            self._gap = first
-            self._held.clear()
+            self._gap_end = first
+            self._buffered.clear()
 
-    def take_state(self, state: Snapshot) -> bool:
-        """Take the state that a peer passed on; tell whether it brought anything.
+    def install_state(self, state: Snapshot) -> bool:
+        """Install a state sent by a peer; return whether it was newer than this one.
 
-        It stands for all records up to `through`, but isn't one of them. Folded as
-        a record, it would hide the confirm that stands at its offset. An older state
-        would take the version back.
+        It covers all records up to `through`, but isn't a record of the log. Applied
+        as a record, it would hide the confirm at its offset. An older state is
+        rejected, because it would set the version back.
         """
         known = self.contiguous and self.head == self.version
         if known and state.through <= self.through:
@@ -125,75 +126,77 @@
         if state.through > self.through:
             self.contiguous = False
             self.through = state.through
-            self._gap = state.through + 1
-            self._held.clear()
-        self._take_snapshot(state.through, state)
+            self._gap_end = state.through + 1
+            self._buffered.clear()
+        self._apply_snapshot(state.through, state)
         return True
 
-    def _fold_one(self, record: LogRecord) -> None:
+    def _apply_record(self, record: LogRecord) -> None:
         try:
             if self.contiguous and self.head == self.version:
-                mark = decode_snapshot_header(record.body)
-                if mark:
-                    self._mark(mark)
+                header = decode_snapshot_header(record.body)
+                if header:
+                    self._record_snapshot(header)
                     return
             decoded = decode_record(record.body)
         except RecordError as error:
-            self._skip(record.offset, error.reason, str(error))
+            self._record_skipped(record.offset, error.reason, str(error))
             if error.reason is SkipReason.NEWER_SCHEMA:
-                self._follow_newer(record)
+                self._track_newer_confirm(record)
             return
         match decoded:
             case Proposal():
-                self._keep_plan(decoded)
+                self._add_plan(decoded)
             case Snapshot():
-                self._take_snapshot(record.offset, decoded)
+                self._apply_snapshot(record.offset, decoded)
             case Confirm() if not self.contiguous:
-                self._hold(record)
+                self._buffer(record)
             case Confirm():
-                self._judge(record.offset, decoded)
+                self._resolve_confirm(record.offset, decoded)
 
-    def _follow_newer(self, record: LogRecord) -> None:
-        # A host with a newer program applies this confirm. Its place in the order is
-        # followed here too: else the hosts would judge later confirms differently.
+    def _track_newer_confirm(self, record: LogRecord) -> None:
+        # Hosts with a newer program apply this confirm. The head advances here too:
+        # otherwise the hosts would decide differently on later confirms.
         envelope = decode_envelope(record.body)
         if not self.contiguous:
-            self._hold(record)
+            self._buffer(record)
         elif envelope.kind == "confirm" and envelope.base == self.head:
             self.head = record.offset
 
-    def _keep_plan(self, proposal: Proposal) -> None:
+    def _add_plan(self, proposal: Proposal) -> None:
         self._plans.setdefault(proposal.plan, proposal)
         total = sum(len(plan.changes) for plan in self._plans.values())
         while len(self._plans) > 1 and (
-            len(self._plans) > PLANS_KEPT or total > PLANNED_CHANGES_KEPT
+            len(self._plans) > MAX_PLANS or total > MAX_PLANNED_CHANGES
         ):
-            _, dropped = self._plans.popitem(last=False)
-            total -= len(dropped.changes)
+            _, evicted = self._plans.popitem(last=False)
+            total -= len(evicted.changes)
 
-    def _judge(self, offset: int, confirm: Confirm) -> None:
-        # A lost reply makes a host append the same confirm again. The plan won
-        # already, so the repeat is neither a second change nor a conflict.
+    def _resolve_confirm(self, offset: int, confirm: Confirm) -> None:
+        # After a lost reply a host appends the same confirm again. The plan is already
+        # in force, so the repeat is neither a second change nor a conflict.
         if confirm.plan in self._history:
             return
         if confirm.base != self.head:
-            self._void(offset, confirm)
+            self._record_void(offset, confirm)
             return
         if self.head != self.version:
-            # Built on a winner that this program can't read: followed, not applied.
+            # Based on a confirm that this program can't decode: advance the head only.
             self.head = offset
             text = "its base has a newer schema version"
-            self._skip(offset, SkipReason.NEWER_SCHEMA, text)
+            self._record_skipped(offset, SkipReason.NEWER_SCHEMA, text)
             return
         after, errors = apply_changes(self.configuration, confirm.changes)
         errors = errors or tuple(check_references(after))
         if errors:
             text = "; ".join(f"{e.path}: {e.message}" for e in errors[:3])
-            self._skip(offset, SkipReason.INVALID, text)
+            self._record_skipped(offset, SkipReason.INVALID, text)
             return
-        self._apply(offset, confirm, after)
+        self._put_in_force(offset, confirm, after)
 
-    def _apply(self, offset: int, confirm: Confirm, after: Configuration) -> None:
+    def _put_in_force(
+        self, offset: int, confirm: Confirm, after: Configuration
+    ) -> None:
         entry = HistoryEntry(
             version=offset,
             base=confirm.base,
@@ -204,11 +207,11 @@
             summary=summarize(self.configuration, confirm.changes),
         )
         self._plans.pop(confirm.plan, None)
-        self._remember(entry)
+        self._add_to_history(entry)
         self.configuration = after
         self.version = self.head = offset
 
-    def _void(self, offset: int, confirm: Confirm) -> None:
+    def _record_void(self, offset: int, confirm: Confirm) -> None:
         if any(void.plan == confirm.plan for void in self._voids):
             return
         self._voids.append(
@@ -223,54 +226,55 @@
             )
         )
 
-    def _hold(self, record: LogRecord) -> None:
-        self._held.append(record)
-        if len(self._held) > HELD_RECORDS:
-            self._gap = self._held.popleft().offset + 1
+    def _buffer(self, record: LogRecord) -> None:
+        self._buffered.append(record)
+        if len(self._buffered) > MAX_BUFFERED_RECORDS:
+            self._gap_end = self._buffered.popleft().offset + 1
 
-    def _take_snapshot(self, offset: int, snapshot: Snapshot) -> None:
+    def _apply_snapshot(self, offset: int, snapshot: Snapshot) -> None:
         if not self.contiguous:
-            self._bridge(offset, snapshot)
+            self._close_gap(offset, snapshot)
         elif snapshot.version == self.head != self.version:
-            self._adopt(snapshot)
-        self._mark(snapshot)
+            self._install_snapshot(snapshot)
+        self._record_snapshot(snapshot)
 
-    def _mark(self, snapshot: Snapshot | SnapshotHeader) -> None:
-        # A snapshot whose writer lagged still spares readers what came before it.
+    def _record_snapshot(self, snapshot: Snapshot | SnapshotHeader) -> None:
+        # The snapshot of a lagging writer still covers the records before its version.
         if self._snapshot_version <= snapshot.version <= self.version:
             self._snapshot_version = snapshot.version
             self.snapshot_at = snapshot.at
 
-    def _bridge(self, offset: int, snapshot: Snapshot) -> None:
-        covers = snapshot.through >= self._gap - 1
+    def _close_gap(self, offset: int, snapshot: Snapshot) -> None:
+        covers = snapshot.through >= self._gap_end - 1
         if snapshot.version < self.version:
-            # A lagging writer's copy, or with `covers` a log that was set back. The
-            # version in force never goes back; the operators have to look at it.
+            # The snapshot comes from a lagging writer or, if it covers the gap, from a
+            # log that was set back. The version in force never goes back; operators
+            # must investigate.
             if covers:
                 text = f"snapshot of {snapshot.version}, in force {self.version}"
-                self._skip(offset, SkipReason.LOG_WENT_BACK, text)
+                self._record_skipped(offset, SkipReason.LOG_WENT_BACK, text)
             return
-        self._adopt(snapshot)
+        self._install_snapshot(snapshot)
         if not covers:
             return
         self.contiguous = True
-        held = tuple(self._held)
-        self._held.clear()
+        held = tuple(self._buffered)
+        self._buffered.clear()
         for record in held:
             if record.offset > snapshot.through:
-                self._fold_one(record)
+                self._apply_record(record)
 
-    def _adopt(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         self.configuration = snapshot.configuration
         self.version = self.head = snapshot.version
         for entry in snapshot.history:
-            self._remember(entry)
+            self._add_to_history(entry)
 
-    def _remember(self, entry: HistoryEntry) -> None:
+    def _add_to_history(self, entry: HistoryEntry) -> None:
         self._history[entry.plan] = entry
-        while len(self._history) > HISTORY_KEPT:
+        while len(self._history) > MAX_HISTORY:
             self._history.popitem(last=False)
 
-    def _skip(self, offset: int, reason: SkipReason, message: str) -> None:
+    def _record_skipped(self, offset: int, reason: SkipReason, message: str) -> None:
         if all(known.offset != offset for known in self._skipped):
             self._skipped.append(Skipped(offset, reason, message))
--- a/jackdawspur/configuration/_tail.py
+++ b/jackdawspur/configuration/_tail.py
@@ -1,4 +1,4 @@
-"""Keep the newest records of the log to pass them on."""
+"""The most recent records of the log, kept to send them to peers."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -10,44 +10,47 @@
     decode_record,
     encode_record,
 )
-from jackdawspur.configuration._state_machine import NOTHING, ConfigurationStateMachine
+from jackdawspur.configuration._state_machine import (
+    NO_VERSION,
+    ConfigurationStateMachine,
+)
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import RecordsPassed
 
-__all__ = ["WHOLE_STATE", "Tail", "build_snapshot", "state_in"]
+__all__ = ["FULL_STATE", "Tail", "build_snapshot", "extract_state"]
 
-# Asked for in place of an offset when a gap has to be bridged.
-WHOLE_STATE = -2
+# Requested instead of an offset by a host that has a gap in its records.
+FULL_STATE = -2
 
-RECORDS_KEPT = 512
-BYTES_KEPT = 1_000_000
-RECORDS_PASSED = 100
-BYTES_PASSED = 250_000
-HISTORY_IN_SNAPSHOT = 50
+MAX_RECORDS = 512
+MAX_BYTES = 1_000_000
+MAX_BATCH_RECORDS = 100
+MAX_BATCH_BYTES = 250_000
+MAX_SNAPSHOT_HISTORY = 50
 
 
-def build_snapshot(fold: ConfigurationStateMachine, wall: float) -> Snapshot:
-    """Return the state of a fold as a record.
+def build_snapshot(state_machine: ConfigurationStateMachine, wall: float) -> Snapshot:
+    """Return the state of a state machine as a snapshot record.
 
-    `through` claims only what this host is sure of: beyond a gap, or past a winner
-    of a newer schema, that is the version in force.
+    `through` covers only records that this host has applied: after a gap, or after a
+    confirm of a newer schema, only those up to the version in force.
     """
-    sure = fold.contiguous and fold.head == fold.version
+    confirmed = state_machine.contiguous and state_machine.head == state_machine.version
     return Snapshot(
-        id=f"snapshot-{fold.version}",
-        version=fold.version,
-        through=fold.through if sure else fold.version,
+        id=f"snapshot-{state_machine.version}",
+        version=state_machine.version,
+        through=state_machine.through if confirmed else state_machine.version,
         at=wall,
-        configuration=fold.configuration,
-        history=fold.history[-HISTORY_IN_SNAPSHOT:],
+        configuration=state_machine.configuration,
+        history=state_machine.history[-MAX_SNAPSHOT_HISTORY:],
     )
 
 
-def state_in(passed: RecordsPassed) -> Snapshot | None:
-    """Return the state that a peer passed on in place of records.
+def extract_state(passed: RecordsPassed) -> Snapshot | None:
+    """Return the state that a peer sent instead of records, if it sent one.
 
-    A snapshot of the log stands after all that it covers; only a state made up for
-    a peer covers its own offset.
+    A snapshot from the log has a higher offset than all records that it covers; only
+    a state built for a peer covers its own offset.
     """
     if not passed.records or not _is_snapshot(passed.records[0].body):
         return None
@@ -61,44 +64,44 @@
 
 
 class Tail:
-    """Hold records without a gap after the offset `after`, bounded."""
+    """Bounded, gapless sequence of the most recent records."""
 
     def __init__(self) -> None:
-        self._after = NOTHING
+        self._after = NO_VERSION
         self._records: deque[LogRecord] = deque()
         self._bytes = 0
 
     def extend(self, records: Iterable[LogRecord]) -> None:
         """Add records that follow without a gap.
 
-        Snapshots are left out: who lacks nothing else doesn't need them, and one
-        would push hundreds of changes out.
+        Snapshots are left out: a peer that has all other records doesn't need them,
+        and one snapshot would evict hundreds of changes.
         """
         for record in records:
             if _is_snapshot(record.body):
                 continue
             self._records.append(record)
             self._bytes += len(record.body)
-        while len(self._records) > RECORDS_KEPT or self._bytes > BYTES_KEPT:
-            dropped = self._records.popleft()
-            self._after = dropped.offset
-            self._bytes -= len(dropped.body)
+        while len(self._records) > MAX_RECORDS or self._bytes > MAX_BYTES:
+            evicted = self._records.popleft()
+            self._after = evicted.offset
+            self._bytes -= len(evicted.body)
 
-    def restart(self, after: int) -> None:
-        """Forget all records, because others are missing before the next."""
+    def reset(self, after: int) -> None:
+        """Remove all records: the next one won't directly follow them."""
         self._records.clear()
         self._bytes = 0
         self._after = after
 
-    def answer(
-        self, after: int, fold: ConfigurationStateMachine, wall: float
+    def records_after(
+        self, after: int, state_machine: ConfigurationStateMachine, wall: float
     ) -> RecordsPassed:
-        """Return what follows an offset, or a snapshot if that is not kept."""
+        """Return the records after an offset, or a snapshot if some aren't kept."""
         if after >= self._after:
             return RecordsPassed(self._batch(after), after)
-        if fold.version == NOTHING:
+        if state_machine.version == NO_VERSION:
             return RecordsPassed((), after)
-        snapshot = build_snapshot(fold, wall)
+        snapshot = build_snapshot(state_machine, wall)
         record = LogRecord(snapshot.through, encode_record(snapshot))
         return RecordsPassed((record,), snapshot.through - 1)
 
@@ -109,7 +112,7 @@
             if record.offset <= after:
                 continue
             size += len(record.body)
-            if batch and (size > BYTES_PASSED or len(batch) == RECORDS_PASSED):
+            if batch and (size > MAX_BATCH_BYTES or len(batch) == MAX_BATCH_RECORDS):
                 break
             batch.append(record)
         return tuple(batch)
--- a/jackdawspur/configuration/_text.py
+++ b/jackdawspur/configuration/_text.py
@@ -1,4 +1,4 @@
-"""Write replies for people to read; JSON is the data classes' own form."""
+"""Formats replies to operators as text; JSON is encoded from the data classes."""
 
 from datetime import UTC, datetime
 from functools import singledispatch
@@ -17,7 +17,7 @@
 
 
 def format_operator_reply(reply: OperatorReply) -> str:
-    """Return a reply as the lines that the command line prints."""
+    """Return a reply as the text that the command line prints."""
     lines = [f"{reply.status.value} {reply.code}: {reply.message}"]
     lines += _lines(reply.body)
     if reply.page:
@@ -100,9 +100,9 @@
         f"log {status.log}; ready {status.readiness.ready}: {status.readiness.message}",
     ]
     if not status.contiguous:
-        lines.append("! records are missing until a snapshot comes")
+        lines.append("! records are missing until the next snapshot")
     if status.head != status.version:
-        lines.append(f"! version {status.head} won, not in force here")
+        lines.append(f"! version {status.head} won, but is not in force here")
     lines += [
         f"zone {report.zone}: version {report.version}" for report in status.zones
     ]
--- a/jackdawspur/configuration/_views.py
+++ b/jackdawspur/configuration/_views.py
@@ -1,6 +1,6 @@
-"""Work out what operators are shown from the state of one host."""
+"""Builds the replies to operators from the state of one host."""
 
-from jackdawspur.configuration._budget import AppendPurpose
+from jackdawspur.configuration._append_rate_limiter import AppendPurpose
 from jackdawspur.configuration._diff import summarize
 from jackdawspur.configuration._operations import (
     AppendCount,
@@ -19,23 +19,23 @@
 CHANGES_IN_STATUS = 10
 
 
-def obstacle(keeper: ConfigurationReplica) -> str:
-    """Return why this host can't plan or confirm now; empty if it can."""
-    fold = keeper.state_machine
-    if not fold.contiguous:
-        return "records are missing here until a snapshot comes; ask another host"
-    if fold.head != fold.version:
-        return "a newer schema version is in force; ask a host with a newer program"
-    if not keeper.caught_up:
-        return "this host hasn't read the log to its end; ask another"
+def obstacle(replica: ConfigurationReplica) -> str:
+    """Return why this host can't plan or confirm now, or an empty text if it can."""
+    state_machine = replica.state_machine
+    if not state_machine.contiguous:
+        return "records are missing here until the next snapshot; use another host"
+    if state_machine.head != state_machine.version:
+        return "a newer schema version is in force; use a host with a newer program"
+    if not replica.caught_up:
+        return "this host hasn't read the log to its end; use another host"
     return ""
 
 
-def change_status(keeper: ConfigurationReplica, entry: HistoryEntry) -> ChangeStatus:
-    """Return how far a confirmed change is."""
-    hosts = keeper.state_machine.configuration.entry_hosts
+def change_status(replica: ConfigurationReplica, entry: HistoryEntry) -> ChangeStatus:
+    """Return the progress of a confirmed change."""
+    hosts = replica.state_machine.configuration.entry_hosts
     zones = {host.zone for host in hosts}
-    in_force = keeper.zones.in_force(entry.version) & zones
+    in_force = replica.zones.in_force(entry.version) & zones
     state = ChangeState.IN_FORCE if in_force else ChangeState.CONFIRMED
     if zones and in_force == zones:
         state = ChangeState.ACCEPTED
@@ -52,10 +52,10 @@
     )
 
 
-def _plan_status(keeper: ConfigurationReplica, proposal: Proposal) -> ChangeStatus:
-    fold = keeper.state_machine
-    current = proposal.base == fold.head
-    base = fold.configuration if current else None
+def _plan_status(replica: ConfigurationReplica, proposal: Proposal) -> ChangeStatus:
+    state_machine = replica.state_machine
+    current = proposal.base == state_machine.head
+    base = state_machine.configuration if current else None
     return ChangeStatus(
         plan=proposal.plan,
         state=ChangeState.PLANNED if current else ChangeState.VOID,
@@ -69,39 +69,40 @@
     )
 
 
-def conflict(keeper: ConfigurationReplica, base: int) -> Conflict:
-    """Return what won against a plan with an older base."""
-    since = keeper.state_machine.changes_since(base)
-    # Exactly one change can have been built on the base: that one won.
-    won = next((e.version for e in since if e.base == base), keeper.state_machine.head)
-    return Conflict(base, won, tuple(change_status(keeper, e) for e in since))
+def conflict(replica: ConfigurationReplica, base: int) -> Conflict:
+    """Return the version that won against a plan with an older base."""
+    since = replica.state_machine.changes_since(base)
+    # Only one change can be based on `base`: it won.
+    won = next((e.version for e in since if e.base == base), replica.state_machine.head)
+    return Conflict(base, won, tuple(change_status(replica, e) for e in since))
 
 
-def history(keeper: ConfigurationReplica, refused: tuple[AuditEntry, ...]) -> History:
-    """Return plans, changes in force, confirms that lost and refused requests."""
-    fold = keeper.state_machine
-    changes = tuple(change_status(keeper, entry) for entry in fold.history)
-    plans = tuple(_plan_status(keeper, proposal) for proposal in fold.plans)
-    return History(plans, changes, fold.voids, refused)
+def history(replica: ConfigurationReplica, refused: tuple[AuditEntry, ...]) -> History:
+    """Return plans, changes in force, void confirms and refused requests."""
+    state_machine = replica.state_machine
+    changes = tuple(change_status(replica, entry) for entry in state_machine.history)
+    plans = tuple(_plan_status(replica, proposal) for proposal in state_machine.plans)
+    return History(plans, changes, state_machine.voids, refused)
 
 
-def status(keeper: ConfigurationReplica, refusals: int) -> OperatorStatus:
-    """Return the configuration as this host sees it."""
-    fold, budget = keeper.state_machine, keeper.budget
-    recent = fold.history[-CHANGES_IN_STATUS:]
+def status(replica: ConfigurationReplica, refusals: int) -> OperatorStatus:
+    """Return the state of the configuration on this host."""
+    state_machine, rate_limiter = replica.state_machine, replica.rate_limiter
+    recent = state_machine.history[-CHANGES_IN_STATUS:]
     return OperatorStatus(
-        version=keeper.version,
-        head=fold.head,
-        through=fold.through,
-        contiguous=fold.contiguous,
-        readiness=keeper.readiness,
-        log=keeper.log_health,
-        zones=keeper.zones.known,
-        changes=tuple(change_status(keeper, entry) for entry in recent),
-        skipped=fold.skipped,
-        delays=keeper.zones.delays,
+        version=replica.version,
+        head=state_machine.head,
+        through=state_machine.through,
+        contiguous=state_machine.contiguous,
+        readiness=replica.readiness,
+        log=replica.log_health,
+        zones=replica.zones.known,
+        changes=tuple(change_status(replica, entry) for entry in recent),
+        skipped=state_machine.skipped,
+        delays=replica.zones.delays,
         appends=tuple(
-            AppendCount(p, budget.made[p], budget.refused[p]) for p in AppendPurpose
+            AppendCount(p, rate_limiter.made[p], rate_limiter.refused[p])
+            for p in AppendPurpose
         ),
         refusals=refusals,
     )
--- a/jackdawspur/configuration/_zones.py
+++ b/jackdawspur/configuration/_zones.py
@@ -1,4 +1,4 @@
-"""Know which zones have which version in force."""
+"""Tracks which version each zone has in force."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -9,12 +9,12 @@
 
 __all__ = ["ZoneDelay", "ZoneInForce", "ZoneReports"]
 
-VERSIONS_TIMED = 64
+MAX_TIMED_VERSIONS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneInForce:
-    """Tell the newest version that a zone reported in force."""
+    """Newest version that a zone reported in force."""
 
     zone: str
     version: int
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDelay:
-    """Tell how long after this host's own reading a zone had a version in force."""
+    """Delay of a zone in having a version in force, counted from this host."""
 
     zone: str
     version: int
@@ -30,33 +30,33 @@
 
 
 class ZoneReports:
-    """Merge the heartbeats' reports; a zone's version only grows.
+    """Merge the zone versions in heartbeats; a zone's version never decreases.
 
-    A zone reports a version once every ready live host of it has that version. A
-    zone that doesn't reach this host keeps its last report: it lacks the newer ones.
+    A zone reports a version once all of its live and ready hosts have it in force. A
+    zone without contact to this host keeps its last report: it lacks newer versions.
     """
 
     def __init__(self, host: HostId) -> None:
         self._host = host
         self._versions: dict[str, int] = {}
-        # None for a sibling that was heard but takes no new jobs.
-        self._siblings: dict[HostId, int | None] = {}
-        self._read_at: OrderedDict[int, float] = OrderedDict()
+        # None for a peer in this zone that sends heartbeats but accepts no new jobs.
+        self._zone_peers: dict[HostId, int | None] = {}
+        self._in_force_since: OrderedDict[int, float] = OrderedDict()
         self._delays: dict[int, dict[str, float]] = {}
 
     @property
     def reports(self) -> tuple[ZoneStatus, ...]:
-        """Return what this host's next heartbeat says of all zones."""
+        """Return the versions of all zones for this host's next heartbeat."""
         return tuple(ZoneStatus(z, v) for z, v in sorted(self._versions.items()))
 
     @property
     def known(self) -> tuple[ZoneInForce, ...]:
-        """Return the newest version of each zone for people."""
+        """Return the newest version of each zone for operators."""
         return tuple(ZoneInForce(z, v) for z, v in sorted(self._versions.items()))
 
     @property
     def delays(self) -> tuple[ZoneDelay, ...]:
-        """Return the measured delays of the newest versions."""
+        """Return the measured delays of the most recent versions."""
         return tuple(
             ZoneDelay(zone, version, seconds)
             for version, zones in self._delays.items()
@@ -64,44 +64,49 @@
         )
 
     def in_force(self, version: int) -> frozenset[str]:
-        """Return the zones that reported a version or a newer one."""
+        """Return the zones that reported this version or a newer one in force."""
         return frozenset(z for z, known in self._versions.items() if known >= version)
 
-    def note_version(self, version: int, now: float) -> None:
-        """Start the clock of a version that came into force on this host."""
-        self._read_at.setdefault(version, now)
+    def record_version(self, version: int, now: float) -> None:
+        """Record that a version came into force here; zone delays start from now."""
+        self._in_force_since.setdefault(version, now)
         self._delays.setdefault(version, {})
-        if len(self._read_at) > VERSIONS_TIMED:
-            oldest, _ = self._read_at.popitem(last=False)
+        if len(self._in_force_since) > MAX_TIMED_VERSIONS:
+            oldest, _ = self._in_force_since.popitem(last=False)
             del self._delays[oldest]
 
-    def note_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take a peer's own version and what it heard of other zones."""
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        """Record a peer's version and its reports of other zones."""
         if heartbeat.host.zone == self._host.zone:
             serving = heartbeat.ready and not heartbeat.draining
             version = heartbeat.version if serving else None
-            self._siblings[heartbeat.host] = version
+            self._zone_peers[heartbeat.host] = version
         for report in heartbeat.zones:
-            # Only hosts of a zone can tell for all of them; for its own zone a host
-            # takes no one else's word.
+            # Only the hosts of a zone know the versions of all of its hosts, so this
+            # host ignores reports about its own zone.
             if report.zone != self._host.zone:
-                self._raise(report.zone, report.version, now)
+                self._advance(report.zone, report.version, now)
 
-    def settle(self, live: Iterable[HostId], own: int | None, now: float) -> None:
-        """Work out this zone's version from its live hosts; `own` None if unready."""
+    def update_own_zone(
+        self, live: Iterable[HostId], own: int | None, now: float
+    ) -> None:
+        """Update this zone's version from its live hosts.
+
+        `own` is this host's version, None if it isn't ready.
+        """
         alive = {host for host in live if host.zone == self._host.zone}
-        self._siblings = {h: v for h, v in self._siblings.items() if h in alive}
-        if alive - self._siblings.keys():
-            # A sibling that others hear may serve an older version than this host's.
+        self._zone_peers = {h: v for h, v in self._zone_peers.items() if h in alive}
+        if alive - self._zone_peers.keys():
+            # A live peer whose version is unknown may have an older one than this host.
             return
-        versions = [v for v in (*self._siblings.values(), own) if v is not None]
+        versions = [v for v in (*self._zone_peers.values(), own) if v is not None]
         if versions:
-            self._raise(self._host.zone, min(versions), now)
+            self._advance(self._host.zone, min(versions), now)
 
-    def _raise(self, zone: str, version: int, now: float) -> None:
+    def _advance(self, zone: str, version: int, now: float) -> None:
         if version <= self._versions.get(zone, -1):
             return
         self._versions[zone] = version
-        for known, started in self._read_at.items():
+        for known, started in self._in_force_since.items():
             if known <= version:
                 self._delays[known].setdefault(zone, now - started)
--- a/jackdawspur/configuration/slopes.py
+++ b/jackdawspur/configuration/slopes.py
@@ -1,4 +1,4 @@
-"""Measure memory and time of the folded configuration: ``python -m`` this module."""
+"""Measures memory and CPU time of the configuration; run with ``python -m``."""
 
 import gc
 import random
@@ -9,9 +9,12 @@
 from collections.abc import Callable
 from dataclasses import astuple, dataclass, replace
 
-from jackdawspur.configuration._budget import AppendRateLimiter, appends_a_day
+from jackdawspur.configuration._append_rate_limiter import (
+    AppendRateLimiter,
+    appends_per_day,
+)
 from jackdawspur.configuration._changes import PutCustomer, PutUpstream
-from jackdawspur.configuration._cluster_spec import token_hash, world_of
+from jackdawspur.configuration._cluster_spec import build_cluster_spec, token_hash
 from jackdawspur.configuration._document import (
     Configuration,
     CustomerEntry,
@@ -34,9 +37,9 @@
 __all__ = ["SizeCost", "configuration_of_size", "main", "measure_size"]
 
 REPEATS = 5
-CHANGES = 200
-NOT_STATE = (type, types.ModuleType, types.FunctionType, random.Random)
-CHANGES_A_DAY = 4200
+CHANGE_COUNT = 200
+NON_STATE_TYPES = (type, types.ModuleType, types.FunctionType, random.Random)
+CHANGES_PER_DAY = 4200
 SNAPSHOT_VERSION = 0
 SNAPSHOT_OFFSET = 1
 FULL_SIZE = (140, 3900, 18)
@@ -44,7 +47,7 @@
 
 
 def configuration_of_size(customers: int, upstreams: int, zones: int) -> Configuration:
-    """Return a made-up valid document with six entry hosts a zone."""
+    """Return a generated valid document with six entry hosts per zone."""
     names = [f"zone-{index}" for index in range(zones)]
     return Configuration(
         customers=tuple(_customer(index) for index in range(customers)),
@@ -94,7 +97,7 @@
 def _confirms(document: Configuration) -> list[LogRecord]:
     base = SNAPSHOT_VERSION
     records = []
-    for index in range(CHANGES):
+    for index in range(CHANGE_COUNT):
         customer = replace(document.customers[index % len(document.customers)])
         upstream = document.upstreams[index % len(document.upstreams)]
         change = PutCustomer(entry=replace(customer, quota_slots=100 + index))
@@ -125,68 +128,68 @@
 
 
 def _state_mb(root: object) -> float:
-    """Add up all objects that a state refers to, shared ones once."""
+    """Return the total size of all objects reachable from a state, in MB."""
     seen: dict[int, object] = {}
-    waiting = [root]
-    while waiting:
-        found = waiting.pop()
-        if id(found) in seen or isinstance(found, NOT_STATE):
+    stack = [root]
+    while stack:
+        current = stack.pop()
+        if id(current) in seen or isinstance(current, NON_STATE_TYPES):
             continue
-        seen[id(found)] = found
-        waiting += gc.get_referents(found)
+        seen[id(current)] = current
+        stack += gc.get_referents(current)
     return sum(map(sys.getsizeof, seen.values())) / 1e6
 
 
-def _newest(records: list[LogRecord]) -> int:
+def _newest_version(records: list[LogRecord]) -> int:
     return records[-1].offset if len(records) > 1 else SNAPSHOT_VERSION
 
 
-def _folded(records: list[LogRecord]) -> ConfigurationStateMachine:
-    fold = ConfigurationStateMachine()
-    fold.skip_to(records[0].offset)
-    fold.apply_records(records)
-    if fold.version != _newest(records):
-        raise RuntimeError("the changes were not taken")
-    return fold
+def _replay(records: list[LogRecord]) -> ConfigurationStateMachine:
+    state_machine = ConfigurationStateMachine()
+    state_machine.skip_to(records[0].offset)
+    state_machine.apply_records(records)
+    if state_machine.version != _newest_version(records):
+        raise RuntimeError("the changes were not applied")
+    return state_machine
 
 
 def _cold_start(records: list[LogRecord]) -> ConfigurationReplica:
-    keeper = ConfigurationReplica(
+    replica = ConfigurationReplica(
         HostId("zone-0", "e0", 1), random.Random(1), AppendRateLimiter(108, 0), 0.0
     )
-    keeper.handle(0.0, LogStartAdvanced(SNAPSHOT_OFFSET))
+    replica.handle(0.0, LogStartAdvanced(SNAPSHOT_OFFSET))
     for start in range(0, len(records), 50):
-        keeper.handle(0.0, LogRecordsRead(tuple(records[start : start + 50])))
-    keeper.handle(0.0, LogRecordsRead(()))
-    if keeper.version != _newest(records):
+        replica.handle(0.0, LogRecordsRead(tuple(records[start : start + 50])))
+    replica.handle(0.0, LogRecordsRead(()))
+    if replica.version != _newest_version(records):
         raise RuntimeError("the host did not become ready")
-    return keeper
+    return replica
 
 
-def _one_change_ms(whole: list[LogRecord]) -> float:
-    keeper = _cold_start(whole[:1])
+def _one_change_ms(records: list[LogRecord]) -> float:
+    replica = _cold_start(records[:1])
     times = []
-    for record in whole[1:]:
+    for record in records[1:]:
         started = time.process_time()
-        keeper.handle(0.0, LogRecordsRead((record,)))
+        replica.handle(0.0, LogRecordsRead((record,)))
         times.append((time.process_time() - started) * 1000)
     return statistics.median(times)
 
 
-def _mark_ms(whole: list[LogRecord], body: str) -> float:
-    keeper = _cold_start(whole)
-    after = whole[-1].offset + 1
+def _snapshot_while_ready_ms(records: list[LogRecord], body: str) -> float:
+    replica = _cold_start(records)
+    after = records[-1].offset + 1
     offsets = iter(range(after, after + REPEATS))
     return _median_ms(
-        lambda: keeper.handle(0.0, LogRecordsRead((LogRecord(next(offsets), body),)))
+        lambda: replica.handle(0.0, LogRecordsRead((LogRecord(next(offsets), body),)))
     )
 
 
 @dataclass(frozen=True, slots=True)
 class SizeCost:
-    """Report one size; processor times in milliseconds, sizes in KB and MB.
+    """Costs of a configuration of one size: CPU times in ms, sizes in KB and MB.
 
-    What each is measured on is said at `main`.
+    `main` describes what each time measures.
     """
 
     customers: int
@@ -205,28 +208,28 @@
 
 
 def measure_size(customers: int, upstreams: int, zones: int) -> SizeCost:
-    """Measure a made-up configuration of one size."""
+    """Measure a generated configuration of one size."""
     document = configuration_of_size(customers, upstreams, zones)
     source = ConfigurationStateMachine()
     source.configuration = document
     source.version = source.head = source.through = SNAPSHOT_VERSION
     body = encode_record(build_snapshot(source, 0.0))
     snapshot = LogRecord(SNAPSHOT_OFFSET, body)
-    whole = [snapshot, *_confirms(document)]
+    records = [snapshot, *_confirms(document)]
     return SizeCost(
         customers,
         upstreams,
         zones,
         len(body) / 1e3,
         _median_ms(lambda: encode_record(build_snapshot(source, 0.0))),
-        _median_ms(lambda: _folded([snapshot])),
-        _mark_ms(whole, body),
-        _median_ms(lambda: _folded(whole)) / CHANGES,
-        _median_ms(lambda: world_of(document, 0)),
-        _one_change_ms(whole),
-        _median_ms(lambda: _cold_start(whole)),
-        _state_mb(_folded(whole)),
-        _state_mb(_cold_start(whole)),
+        _median_ms(lambda: _replay([snapshot])),
+        _snapshot_while_ready_ms(records, body),
+        _median_ms(lambda: _replay(records)) / CHANGE_COUNT,
+        _median_ms(lambda: build_cluster_spec(document, 0)),
+        _one_change_ms(records),
+        _median_ms(lambda: _cold_start(records)),
+        _state_mb(_replay(records)),
+        _state_mb(_cold_start(records)),
     )
 
 
@@ -237,22 +240,23 @@
 
 
 def main() -> None:
-    """Print one line a size; times are CPU time.
+    """Print a line for each size; times are CPU time.
 
-    `write`: encode a snapshot. `snap`: fold one from nothing. `mark`: meet one while
-    ready. `fold`: fold one confirm, the mean of 200 after a snapshot and with their
-    share of it. `world`: build a world from nothing. `change`: a ready keeper takes
-    one change, median. `start`: a snapshot and 200 changes to ready.
+    `write`: encode a snapshot. `snap`: apply a snapshot to an empty state machine.
+    `mark`: a ready replica reads a snapshot. `fold`: apply one confirm, the mean of
+    200 that follow a snapshot, with their share of its cost. `world`: build a cluster
+    spec from scratch. `change`: a ready replica applies one change, median. `start`:
+    from a cold start with a snapshot and 200 changes until ready.
     """
     policies = Policies()
-    day = appends_a_day(
-        CHANGES_A_DAY, policies.snapshot_after_changes, policies.snapshot_interval_s
+    day = appends_per_day(
+        CHANGES_PER_DAY, policies.snapshot_after_changes, policies.snapshot_interval_s
     )
     lines = [
         "customers upstreams zones   snap KB  write ms   snap ms   mark ms   fold ms"
         "  world ms change ms  start ms   fold MB keeper MB",
         *(_line(measure_size(*size)) for size in SIZES),
-        f"appends a day at {CHANGES_A_DAY} changes: {day}",
+        f"appends a day at {CHANGES_PER_DAY} changes: {day}",
     ]
     sys.stdout.write("\n".join(lines) + "\n")
 
--- a/jackdawspur/configuration/tests/conftest.py
+++ b/jackdawspur/configuration/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A log in memory and hosts that share it in virtual time."""
+"""An in-memory log and hosts that share it, in virtual time."""
 
 import json
 import random
@@ -51,7 +51,7 @@
 
 @dataclass
 class MemoryLog:
-    """Keep records in memory; `trim` forgets the oldest."""
+    """Log that keeps its records in memory; `trim` removes the oldest."""
 
     records: list[LogRecord] = field(default_factory=list)
     next_offset: int = 0
@@ -73,12 +73,12 @@
 
 
 class Host:
-    """Run one keeper and its desk."""
+    """One host with its configuration replica and operator API."""
 
     def __init__(self, cluster, identity):
         self.id = identity
         rng = random.Random(str(identity))
-        self.keeper = ConfigurationReplica(
+        self.replica = ConfigurationReplica(
             identity, rng, AppendRateLimiter(6, cluster.now), cluster.now
         )
         self.bootstrap = OperatorEntry(
@@ -86,25 +86,25 @@
             token_sha256=(token_hash(BOOTSTRAP),),
             rights=(Right.VIEW, Right.PLAN, Right.CONFIRM),
         )
-        self.desk = OperatorApi(self.keeper, [self.bootstrap])
+        self.operator_api = OperatorApi(self.replica, [self.bootstrap])
         self.activated = []
 
 
 class Cluster:
-    """Step hosts through virtual time; faults are plain attributes."""
+    """Hosts that run in virtual time; tests inject faults by setting attributes."""
 
     def __init__(self, names, seed=1):
         self.now = 0.0
         self.log = MemoryLog()
         self.log_up = True
-        self.no_log = set()
-        self.cut = set()
+        self.zones_without_log = set()
+        self.partitioned = set()
         self.lose_replies = 0.0
         self.replies = {}
         self.audited = []
         self.incarnation = 0
         self.rng = random.Random(seed)
-        self._todo = []
+        self._queue = []
         self._calls = 0
         self.hosts = {}
         for name in names:
@@ -112,21 +112,21 @@
 
     def start(self, name):
         self.incarnation += 1
-        zone, short = name.split(".")
-        host = Host(self, HostId(zone, short, self.incarnation))
+        zone, host_name = name.split(".")
+        host = Host(self, HostId(zone, host_name, self.incarnation))
         self.hosts[name] = host
         return host
 
     def ask(self, name, kind, token, *args):
-        """Send a request to a host's desk; return the number of the call."""
+        """Send a request to a host; return the number of the call."""
         self._calls += 1
         host = self.hosts[name]
         request = kind(self._calls, token, *args, WALL + self.now)
-        self._run(host, host.desk.handle(self.now, request))
+        self._execute_all(host, host.operator_api.handle(self.now, request))
         return self._calls
 
     def answered(self, name, kind, token, *args, within=8.0):
-        """Send a request, run until its reply and return that."""
+        """Send a request, run until its reply and return the reply."""
         call = self.ask(name, kind, token, *args)
         end = self.now + within
         while call not in self.replies and self.now < end:
@@ -134,7 +134,7 @@
         return self.replies[call]
 
     def change(self, name, token, intent):
-        """Plan and confirm; return the reply to the confirm."""
+        """Plan and confirm an intent; return the reply to the confirm."""
         plan = self.answered(name, PlanAsked, token, json.dumps(intent)).body
         return self.answered(name, ConfirmAsked, token, plan.id)
 
@@ -142,77 +142,81 @@
         end = self.now + seconds - 1e-9
         while self.now < end:
             self.now += STEP_S
-            todo, self._todo = self._todo, []
-            for host, event in todo:
-                self._feed(host, event)
+            queued, self._queue = self._queue, []
+            for host, event in queued:
+                self._handle(host, event)
             if round(self.now / STEP_S) % round(HEARTBEAT_S / STEP_S) == 0:
-                self._beat()
-            for host in self._running():
-                self._feed(host, ReplicaTick(WALL + self.now))
+                self._send_heartbeats()
+            for host in self._running_hosts():
+                self._handle(host, ReplicaTick(WALL + self.now))
 
     def versions(self):
-        return {name: host.keeper.version for name, host in self.hosts.items()}
+        return {name: host.replica.version for name, host in self.hosts.items()}
 
-    def _running(self):
+    def _running_hosts(self):
         return list(self.hosts.values())
 
-    def _linked(self, a, b):
-        return a is not b and frozenset((a.id.zone, b.id.zone)) not in self.cut
+    def _connected(self, a, b):
+        return a is not b and frozenset((a.id.zone, b.id.zone)) not in self.partitioned
 
-    def _beat(self):
-        for host in self._running():
-            peers = [peer for peer in self._running() if self._linked(host, peer)]
-            self._feed(host, LivePeersChanged(tuple(peer.id for peer in peers)))
+    def _send_heartbeats(self):
+        for host in self._running_hosts():
+            peers = [
+                peer for peer in self._running_hosts() if self._connected(host, peer)
+            ]
+            self._handle(host, LivePeersChanged(tuple(peer.id for peer in peers)))
             for peer in peers:
-                keeper = peer.keeper
-                ready = keeper.readiness.ready
+                replica = peer.replica
+                ready = replica.readiness.ready
                 heartbeat = Heartbeat(
-                    peer.id, 0, ready, False, keeper.version, 0, 0, 0.0,
-                    zones=keeper.zones.reports,
+                    peer.id, 0, ready, False, replica.version, 0, 0, 0.0,
+                    zones=replica.zones.reports,
                 )  # fmt: skip
-                self._feed(host, HeartbeatReceived(heartbeat))
+                self._handle(host, HeartbeatReceived(heartbeat))
 
-    def _feed(self, host, event):
+    def _handle(self, host, event):
         if host not in self.hosts.values():
             return
-        self._run(host, host.keeper.handle(self.now, event))
+        self._execute_all(host, host.replica.handle(self.now, event))
         if isinstance(event, AppendCompleted):
-            self._run(host, host.desk.on_append_completed(self.now, event))
-        self._run(host, host.desk.resolve_pending(self.now))
+            self._execute_all(
+                host, host.operator_api.on_append_completed(self.now, event)
+            )
+        self._execute_all(host, host.operator_api.resolve_pending(self.now))
 
-    def _run(self, host, effects):
+    def _execute_all(self, host, effects):
         for effect in effects:
-            self._do(host, effect)
+            self._execute(host, effect)
 
-    def _do(self, host, effect):
-        log_up = self.log_up and host.id.zone not in self.no_log
+    def _execute(self, host, effect):
+        log_up = self.log_up and host.id.zone not in self.zones_without_log
         match effect:
             case ReadLog(offset=offset):
                 read = self.log.read(offset) if log_up else LogReadFailed("down")
-                self._todo.append((host, read))
-            case AppendRecord(record_id=record, body=body):
-                ended = AppendCompleted(record, None, maybe_sent=False)
+                self._queue.append((host, read))
+            case AppendRecord(record_id=record_id, body=body):
+                completed = AppendCompleted(record_id, None, maybe_sent=False)
                 if log_up:
                     offset = self.log.append(body)
                     lost = self.rng.random() < self.lose_replies
-                    ended = AppendCompleted(record, None if lost else offset)
-                self._todo.append((host, ended))
+                    completed = AppendCompleted(record_id, None if lost else offset)
+                self._queue.append((host, completed))
             case RequestRecords(to=to, wanted=wanted):
-                self._pass(host, to, RecordsRequested(host.id, wanted))
+                self._deliver(host, to, RecordsRequested(host.id, wanted))
             case SendRecords(to=to, passed=passed):
-                self._pass(host, to, RecordsReceived(host.id, passed))
-            case ActivateConfiguration(cluster_spec=world):
-                host.activated.append(world.version)
+                self._deliver(host, to, RecordsReceived(host.id, passed))
+            case ActivateConfiguration(cluster_spec=cluster_spec):
+                host.activated.append(cluster_spec.version)
             case OperatorReply(call=call):
                 assert call not in self.replies, "answered twice"
                 self.replies[call] = effect
             case WriteAuditEntry(entry=entry):
                 self.audited.append(entry)
 
-    def _pass(self, host, to, event):
-        for peer in self._running():
-            if peer.id == to and self._linked(host, peer):
-                self._todo.append((peer, event))
+    def _deliver(self, host, to, event):
+        for peer in self._running_hosts():
+            if peer.id == to and self._connected(host, peer):
+                self._queue.append((peer, event))
 
 
 @pytest.fixture
@@ -234,7 +238,7 @@
 
 
 def intent_of(changes, reason, **more):
-    """Return an intent in the form of JSON."""
+    """Return an intent as decoded JSON."""
     intent = Intent(reason=reason, changes=tuple(changes), **more)
     return json.loads(TypeAdapter(Intent).dump_json(intent))
 
--- a/jackdawspur/configuration/tests/test_checks.py
+++ b/jackdawspur/configuration/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Every fault of a document or intent comes back at once, with its path."""
+"""All errors of a document or intent are reported at once, with their paths."""
 
 import json
 from dataclasses import fields, replace
@@ -11,15 +11,15 @@
     OperatorReplyCode,
     ReadinessReason,
     apply_changes,
+    build_cluster_spec,
     changes_between,
     customer_of,
     find_job_class,
     load_configuration,
     load_intent,
     operator_of,
-    world_of,
 )
-from jackdawspur.configuration._cluster_spec import rebuilt_world
+from jackdawspur.configuration._cluster_spec import update_cluster_spec
 from jackdawspur.configuration.tests.conftest import EXAMPLES, intent_of
 from jackdawspur.model import UpstreamId
 
@@ -29,23 +29,23 @@
 @pytest.mark.parametrize("name", ZONES)
 def test_examples_are_valid(name):
     document = load_configuration((EXAMPLES / f"{name}.json").read_bytes())
-    world = world_of(document, 7)
+    cluster_spec = build_cluster_spec(document, 7)
     per_zone = [
-        sum(u.id.zone == z.name for u in world.upstreams) for z in document.zones
+        sum(u.id.zone == z.name for u in cluster_spec.upstreams) for z in document.zones
     ]
     assert per_zone == ZONES[name]
-    assert len(world.entry_hosts) == 6 and world.version == 7
-    assert world.upstreams[0].id == UpstreamId(document.zones[0].name, "w1")
+    assert len(cluster_spec.entry_hosts) == 6 and cluster_spec.version == 7
+    assert cluster_spec.upstreams[0].id == UpstreamId(document.zones[0].name, "w1")
 
 
-def test_rebuilt_world_equals_a_fresh_one(document):
+def test_updated_cluster_spec_equals_a_new_one(document):
     upstreams = [replace(document.upstreams[3], slots=2), *document.upstreams[5:]]
     after = replace(document, upstreams=tuple(upstreams))
-    rebuilt = rebuilt_world(document, world_of(document, 1), after, 2)
-    assert rebuilt == world_of(after, 2)
+    updated = update_cluster_spec(document, build_cluster_spec(document, 1), after, 2)
+    assert updated == build_cluster_spec(after, 2)
 
 
-def test_tokens_name_their_owners(document):
+def test_token_identifies_its_owner(document):
     customer = customer_of(document, "example-roster-token")
     assert not find_job_class(customer, "dispatch-reassign").idempotent
     assert find_job_class(customer, "unheard-of") is None
@@ -53,13 +53,13 @@
     assert operator_of(document, "example-roster-token") is None
 
 
-def faults(load, raw, *more):
+def error_paths(load, raw, *more):
     with pytest.raises(InvalidConfiguration) as caught:
         load(json.dumps(raw), *more)
     return {error.path for error in caught.value.errors}
 
 
-def test_all_faults_of_a_document_at_once():
+def test_all_errors_of_a_document_are_reported():
     raw = json.loads((EXAMPLES / "ramdenee.json").read_bytes())
     raw["colour"] = "blue"
     raw["customers"][0]["quota_slots"] = 0
@@ -70,7 +70,7 @@
     raw["upstreams"][1]["zone"] = "nowhere"
     raw["upstreams"][3]["address"] = raw["upstreams"][2]["address"]
     raw["upstreams"][5] = raw["upstreams"][4]
-    assert faults(load_configuration, raw) == {
+    assert error_paths(load_configuration, raw) == {
         "colour",
         "customers[0].quota_slots",
         "customers[0].contract.max_wait",
@@ -85,12 +85,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", '"x"', "null"])
-def test_text_that_is_no_document(text):
+def test_text_that_is_no_document_is_rejected(text):
     with pytest.raises(InvalidConfiguration):
         load_configuration(text)
 
 
-def test_all_faults_of_an_intent_at_once(document):
+def test_all_errors_of_an_intent_are_reported(document):
     zone = {"op": "remove", "section": "zones", "name": "north-b"}
     operators = [
         {"op": "remove", "section": "operators", "name": n} for n in ("ann", "ben")
@@ -105,13 +105,13 @@
             {"op": "erase"},
         ],
     }
-    found = faults(load_intent, raw, document)
+    found = error_paths(load_intent, raw, document)
     assert {"reason", "changes[3].entry.address", "changes[4]", "operators"} <= found
     assert {f"entry_hosts[north-b.e{i}].zone" for i in (1, 2)} <= found
     assert {f"upstreams[north-b.w{i}].zone" for i in range(1, 9)} <= found
 
 
-def test_impossible_changes_are_named(document):
+def test_inapplicable_changes_are_reported(document):
     raw = {
         "reason": "r",
         "changes": [
@@ -120,23 +120,23 @@
             {"op": "remove", "section": "customers", "name": "reporting"},
         ],
     }
-    assert faults(load_intent, raw, document) == {"changes[0]", "changes[2]"}
+    assert error_paths(load_intent, raw, document) == {"changes[0]", "changes[2]"}
 
 
-def test_difference_leads_from_one_document_to_the_other(document):
+def test_changes_between_documents_turn_one_into_the_other(document):
     other = load_configuration((EXAMPLES / "derinsu.json").read_bytes())
     after, errors = apply_changes(document, changes_between(document, other))
     assert not errors and not changes_between(after, other)
     assert not changes_between(document, document)
 
 
-def test_intent_survives_its_json_form(document):
+def test_intent_round_trips_through_json(document):
     changes = changes_between(Configuration(), document)
     intent = load_intent(json.dumps(intent_of(changes, "all")), Configuration())
     assert intent.changes == changes
 
 
-def test_page_names_every_field(document):
+def test_documentation_names_every_field(document):
     page = (EXAMPLES.parent / "docs" / "configuration.md").read_text()
     kinds = [document, document.policies, document.customers[0].contract]
     kinds += [getattr(document, s.name)[0] for s in fields(document)[1:6]]
--- a/jackdawspur/configuration/tests/test_everywhere.py
+++ b/jackdawspur/configuration/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""Versions come into force everywhere, in one order, and never go back."""
+"""Versions come into force on all hosts, in the same order, and never go back."""
 
 import json
 import random
@@ -31,11 +31,12 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_race_of_eight_operators_gives_one_order(cluster, document, seed):
+def test_concurrent_confirms_of_eight_operators_give_one_order(cluster, document, seed):
     """Eight operators plan on the same version and confirm at once.
 
-    Half of all append replies are lost, so hosts append confirms again. Exactly one
-    operator may be told that its change won, and all hosts fold the same order.
+    Half of the replies to appends are lost, so hosts append confirms again. Exactly
+    one operator may get the reply that its change won, and all hosts must apply the
+    same order.
     """
     names = list(cluster.hosts)
     plans = []
@@ -54,44 +55,44 @@
     assert {reply.body.won for reply in lost} == {won[0].body.version}
     assert len(lost) == 7
     assert set(cluster.versions().values()) == {won[0].body.version}
-    assert_all_folds_agree(cluster)
+    assert_all_state_machines_agree(cluster)
 
 
-def assert_all_folds_agree(cluster):
+def assert_all_state_machines_agree(cluster):
     fresh = ConfigurationStateMachine()
     fresh.apply_records(cluster.log.records)
     for host in cluster.hosts.values():
-        fold = host.keeper.state_machine
-        assert fold.history == fresh.history
-        assert fold.voids == fresh.voids
-        assert fold.configuration == fresh.configuration
+        state_machine = host.replica.state_machine
+        assert state_machine.history == fresh.history
+        assert state_machine.voids == fresh.voids
+        assert state_machine.configuration == fresh.configuration
         assert host.activated == sorted(set(host.activated))
 
 
-def test_zone_cut_from_the_log_gets_versions_from_others(cluster, document):
-    """A zone loses the platform but not the other zones.
+def test_zone_without_the_log_gets_versions_from_other_zones(cluster, document):
+    """A zone loses its connection to the log but not to the other zones.
 
-    Its hosts' reads fail while an operator confirms elsewhere. They hear of the
-    version in heartbeats and ask for the records, within 2 s.
+    Its hosts' reads fail while an operator confirms in another zone. They learn of
+    the version from heartbeats and request the records, within 2 s.
     """
-    cluster.no_log.add("north-c")
+    cluster.zones_without_log.add("north-c")
     version = cluster.change(FIRST, ANN, quota_intent(document, 100)).body.version
     confirmed = cluster.now
     while set(cluster.versions().values()) != {version}:
         cluster.run(0.05)
         assert cluster.now - confirmed < 2.0
-    assert cluster.hosts["north-c.e1"].keeper.log_health is LogHealth.DOWN
+    assert cluster.hosts["north-c.e1"].replica.log_health is LogHealth.DOWN
 
 
-def test_zone_cut_from_all_is_named_and_catches_up(cluster, document):
-    """A zone loses the platform and all other zones, then comes back.
+def test_partitioned_zone_is_reported_and_catches_up(cluster, document):
+    """A zone is partitioned from the log and all other zones, then reconnected.
 
-    Meanwhile the change is in force in the others but not accepted; the zone keeps
-    serving the version it has.
+    Meanwhile a change is in force in the other zones but not accepted, and the zone
+    keeps serving the version that it has.
     """
-    old = cluster.hosts["north-c.e1"].keeper.version
-    cluster.no_log.add("north-c")
-    cluster.cut = {
+    old = cluster.hosts["north-c.e1"].replica.version
+    cluster.zones_without_log.add("north-c")
+    cluster.partitioned = {
         frozenset(("north-a", "north-c")),
         frozenset(("north-b", "north-c")),
     }
@@ -100,20 +101,20 @@
     change = cluster.answered(FIRST, ConfirmAsked, ANN, plan).body
     assert change.state is ChangeState.IN_FORCE
     assert change.lacking == ("north-c",)
-    assert cluster.hosts["north-c.e1"].keeper.version == old
-    assert cluster.hosts["north-c.e1"].keeper.readiness.ready
-    cluster.no_log.clear()
-    cluster.cut.clear()
+    assert cluster.hosts["north-c.e1"].replica.version == old
+    assert cluster.hosts["north-c.e1"].replica.readiness.ready
+    cluster.zones_without_log.clear()
+    cluster.partitioned.clear()
     cluster.run(6.0)
     change = cluster.answered(FIRST, ConfirmAsked, ANN, plan).body
     assert change.state is ChangeState.ACCEPTED
 
 
 def test_restart_of_every_host_with_the_log_down(cluster, document):
-    """All hosts are replaced one after another during an outage of the log.
+    """All hosts are restarted one after another during an outage of the log.
 
-    Each new host takes the newest version from a peer; none goes back, and after
-    the outage all still have the version that was confirmed before it.
+    Each new host gets the newest version from a peer; none goes back. After the
+    outage all hosts still have the version that was confirmed before it.
     """
     version = cluster.change(FIRST, ANN, quota_intent(document, 100)).body.version
     cluster.run(1.0)
@@ -131,46 +132,50 @@
 def test_cold_start_alone_without_the_log_is_not_ready(cluster):
     """A host starts while the log is down and no peer answers.
 
-    It has no configuration to serve, says so in readiness, and becomes ready when
-    the log comes back.
+    It has no configuration to serve, reports that as the reason of its readiness,
+    and becomes ready when the log is available again.
     """
     cluster.log_up = False
     for name in list(cluster.hosts):
         del cluster.hosts[name]
     host = cluster.start(FIRST)
     cluster.run(20.0)
-    assert host.keeper.readiness.reason is ReadinessReason.LOG_UNREACHABLE
-    assert not host.keeper.readiness.ready
+    assert host.replica.readiness.reason is ReadinessReason.LOG_UNREACHABLE
+    assert not host.replica.readiness.ready
     cluster.log_up = True
     cluster.run(6.0)
-    assert host.keeper.readiness.ready
+    assert host.replica.readiness.ready
 
 
 def test_cold_start_with_a_log_that_never_answers_asks_peers(cluster):
     """The log accepts a new host's read but doesn't answer.
 
-    The host waits a second, takes the records from a peer and is ready within 2 s.
+    The host waits one second, requests the records from a peer and is ready within
+    2 s.
     """
     host = cluster.start("north-b.e1")
     cluster.run(0.05)
-    cluster._todo.clear()
+    cluster._queue.clear()
     cluster.run(1.95)
-    assert host.keeper.log_health is LogHealth.SLOW
-    assert host.keeper.readiness.ready
-    assert set(cluster.versions().values()) == {host.keeper.version}
+    assert host.replica.log_health is LogHealth.SLOW
+    assert host.replica.readiness.ready
+    assert set(cluster.versions().values()) == {host.replica.version}
 
 
 def test_cold_start_waits_for_the_newest_reachable_version(cluster, document):
     """A host starts while the log is down; one of its peers lags.
 
     It must not serve the lagging peer's version and then a newer one: it waits
-    until it has the newest version that it hears of.
+    until it has the newest version reported in heartbeats.
     """
-    cluster.no_log.add("north-c")
-    cluster.cut = {frozenset(("north-a", "north-c")), frozenset(("north-b", "north-c"))}
+    cluster.zones_without_log.add("north-c")
+    cluster.partitioned = {
+        frozenset(("north-a", "north-c")),
+        frozenset(("north-b", "north-c")),
+    }
     version = cluster.change(FIRST, ANN, quota_intent(document, 100)).body.version
     cluster.log_up = False
-    cluster.cut.clear()
+    cluster.partitioned.clear()
     host = cluster.start("north-b.e1")
     cluster.run(3.0)
     assert host.activated == [version]
@@ -179,8 +184,8 @@
 def test_trimmed_log_without_a_snapshot(cluster):
     """The log was trimmed past the first record and holds no snapshot.
 
-    A host that starts alone isn't ready and names the cause; with a peer that
-    still has the state it becomes ready.
+    A host that starts alone isn't ready and reports the cause. It becomes ready with
+    a peer that still has the state.
     """
     names = list(cluster.hosts)
     kept = cluster.hosts[names[1]]
@@ -189,38 +194,38 @@
     cluster.hosts = {}
     host = cluster.start(FIRST)
     cluster.run(6.0)
-    assert host.keeper.readiness.reason is ReadinessReason.LOG_TRIMMED
+    assert host.replica.readiness.reason is ReadinessReason.LOG_TRIMMED
     cluster.hosts[names[1]] = kept
     cluster.run(3.0)
-    assert host.keeper.version == kept.keeper.version
-    assert host.keeper.state_machine.contiguous
+    assert host.replica.version == kept.replica.version
+    assert host.replica.state_machine.contiguous
 
 
-def test_snapshots_carry_the_state_over_trimming(cluster, document):
-    """Changes go on while the log keeps only its newest records.
+def test_snapshots_preserve_the_state_when_the_log_is_trimmed(cluster, document):
+    """Changes continue while the log keeps only its newest records.
 
-    One host writes each snapshot, another takes over if that one can't, and a
-    restarted host folds from the snapshot to the same state.
+    One host writes each snapshot, and another one does if that host can't. A restarted
+    host gets the same state from the snapshot.
     """
     cluster.run(40.0)
     taken = [r for r in cluster.log.records if '"kind":"snapshot"' in r.body]
     assert len(taken) == 1
-    cluster.no_log.add("north-a")
+    cluster.zones_without_log.add("north-a")
     version = cluster.change("north-b.e1", ANN, quota_intent(document, 90)).body.version
     cluster.now += 3600.0
     cluster.run(40.0)
     assert cluster.log.records[-1].body.startswith('{"kind":"snapshot"')
-    cluster.no_log.clear()
+    cluster.zones_without_log.clear()
     cluster.log.trim(cluster.log.next_offset - 1)
     cluster.hosts = {}
     fresh = cluster.start(FIRST)
     cluster.run(1.0)
     assert fresh.activated == [version]
-    assert fresh.keeper.state_machine.history[-1].reason == "more work"
+    assert fresh.replica.state_machine.history[-1].reason == "more work"
 
 
-def test_first_host_without_a_configuration_says_so():
+def test_first_host_without_a_configuration_reports_the_reason():
     cluster = Cluster([FIRST])
     cluster.run(1.0)
-    readiness = cluster.hosts[FIRST].keeper.readiness
+    readiness = cluster.hosts[FIRST].replica.readiness
     assert readiness.reason is ReadinessReason.NO_CONFIGURATION
--- a/jackdawspur/configuration/tests/test_desk.py
+++ b/jackdawspur/configuration/tests/test_operator_api.py
@@ -1,4 +1,4 @@
-"""Operators get an honest answer, whatever happens to the log."""
+"""Replies to operators are correct, whatever happens to the log."""
 
 import json
 
@@ -28,7 +28,7 @@
 
 
 def test_whole_session(cluster, document, snapshot):
-    """Two operators plan on one version; one wins, the other plans again."""
+    """Two operators plan on the same version; one wins, the other gets a conflict."""
     texts = []
 
     def note(reply):
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     ("token", "status"), [("", 401), ("example-roster-token", 401), (VIEWER, 403)]
 )
-def test_wrong_token_is_shown_nothing(cluster, kind, token, status):
+def test_wrong_token_gets_no_data(cluster, kind, token, status):
     records = len(cluster.log.records)
     reply = cluster.answered(FIRST, kind, token, "{}")
     assert reply.status == status
@@ -64,8 +64,8 @@
 def test_audit_of_refusals_stays_bounded(cluster):
     for _ in range(1000):
         cluster.ask(FIRST, StatusAsked, "guess")
-    desk = cluster.hosts[FIRST].desk
-    assert desk.refusals == 1000 and len(desk.audit) == 256
+    operator_api = cluster.hosts[FIRST].operator_api
+    assert operator_api.refusals == 1000 and len(operator_api.audit) == 256
 
 
 def test_bootstrap_token_ends_with_the_first_configuration(cluster):
@@ -73,7 +73,7 @@
     assert reply.code is OperatorReplyCode.UNAUTHORIZED
 
 
-def test_mass_removal_needs_an_explicit_word(cluster, document):
+def test_mass_removal_must_be_allowed_explicitly(cluster, document):
     removes = [
         {"op": "remove", "section": "upstreams", "zone": "north-a", "name": f"w{i}"}
         for i in range(1, 6)
@@ -91,17 +91,17 @@
 
 
 def test_plan_is_confirmed_at_another_host_at_once(cluster, document):
-    """The balancer takes the confirm to a host that hasn't read the plan yet."""
+    """The load balancer sends the confirm to a host that hasn't read the plan yet."""
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
-    assert cluster.hosts[LAST].keeper.state_machine.plan(planned.body.id) is None
+    assert cluster.hosts[LAST].replica.state_machine.plan(planned.body.id) is None
     reply = cluster.answered(LAST, ConfirmAsked, ANN, planned.body.id)
     assert reply.code is OperatorReplyCode.OK
     unknown = cluster.answered(LAST, ConfirmAsked, ANN, "0123456789abcdef")
     assert unknown.code is OperatorReplyCode.NOT_FOUND
 
 
-def test_unreachable_zones_stand_in_the_plan(cluster, document):
-    cluster.hosts[FIRST].desk.set_unreachable_zones(["north-c", "elsewhere"])
+def test_plan_lists_unreachable_zones(cluster, document):
+    cluster.hosts[FIRST].operator_api.set_unreachable_zones(["north-c", "elsewhere"])
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
     assert planned.body.unreachable_zones == ("north-c",)
 
@@ -109,18 +109,18 @@
 def test_lost_reply_is_resolved_by_the_log(cluster, document):
     """Every reply of the log is lost while an operator plans and confirms.
 
-    Each append took effect. The records show up in the log, so the operator still
-    gets a definite answer, and the change is made once.
+    Each append took effect. The records appear in the log, so the operator still
+    gets a definite reply, and the change is made once.
     """
     cluster.lose_replies = 1.0
     reply = cluster.change(FIRST, ANN, quota_intent(document, 100))
     assert reply.code is OperatorReplyCode.OK
     cluster.run(2.0)
-    history = cluster.hosts[LAST].keeper.state_machine.history
+    history = cluster.hosts[LAST].replica.state_machine.history
     assert [entry.reason for entry in history] == ["first", "more work"]
 
 
-def test_log_down_before_anything_left_changes_nothing(cluster, document):
+def test_confirm_that_never_reaches_the_log_changes_nothing(cluster, document):
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
     cluster.log_up = False
     reply = cluster.answered(FIRST, ConfirmAsked, ANN, planned.body.id)
@@ -130,22 +130,25 @@
     assert cluster.answered(FIRST, ConfirmAsked, ANN, planned.body.id).status == 200
 
 
-def test_unknown_outcome_is_never_called_unchanged(cluster, document):
-    """A confirm's reply is lost, and the repeat can't reach the log at all.
+def test_unknown_outcome_is_reported_as_unknown(cluster, document):
+    """The reply to a confirm's append is lost, and the retry can't reach the log.
 
-    The first may stand: the operator must hear "unknown", not "nothing changed".
+    The first append may have taken effect, so the reply to the operator must be
+    "outcome unknown", not "nothing changed".
     """
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
     cluster.run(1.0)
-    desk = cluster.hosts[FIRST].desk
+    operator_api = cluster.hosts[FIRST].operator_api
     now = cluster.now
     request = ConfirmAsked(999, ANN, planned.body.id, WALL)
-    [append] = desk.handle(now, request)
-    assert not desk.on_append_completed(now, AppendCompleted(append.record_id, None))
-    [again] = desk.resolve_pending(now + 0.6)
+    [append] = operator_api.handle(now, request)
+    assert not operator_api.on_append_completed(
+        now, AppendCompleted(append.record_id, None)
+    )
+    [again] = operator_api.resolve_pending(now + 0.6)
     assert again == append
-    assert not desk.on_append_completed(
+    assert not operator_api.on_append_completed(
         now + 0.7, AppendCompleted(append.record_id, None, False)
     )
-    _, reply = desk.resolve_pending(now + 6.0)
+    _, reply = operator_api.resolve_pending(now + 6.0)
     assert reply.code is OperatorReplyCode.OUTCOME_UNKNOWN
--- a/jackdawspur/configuration/tests/test_fold.py
+++ b/jackdawspur/configuration/tests/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The fold gives one state on every host, whatever stands in the log."""
+"""The state machine gives every host the same state, whatever the log contains."""
 
 import json
 from dataclasses import replace
@@ -46,27 +46,27 @@
     return [LogRecord(first + i, body) for i, body in enumerate(bodies)]
 
 
-def folded(records):
-    fold = ConfigurationStateMachine()
-    fold.apply_records(records)
-    return fold
+def replay(records):
+    state_machine = ConfigurationStateMachine()
+    state_machine.apply_records(records)
+    return state_machine
 
 
-def zones(fold):
-    return [zone.name for zone in fold.configuration.zones]
+def zones(state_machine):
+    return [zone.name for zone in state_machine.configuration.zones]
 
 
-def test_repeat_after_a_lost_reply_is_folded_once():
+def test_repeat_after_a_lost_reply_is_applied_once():
     """A host appends a confirm, loses the reply and appends it again later.
 
-    In between another operator's confirm won on top. The repeat is neither a second
-    change nor a conflict.
+    Meanwhile a confirm of another operator, based on the first, has won. The repeat is
+    neither a second change nor a conflict.
     """
     first = confirm("a", -1, "one")
-    fold = folded(log_of(first, confirm("b", 0, "two"), first, first))
-    assert [e.plan for e in fold.history] == ["a", "b"]
-    assert fold.version == 1
-    assert not fold.voids
+    state_machine = replay(log_of(first, confirm("b", 0, "two"), first, first))
+    assert [e.plan for e in state_machine.history] == ["a", "b"]
+    assert state_machine.version == 1
+    assert not state_machine.voids
 
 
 def newer(base, plan="n"):
@@ -91,36 +91,37 @@
         ),
     ],
 )
-def test_foreign_records_change_nothing_and_are_reported(body, reason):
-    """Somebody writes into the stream what this program can't fold.
+def test_invalid_records_are_skipped_and_reported(body, reason):
+    """The stream contains a record that this program can't apply.
 
-    The last good version serves, changes after it go on, the operators are told.
+    The last valid version stays in force, later changes are applied, and the record is
+    reported to the operators.
     """
-    fold = folded(log_of(confirm("a", -1), body, confirm("b", 0, "two")))
-    assert zones(fold) == ["z", "two"]
-    assert [(s.offset, s.reason) for s in fold.skipped] == [(1, reason)]
+    state_machine = replay(log_of(confirm("a", -1), body, confirm("b", 0, "two")))
+    assert zones(state_machine) == ["z", "two"]
+    assert [(s.offset, s.reason) for s in state_machine.skipped] == [(1, reason)]
 
 
-def test_newer_winner_is_followed_but_not_applied():
+def test_confirm_of_a_newer_schema_advances_only_the_head():
     """Half of the hosts run a newer program, and a change of its schema wins.
 
-    An older host can't apply it. If it went on judging by its own version, it would
-    let a later confirm win that is void on the newer hosts.
+    An older host can't apply it. If it decided on later confirms by its own version,
+    it would accept one that is void on the newer hosts.
     """
     records = log_of(confirm("a", -1), newer(0), confirm("b", 0, "b"), confirm("c", 1))
-    fold = folded(records)
-    assert fold.version == 0 and fold.head == 3
-    assert [void.plan for void in fold.voids] == ["b"]
+    state_machine = replay(records)
+    assert state_machine.version == 0 and state_machine.head == 3
+    assert [void.plan for void in state_machine.voids] == ["b"]
     state = Configuration(
         operators=(OPERATOR,), zones=(ZoneEntry(name="q", region="r"),)
     )
     snapshot = Snapshot(id="s", version=3, through=3, at=0.0, configuration=state)
-    fold.apply_records(log_of(snapshot, first=4))
-    assert fold.version == 3 and zones(fold) == ["q"]
+    state_machine.apply_records(log_of(snapshot, first=4))
+    assert state_machine.version == 3 and zones(state_machine) == ["q"]
 
 
 def test_change_that_breaks_references_is_void_everywhere():
-    """A confirm reaches the log that no planner checked: it empties the operators."""
+    """An unchecked confirm in the log removes the only operator."""
     bad = replace(confirm("b", 0), changes=confirm("x", -1).changes[:1])
     lockout = (
         encode_record(bad)
@@ -129,58 +130,71 @@
             '"entry":{"name":"z","region":"r"}', '"section":"operators","name":"ann"'
         )
     )
-    fold = folded(log_of(confirm("a", -1), lockout))
-    assert fold.version == 0
-    assert fold.skipped[0].reason is SkipReason.INVALID
+    state_machine = replay(log_of(confirm("a", -1), lockout))
+    assert state_machine.version == 0
+    assert state_machine.skipped[0].reason is SkipReason.INVALID
 
 
-def test_old_snapshots_never_take_a_version_back():
-    """A host that lagged writes a snapshot of an old version at the log's end."""
+def test_old_snapshots_never_set_the_version_back():
+    """A lagging host appends a snapshot of an old version."""
     records = log_of(confirm("a", -1, "one"), confirm("b", 0, "two"))
-    old = build_snapshot(folded(records[:1]), wall=0.0)
-    fold = folded(records)
-    fold.apply_records(log_of(old, first=2))
-    assert fold.version == 1 and zones(fold) == ["one", "two"]
+    old = build_snapshot(replay(records[:1]), wall=0.0)
+    state_machine = replay(records)
+    state_machine.apply_records(log_of(old, first=2))
+    assert state_machine.version == 1 and zones(state_machine) == ["one", "two"]
 
 
-def test_gap_is_judged_only_after_a_snapshot_that_covers_it():
-    """The log is trimmed while a snapshot of a lagging writer stands in it.
+def test_no_confirm_is_decided_until_a_snapshot_covers_the_gap():
+    """The log is trimmed and still holds a snapshot of a lagging writer.
 
-    That snapshot doesn't know of the trimmed confirm at offset 1: judging by it
-    would void the confirm at 3, which won on all other hosts.
+    The snapshot lacks the trimmed confirm at offset 1. Deciding by this snapshot would
+    void the confirm at offset 3, which won on all other hosts.
     """
     whole = log_of(confirm("a", -1, "one"), confirm("b", 0, "two"))
-    lagging = build_snapshot(folded(whole[:1]), wall=0.0)
+    lagging = build_snapshot(replay(whole[:1]), wall=0.0)
     kept = log_of(lagging, confirm("c", 1, "three"), first=2)
-    fold = ConfigurationStateMachine()
-    fold.skip_to(2)
-    fold.apply_records(kept)
-    assert fold.version == 0 and not fold.contiguous and not fold.voids
-    covering = build_snapshot(folded(whole), wall=0.0)
-    fold.apply_records(log_of(covering, first=4))
-    assert fold.contiguous
-    assert fold.version == 3 and zones(fold) == ["one", "two", "three"]
+    state_machine = ConfigurationStateMachine()
+    state_machine.skip_to(2)
+    state_machine.apply_records(kept)
+    assert (
+        state_machine.version == 0
+        and not state_machine.contiguous
+        and not state_machine.voids
+    )
+    covering = build_snapshot(replay(whole), wall=0.0)
+    state_machine.apply_records(log_of(covering, first=4))
+    assert state_machine.contiguous
+    assert state_machine.version == 3 and zones(state_machine) == [
+        "one",
+        "two",
+        "three",
+    ]
 
 
-def test_state_of_a_peer_never_hides_a_record_or_goes_back():
-    """A peer passes its whole state on while this host reads the log itself.
+def test_state_of_a_peer_never_hides_a_record_or_sets_the_version_back():
+    """A peer sends its full state while this host reads the log itself.
 
-    The state arrives when this host has read up to the record before the state's
-    last. Taken for a record, it would stand in the place of that confirm.
+    The state arrives when this host has read all records that it covers but the last.
+    Handled as a record, it would replace the confirm at that offset.
     """
     records = log_of(*(confirm(str(i), i - 1, f"z{i}") for i in range(6)))
-    fold = folded(records[:3])
-    assert not fold.take_state(build_snapshot(folded(records[:2]), wall=0.0))
-    assert fold.version == 2 and fold.through == 2
-    assert fold.take_state(build_snapshot(folded(records[:4]), wall=0.0))
-    assert fold.version == 3 and fold.contiguous
-    fold.apply_records(records)
-    assert fold.version == 5 and fold.configuration == folded(records).configuration
+    state_machine = replay(records[:3])
+    assert not state_machine.install_state(
+        build_snapshot(replay(records[:2]), wall=0.0)
+    )
+    assert state_machine.version == 2 and state_machine.through == 2
+    assert state_machine.install_state(build_snapshot(replay(records[:4]), wall=0.0))
+    assert state_machine.version == 3 and state_machine.contiguous
+    state_machine.apply_records(records)
+    assert (
+        state_machine.version == 5
+        and state_machine.configuration == replay(records).configuration
+    )
 
 
 @st.composite
 def histories(draw):
-    """Draw a log of racing confirms, repeats, plans, rubbish and snapshots."""
+    """Generate a log of competing and repeated confirms, invalid records, snapshots."""
     records = []
     for index in range(draw(st.integers(3, 25))):
         kind = draw(st.sampled_from(["confirm", "repeat", "snapshot", "bad", "newer"]))
@@ -190,14 +204,14 @@
         elif kind == "snapshot":
             until = draw(st.integers(0, index))
             records.append(
-                encode_record(build_snapshot(folded(log_of(*records[:until])), 0))
+                encode_record(build_snapshot(replay(log_of(*records[:until])), 0))
             )
         elif kind == "bad":
             records.append("rubbish")
         elif kind == "newer":
             records.append(newer(draw(bases), f"n{index}"))
         else:
-            base = folded(log_of(*records)).head if draw(st.booleans()) else draw(bases)
+            base = replay(log_of(*records)).head if draw(st.booleans()) else draw(bases)
             records.append(encode_record(confirm(f"p{index}", base, f"z{index}")))
     return records
 
@@ -205,10 +219,11 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(histories(), *[st.integers(0, 25)] * 4)
 def test_late_readers_end_at_the_same_version(bodies, trimmed, cut, asked, lag):
-    """One host reads every record as it comes; another reads a trimmed log.
+    """One host reads every record at once; another starts late with a trimmed log.
 
-    Once, the late one gets the state of a peer, which may lag. It may stay behind,
-    but where it judges at all it judges alike; no step takes either of them back.
+    The late host receives the state of a peer once; the peer may lag. The late host
+    may stay behind, but whenever it decides on confirms, it decides like the first.
+    The version never decreases on either host.
     """
     records = log_of(*bodies)
     whole = ConfigurationStateMachine()
@@ -220,9 +235,9 @@
         if index >= cut:
             late.apply_records(records[: index + 1])
         if index == asked:
-            peer = folded(records[: max(0, index + 1 - lag)])
+            peer = replay(records[: max(0, index + 1 - lag)])
             if peer.version >= 0:
-                late.take_state(build_snapshot(peer, wall=0.0))
+                late.install_state(build_snapshot(peer, wall=0.0))
         assert whole.version >= before[0] and late.version >= before[1]
         caught_up = late.through == whole.through
         if caught_up and late.contiguous and late.head == late.version:
--- a/jackdawspur/entry/_claims.py
+++ b/jackdawspur/entry/_claims.py
@@ -54,12 +54,12 @@
     def __init__(
         self,
         platform_log: Log,
-        budget: AppendRateLimiter,
+        rate_limiter: AppendRateLimiter,
         timer_queue: TimerQueue,
         post: Callable[[Event], None],
     ) -> None:
         self._log = platform_log
-        self._budget = budget
+        self._rate_limiter = rate_limiter
         self._timer_queue = timer_queue
         self._post = post
         self._waiting: list[Claim] = []
@@ -79,7 +79,9 @@
     def _pump(self) -> None:
         if self._appending or not self._waiting:
             return
-        if not self._budget.try_acquire(AppendPurpose.CLAIM, self._timer_queue.now):
+        if not self._rate_limiter.try_acquire(
+            AppendPurpose.CLAIM, self._timer_queue.now
+        ):
             self._timer_queue.call_later(BUDGET_RETRY_S, self._pump)
             return
         batch, self._waiting = self._waiting, []
--- a/jackdawspur/entry/_host.py
+++ b/jackdawspur/entry/_host.py
@@ -123,9 +123,9 @@
     def _open_platform(
         self, settings: EntrySettings, rng: random.Random, now: float
     ) -> None:
-        budget = AppendRateLimiter(len(settings.siblings) + 1, now)
-        self._budget = budget
-        self._keeper = ConfigurationReplica(self._own, rng, budget, now)
+        rate_limiter = AppendRateLimiter(len(settings.siblings) + 1, now)
+        self._rate_limiter = rate_limiter
+        self._keeper = ConfigurationReplica(self._own, rng, rate_limiter, now)
         desk = OperatorApi(self._keeper, _bootstrap(settings))
         self._desk = desk
         self._configuration = ConfigurationDriver(
@@ -137,7 +137,9 @@
             self._reply_operator,
         )
         claims_log = self._open_log(settings.log)
-        self._claims = ClaimDriver(claims_log, budget, self._timer_queue, self.post)
+        self._claims = ClaimDriver(
+            claims_log, rate_limiter, self._timer_queue, self.post
+        )
         self._upstreams = UpstreamDriver(
             self._own,
             self,
@@ -263,7 +265,7 @@
 
     def _activate(self, effect: ActivateConfiguration) -> None:
         world = effect.cluster_spec
-        self._budget.set_host_count(max(1, len(world.entry_hosts)))
+        self._rate_limiter.set_host_count(max(1, len(world.entry_hosts)))
         self._routes.set_configuration(effect.configuration)
         self._links.set_peers(world.entry_hosts or _siblings(self._settings))
         self._upstreams.set_upstreams(world.upstreams)
