--- a/jackdawspur/configuration/_checks.py
+++ b/jackdawspur/configuration/_checks.py
@@ -120,7 +120,7 @@
     hosts = document.entry_hosts
     addresses = [upstream.address for upstream in document.upstreams]
     addresses += [host.http for host in hosts] + [host.link for host in hosts]
-    # Called for every change of the log, so paths are computed only for errors.
+    # Called for each change from the log, so paths are computed only for errors.
     if len(set(addresses)) == len(addresses):
         return
     owners: dict[str, str] = {}
--- a/jackdawspur/configuration/_readiness.py
+++ b/jackdawspur/configuration/_readiness.py
@@ -33,11 +33,11 @@
     ReadinessReason.READY: "a configuration is in force",
     ReadinessReason.READING_LOG: "reading the log",
     ReadinessReason.ASKING_PEERS: "the log does not answer; waiting for peers",
-    ReadinessReason.BEHIND_PEERS: "a peer has a newer version than read so far",
-    ReadinessReason.LOG_UNREACHABLE: "the log does not answer and no peer does",
+    ReadinessReason.BEHIND_PEERS: "a peer has a newer version than this host has read",
+    ReadinessReason.LOG_UNREACHABLE: "the log does not answer, and no peer answers",
     ReadinessReason.LOG_TRIMMED: "the log was trimmed and holds no snapshot",
     ReadinessReason.NEWER_SCHEMA: "the log holds only a newer schema version",
-    ReadinessReason.NO_CONFIGURATION: "no configuration was ever confirmed",
+    ReadinessReason.NO_CONFIGURATION: "no configuration has been confirmed yet",
     ReadinessReason.DRAINING: "this host is shutting down",
 }
 
--- a/jackdawspur/configuration/_replica.py
+++ b/jackdawspur/configuration/_replica.py
@@ -345,8 +345,8 @@
 
     @property
     def _known_version(self) -> int:
-        # The head includes a version that this program can't decode: no peer is asked
-        # for it.
+        # The head may be a version that this program can't decode; requesting its
+        # records from a peer is useless.
         return max(self.state_machine.version, self.state_machine.head)
 
     def _snapshot(self, now: float) -> list[ReplicaEffect]:
--- a/jackdawspur/configuration/_replica_events.py
+++ b/jackdawspur/configuration/_replica_events.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogStartAdvanced:
-    """A read failed because the log was trimmed and now starts at `first`."""
+    """A read found that the log was trimmed and now starts at `first`."""
 
     first: int
 
--- a/jackdawspur/configuration/_snapshots.py
+++ b/jackdawspur/configuration/_snapshots.py
@@ -1,4 +1,4 @@
-"""Schedule which host writes a snapshot, and when."""
+"""Decides which host writes a snapshot, and when."""
 
 from collections.abc import Iterable
 
@@ -45,7 +45,7 @@
             self._due_since = now
         names = sorted({(host.zone, host.name) for host in (*live, self._host)})
         # The first host waits too: when hosts start together, none has received a
-        # heartbeat yet, and each would take itself for the first.
+        # heartbeat yet, and each would consider itself the first.
         rank = 1 + names.index((self._host.zone, self._host.name))
         delay = rank * TURN_S
         if now < max(self._due_since + delay, self._not_before):
--- a/jackdawspur/configuration/_state_machine.py
+++ b/jackdawspur/configuration/_state_machine.py
@@ -1,4 +1,4 @@
-"""Apply the records of the log, in log order, to the configuration in force."""
+"""Replicated state machine that applies the records of the log in order."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable
@@ -29,12 +29,12 @@
 MAX_PLANS = 128
 # Bounds the memory of unconfirmed plans; one change takes about 1 KB.
 MAX_PLANNED_CHANGES = 8_000
-# Confirms buffered after a gap until a snapshot; one arrives long before this many.
+# Records buffered after a gap; a snapshot arrives long before this many.
 MAX_BUFFERED_RECORDS = 2_000
 
 
 class ConfigurationStateMachine:
-    """Replicated state machine: the same log prefix gives the same state on every host.
+    """State of the configuration after a log prefix; the same on every host.
 
     `version` is in force here. `head` is the last confirm that won; it is ahead of
     `version` only while that confirm has a schema that this program can't decode.
@@ -51,6 +51,7 @@
         self.contiguous = True
         self.snapshot_at = 0.0
         self._snapshot_version = NO_VERSION
+        # First offset after the gap, used only while not contiguous.
         self._gap_end = NO_VERSION
         self._history: OrderedDict[str, HistoryEntry] = OrderedDict()
         self._plans: OrderedDict[str, Proposal] = OrderedDict()
--- a/jackdawspur/configuration/_zones.py
+++ b/jackdawspur/configuration/_zones.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDelay:
-    """Delay of a zone in having a version in force, counted from this host."""
+    """Delay from a version coming into force on this host until it is in a zone."""
 
     zone: str
     version: int
--- a/jackdawspur/configuration/slopes.py
+++ b/jackdawspur/configuration/slopes.py
@@ -256,7 +256,7 @@
         "customers upstreams zones   snap KB  write ms   snap ms   mark ms   fold ms"
         "  world ms change ms  start ms   fold MB keeper MB",
         *(_line(measure_size(*size)) for size in SIZES),
-        f"appends a day at {CHANGES_PER_DAY} changes: {day}",
+        f"appends per day at {CHANGES_PER_DAY} changes: {day}",
     ]
     sys.stdout.write("\n".join(lines) + "\n")
 
