--- a/jackdawspur/entry/__init__.py
+++ b/jackdawspur/entry/__init__.py
@@ -1,4 +1,4 @@
-"""One entry host as a process: the decisions and their adapters on one loop."""
+"""An entry host as a process: the dispatch core and its adapters on one loop."""
 
 from jackdawspur.entry._host import EntryHostProcess, run_entry
 
--- a/jackdawspur/entry/_host.py
+++ b/jackdawspur/entry/_host.py
@@ -1,4 +1,4 @@
-"""An entry host on one circuits loop."""
+"""The process of an entry host, on one circuits loop."""
 
 import gc
 import logging
@@ -63,9 +63,9 @@
     log_draining,
     log_started,
 )
-from jackdawspur.entry._meter import Meter
 from jackdawspur.entry._routes import Routes
-from jackdawspur.entry._status import HostStatus, status_of
+from jackdawspur.entry._statsd import StatsdReporter
+from jackdawspur.entry._status import HostStatus, build_host_status
 from jackdawspur.entry._upstreams import UpstreamDriver
 from jackdawspur.external import ListedHost
 from jackdawspur.messages import Heartbeat, Message, RecordsPassed, RecordsWanted
@@ -77,60 +77,66 @@
 HOST_LIST_INTERVAL_S = 1.0
 EXIT_GRACE_S = 0.2
 MS_PER_S = 1000.0
-# Objects until a young collection, then how many of each until the next older one.
-COLLECTOR_THRESHOLDS = (10_000, 20, 100)
+# Thresholds of `gc.set_threshold`: objects per collection of the youngest
+# generation, then collections of one generation per collection of the next older one.
+GC_THRESHOLDS = (10_000, 20, 100)
 
 log = logging.getLogger(__name__)
 
 
 class flush(LoopEvent):
-    """Let the decisions handle what came in during this pass of the loop."""
+    """Make the core process the events collected in this pass of the loop."""
 
 
 class EntryHostProcess(Component):
-    """Connect one host's decisions to its sockets."""
+    """Connects the core of one host to its sockets."""
 
     channel = "entry"
 
     def init(self, settings: EntrySettings, poller: EPoll) -> None:
-        """Open the sockets; circuits passes the constructor's arguments."""
+        """Open the sockets; circuits calls it with the arguments of the constructor."""
         self._settings = settings
-        # The start time grows from run to run, so a restarted host is another owner.
+        # The time increases from start to start, so a restarted host is a new owner
+        # of jobs.
         incarnation = int(time() * MS_PER_S)
-        self._own = HostId(settings.zone, settings.name, incarnation)
-        rng = random.Random(str(self._own))
+        self._local_id = HostId(settings.zone, settings.name, incarnation)
+        rng = random.Random(str(self._local_id))
         now = monotonic()
-        self._core = EntryCore(self._own, rng, now, settings.crosses_zones)
+        self._core = EntryCore(self._local_id, rng, now, settings.crosses_zones)
         self._events: list[Event] = []
-        self._flushing = False
+        self._flush_scheduled = False
         self._wake_at: float | None = None
         self._draining = False
         self._exiting = False
-        self._listed: tuple[ListedHost, ...] = ()
-        self._meter = Meter(settings.statsd, str(self._own))
+        self._last_host_list: tuple[ListedHost, ...] = ()
+        self._statsd = StatsdReporter(settings.statsd, str(self._local_id))
         self._timer_queue = TimerQueue().register(self)
         self._routes = Routes(self)
         self._web = WebServer(settings.http, self._routes).register(self)
         self._links = Links(
-            self._own, settings.link, poller, self._on_message, self._meter.sent
+            self._local_id,
+            settings.link,
+            poller,
+            self._on_message,
+            self._statsd.count_sent_bytes,
         ).register(self)
-        self._links.set_peers(_siblings(settings))
-        self._open_platform(settings, rng, now)
-        # Connections need the poller, which is found once the loop runs.
-        self._timer_queue.call_later(0.0, self._begin)
-        log_started(self._own)
+        self._links.set_peers(_configured_peers(settings))
+        self._create_drivers(settings, rng, now)
+        # Connections need the poller, which they find only once the loop runs.
+        self._timer_queue.call_later(0.0, self._on_loop_running)
+        log_started(self._local_id)
 
-    def _open_platform(
+    def _create_drivers(
         self, settings: EntrySettings, rng: random.Random, now: float
     ) -> None:
         rate_limiter = AppendRateLimiter(len(settings.siblings) + 1, now)
         self._rate_limiter = rate_limiter
-        self._keeper = ConfigurationReplica(self._own, rng, rate_limiter, now)
-        desk = OperatorApi(self._keeper, _bootstrap(settings))
-        self._desk = desk
+        self._replica = ConfigurationReplica(self._local_id, rng, rate_limiter, now)
+        operator_api = OperatorApi(self._replica, _bootstrap(settings))
+        self._operator_api = operator_api
         self._configuration = ConfigurationDriver(
-            self._keeper,
-            desk,
+            self._replica,
+            operator_api,
             self._open_log(settings.log),
             self._links.send,
             self._activate,
@@ -141,7 +147,7 @@
             claims_log, rate_limiter, self._timer_queue, self.post
         )
         self._upstreams = UpstreamDriver(
-            self._own,
+            self._local_id,
             self,
             self._timer_queue,
             self.post,
@@ -152,10 +158,10 @@
             client = HttpClient(split_address(settings.host_list), self._timer_queue)
             self._host_list = HttpHostList(client.register(self))
 
-    def _begin(self) -> None:
-        own = EntryHost(self._own.zone, self._own.name, "", "")
-        self.post(BootstrapHostsLoaded((own, *_siblings(self._settings))))
-        self._claims.begin()
+    def _on_loop_running(self) -> None:
+        this_host = EntryHost(self._local_id.zone, self._local_id.name, "", "")
+        self.post(BootstrapHostsLoaded((this_host, *_configured_peers(self._settings))))
+        self._claims.start_reading()
         if self._settings.host_list is not None:
             self._fetch_list()
         self._tick()
@@ -166,44 +172,44 @@
         return HttpLog(appends, reads)
 
     def post(self, event: Event) -> None:
-        """Hand an event to the decisions, with all others of this pass."""
+        """Queue an event for the core, which gets all events of this pass at once."""
         self._events.append(event)
-        self._flush_soon()
+        self._schedule_flush()
 
     def handle_operator_request(self, request: OperatorRequest) -> None:
-        """Hand a request to the operators' desk."""
-        self._configuration.ask(request)
+        """Pass a request to the operator API."""
+        self._configuration.handle_request(request)
 
     def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to an HTTP call."""
         self._web.reply(call_id, reply)
 
     def readiness(self) -> Readiness:
-        """Tell whether new jobs are accepted, and why not."""
+        """Return whether new jobs are accepted, and why not."""
         if self._draining:
             return Readiness(False, ReadinessReason.DRAINING)
-        readiness = self._keeper.readiness
+        readiness = self._replica.readiness
         ready = readiness.ready and self._core.ready
         return Readiness(ready, readiness.reason)
 
     def status(self) -> HostStatus:
-        """Return what operators see of this host."""
-        return status_of(self._core, self._meter.link_bytes, monotonic())
+        """Return the status of this host for operators."""
+        return build_host_status(self._core, self._statsd.link_bytes, monotonic())
 
     @handler("flush")
     def _on_flush(self) -> None:
-        self._flushing = False
+        self._flush_scheduled = False
         events, self._events = self._events, []
-        for effect in self._decide(tuple(events)):
+        for effect in self._run_core(tuple(events)):
             _ACTIONS[type(effect)](self, effect)
-        self._set_wake()
+        self._schedule_wake()
         self._exit_when_drained()
 
-    def _decide(self, events: tuple[Event, ...]) -> list[Effect]:
-        """Return the effects of events; a fault in them ends only their own calls.
+    def _run_core(self, events: tuple[Event, ...]) -> list[Effect]:
+        """Return the effects of events; an exception fails only the calls among them.
 
-        Without this circuits would swallow the exception and the callers whose
-        requests came in the same pass would wait to their time limit.
+        Otherwise circuits would swallow the exception, and the callers whose requests
+        arrived in the same pass would wait until their timeout.
         """
         try:
             return self._core.handle_all(events, monotonic())
@@ -215,8 +221,8 @@
             calls = [event.call for event in events if isinstance(event, Submitted)]
             return [AnswerCall(call, failed) for call in calls]
 
-    def _set_wake(self) -> None:
-        """Wake for the decisions' next timer, if no tick comes before it."""
+    def _schedule_wake(self) -> None:
+        """Schedule a flush for the core's next timer, unless a tick comes first."""
         wake = self._core.next_wake()
         now = monotonic()
         if wake is None or wake > now + TICK_S:
@@ -228,69 +234,73 @@
 
     def _wake(self) -> None:
         self._wake_at = None
-        self._flush_soon()
+        self._schedule_flush()
 
-    def _flush_soon(self) -> None:
-        if not self._flushing:
-            self._flushing = True
+    def _schedule_flush(self) -> None:
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self.fire(flush())
 
     def _tick(self) -> None:
         self.post(Tick())
         self._configuration.tick()
         state = self._core.state
-        self._configuration.tell(LivePeersChanged(state.view.peers()))
-        self._desk.set_unreachable_zones(state.view.unreachable_zones(monotonic()))
-        self._meter.report(self._core)
+        self._configuration.handle_event(LivePeersChanged(state.view.peers()))
+        self._operator_api.set_unreachable_zones(
+            state.view.unreachable_zones(monotonic())
+        )
+        self._statsd.report(self._core)
         self._timer_queue.call_later(TICK_S, self._tick)
 
     def _fetch_list(self) -> None:
-        def fetched(done) -> None:
-            if isinstance(done, Ok) and done.ok_value is not self._listed:
-                self._listed = done.ok_value
-                self.post(HostListUpdated(self._listed))
+        def on_fetched(outcome) -> None:
+            if isinstance(outcome, Ok) and outcome.ok_value is not self._last_host_list:
+                self._last_host_list = outcome.ok_value
+                self.post(HostListUpdated(self._last_host_list))
             self._timer_queue.call_later(HOST_LIST_INTERVAL_S, self._fetch_list)
 
-        self._host_list.fetch(fetched)
+        self._host_list.fetch(on_fetched)
 
     def _on_message(self, sender: HostId, message: Message) -> None:
         if isinstance(message, RecordsWanted):
-            self._configuration.tell(RecordsRequested(sender, message))
+            self._configuration.handle_event(RecordsRequested(sender, message))
         elif isinstance(message, RecordsPassed):
-            self._configuration.tell(RecordsReceived(sender, message))
+            self._configuration.handle_event(RecordsReceived(sender, message))
         else:
             if isinstance(message, Heartbeat):
-                self._configuration.tell(HeartbeatReceived(message))
+                self._configuration.handle_event(HeartbeatReceived(message))
             self.post(PeerMessageReceived(sender, message))
 
     def _activate(self, effect: ActivateConfiguration) -> None:
-        world = effect.cluster_spec
-        self._rate_limiter.set_host_count(max(1, len(world.entry_hosts)))
+        cluster_spec = effect.cluster_spec
+        self._rate_limiter.set_host_count(max(1, len(cluster_spec.entry_hosts)))
         self._routes.set_configuration(effect.configuration)
-        self._links.set_peers(world.entry_hosts or _siblings(self._settings))
-        self._upstreams.set_upstreams(world.upstreams)
-        self.post(ClusterSpecUpdated(world))
+        self._links.set_peers(
+            cluster_spec.entry_hosts or _configured_peers(self._settings)
+        )
+        self._upstreams.set_upstreams(cluster_spec.upstreams)
+        self.post(ClusterSpecUpdated(cluster_spec))
 
     def _reply_operator(self, reply: OperatorReply) -> None:
         self._routes.deliver_operator_reply(reply)
 
-    def _start(self, effect: StartTasks) -> None:
+    def _start_tasks(self, effect: StartTasks) -> None:
         self._upstreams.start(effect)
 
-    def _ask_status(self, effect: QueryTaskStatus) -> None:
+    def _query_task_status(self, effect: QueryTaskStatus) -> None:
         self._upstreams.query_task_status(effect)
 
     def _stop_tasks(self, effect: StopTasks) -> None:
         self._upstreams.stop(effect)
 
-    def _answer(self, effect: AnswerCall) -> None:
+    def _answer_call(self, effect: AnswerCall) -> None:
         log_answer(effect.answer)
         self._web.reply(effect.call, answer_response(effect.answer))
 
-    def _issue(self, effect: IssueIds) -> None:
+    def _issue_ids(self, effect: IssueIds) -> None:
         self._web.reply(effect.call, ids_response(effect.ids))
 
-    def _send(self, effect: SendPeerMessage) -> None:
+    def _send_to_peer(self, effect: SendPeerMessage) -> None:
         self._links.send(effect.to, effect.message)
 
     def _append_claim(self, effect: AppendClaim) -> None:
@@ -298,7 +308,7 @@
 
     @handler("signal", channel="*")
     def _on_signal(self, event, signo, _stack) -> None:
-        """Drain at the first signal, end at the second."""
+        """Start to drain at the first signal, exit at the second."""
         event.stop()
         if self._draining:
             self.post(DrainRequested(0.0))
@@ -309,7 +319,7 @@
         self.post(DrainRequested(self._settings.drain_ms))
 
     def _exit_when_drained(self) -> None:
-        """Stop once every caller has its answer and the bytes had time to leave."""
+        """Stop after all callers were answered; the delay lets the bytes be sent."""
         if self._exiting or not self._draining:
             return
         if self._core.drained and not self._web.open_calls:
@@ -319,22 +329,22 @@
 
 
 _ACTIONS = {
-    StartTasks: EntryHostProcess._start,
-    QueryTaskStatus: EntryHostProcess._ask_status,
+    StartTasks: EntryHostProcess._start_tasks,
+    QueryTaskStatus: EntryHostProcess._query_task_status,
     StopTasks: EntryHostProcess._stop_tasks,
-    AnswerCall: EntryHostProcess._answer,
-    IssueIds: EntryHostProcess._issue,
-    SendPeerMessage: EntryHostProcess._send,
+    AnswerCall: EntryHostProcess._answer_call,
+    IssueIds: EntryHostProcess._issue_ids,
+    SendPeerMessage: EntryHostProcess._send_to_peer,
     AppendClaim: EntryHostProcess._append_claim,
 }
 
 
-def _siblings(settings: EntrySettings) -> tuple[EntryHost, ...]:
+def _configured_peers(settings: EntrySettings) -> tuple[EntryHost, ...]:
     return tuple(EntryHost(s.zone, s.name, s.http, s.link) for s in settings.siblings)
 
 
 def _bootstrap(settings: EntrySettings) -> tuple[OperatorEntry, ...]:
-    """Return the operators who may confirm the first configuration."""
+    """Return the operators that may confirm the first configuration."""
     return tuple(
         OperatorEntry(name=o.name, token_sha256=(o.token_sha256,), rights=tuple(Right))
         for o in settings.operators
@@ -342,21 +352,22 @@
 
 
 def run_entry(settings: EntrySettings) -> None:
-    """Run an entry host until it is told to stop and has drained."""
+    """Run an entry host until it is stopped by a signal and has drained."""
     root = Component()
     poller = EPoll().register(root)
     EntryHostProcess(settings, poller).register(root)
-    _calm_collector()
+    _tune_garbage_collector()
     root.run()
 
 
-def _calm_collector() -> None:
-    """Spare the collector what lives as long as the process.
+def _tune_garbage_collector() -> None:
+    """Exclude long-lived objects from garbage collection, make full ones rarer.
 
-    A full collection stopped the loop for 40 to 100 ms, and all jobs then in flight
-    were late by it. Its cost grows with what it walks: the modules are frozen out of
-    it. Events of circuits are cycles, which die young, so young ones stay frequent.
+    A full collection stopped the loop for 40 to 100 ms and delayed all jobs in flight.
+    Its cost grows with the number of objects that it traverses, so the objects of the
+    modules are frozen. Events of circuits are short-lived reference cycles, so young
+    collections stay frequent.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
--- a/jackdawspur/entry/_keeping.py
+++ b/jackdawspur/entry/_keeping.py
@@ -1,4 +1,4 @@
-"""Carrying out what the keeper of the configuration and the operators' desk ask."""
+"""Driver that executes the effects of the configuration replica and operator API."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -42,85 +42,85 @@
 
 
 class ConfigurationDriver:
-    """Connect keeper and desk to the log, the links and the decisions."""
+    """Connects replica and operator API to the log, the links and the core."""
 
     def __init__(
         self,
-        keeper: ConfigurationReplica,
-        desk: OperatorApi,
+        replica: ConfigurationReplica,
+        operator_api: OperatorApi,
         platform_log: Log,
         send: Callable[[HostId, Message], object],
         activate: Callable[[ActivateConfiguration], None],
         reply: Callable[[OperatorReply], None],
     ) -> None:
-        self._keeper = keeper
-        self._desk = desk
+        self._replica = replica
+        self._operator_api = operator_api
         self._log = platform_log
         self._send = send
         self._activate = activate
         self._reply = reply
 
-    def tell(self, event: ReplicaEvent) -> None:
-        """Let the keeper handle an event, then let the desk see what it settled."""
+    def handle_event(self, event: ReplicaEvent) -> None:
+        """Process an event, then answer the operators' requests that it resolved."""
         now = monotonic()
-        self._do(self._keeper.handle(now, event))
-        self._do(self._desk.resolve_pending(now))
+        self._execute(self._replica.handle(now, event))
+        self._execute(self._operator_api.resolve_pending(now))
 
-    def ask(self, request: OperatorRequest) -> None:
-        """Let the desk handle an operator's request."""
-        self._do(self._desk.handle(monotonic(), request))
+    def handle_request(self, request: OperatorRequest) -> None:
+        """Process an operator's request."""
+        self._execute(self._operator_api.handle(monotonic(), request))
 
     def tick(self) -> None:
-        """Let time pass."""
-        self.tell(ReplicaTick(time()))
+        """Process the passing of time; called periodically."""
+        self.handle_event(ReplicaTick(time()))
 
-    def _do(self, effects: Iterable[object]) -> None:
+    def _execute(self, effects: Iterable[object]) -> None:
         for effect in effects:
             _ACTIONS[type(effect)](self, effect)
 
-    def _read(self, effect: ReadLog) -> None:
+    def _read_log(self, effect: ReadLog) -> None:
         self._log.read(
             Stream.CONFIGURATION, effect.offset, effect.wait_ms, self._on_read
         )
 
-    def _on_read(self, done: Result[tuple[LogRecord, ...], PlatformError]) -> None:
-        if isinstance(done, Ok):
-            self.tell(LogRecordsRead(done.ok_value))
-        elif isinstance(done.err_value, LogTrimmed):
-            self.tell(LogStartAdvanced(done.err_value.first_offset))
+    def _on_read(self, outcome: Result[tuple[LogRecord, ...], PlatformError]) -> None:
+        if isinstance(outcome, Ok):
+            self.handle_event(LogRecordsRead(outcome.ok_value))
+        elif isinstance(outcome.err_value, LogTrimmed):
+            self.handle_event(LogStartAdvanced(outcome.err_value.first_offset))
         else:
-            self.tell(LogReadFailed(str(done.err_value)))
+            self.handle_event(LogReadFailed(str(outcome.err_value)))
 
-    def _append(self, effect: AppendRecord) -> None:
-        def appended(done: Result[int, PlatformError]) -> None:
-            if isinstance(done, Ok):
-                event = AppendCompleted(effect.record_id, done.ok_value)
+    def _append_record(self, effect: AppendRecord) -> None:
+        def on_appended(outcome: Result[int, PlatformError]) -> None:
+            if isinstance(outcome, Ok):
+                event = AppendCompleted(effect.record_id, outcome.ok_value)
             else:
-                sent = isinstance(done.err_value, OutcomeUnknown)
-                event = AppendCompleted(effect.record_id, None, sent)
-            self._do(self._desk.on_append_completed(monotonic(), event))
-            self.tell(event)
+                maybe_sent = isinstance(outcome.err_value, OutcomeUnknown)
+                event = AppendCompleted(effect.record_id, None, maybe_sent)
+            self._execute(self._operator_api.on_append_completed(monotonic(), event))
+            self.handle_event(event)
 
-        self._log.append(Stream.CONFIGURATION, effect.body, appended)
+        self._log.append(Stream.CONFIGURATION, effect.body, on_appended)
 
-    def _ask_records(self, effect: RequestRecords) -> None:
+    def _request_records(self, effect: RequestRecords) -> None:
         self._send(effect.to, effect.wanted)
 
     def _send_records(self, effect: SendRecords) -> None:
         self._send(effect.to, effect.passed)
 
-    def _activate_world(self, effect: ActivateConfiguration) -> None:
+    def _activate_configuration(self, effect: ActivateConfiguration) -> None:
         log.info(
             "configuration in force", extra={"version": effect.cluster_spec.version}
         )
         self._activate(effect)
 
-    def _report(self, effect: ReportSkipped) -> None:
+    def _report_skipped(self, effect: ReportSkipped) -> None:
         skipped = effect.skipped
         details = {"offset": skipped.offset, "reason": str(skipped.reason)}
         log.error("configuration record skipped", extra=details)
 
-    def _audit(self, effect: WriteAuditEntry) -> None:
+    def _log_refusal(self, effect: WriteAuditEntry) -> None:
         entry = effect.entry
         details = {
             "operator": entry.operator,
@@ -135,12 +135,12 @@
 
 
 _ACTIONS = {
-    ReadLog: ConfigurationDriver._read,
-    AppendRecord: ConfigurationDriver._append,
-    RequestRecords: ConfigurationDriver._ask_records,
+    ReadLog: ConfigurationDriver._read_log,
+    AppendRecord: ConfigurationDriver._append_record,
+    RequestRecords: ConfigurationDriver._request_records,
     SendRecords: ConfigurationDriver._send_records,
-    ActivateConfiguration: ConfigurationDriver._activate_world,
-    ReportSkipped: ConfigurationDriver._report,
-    WriteAuditEntry: ConfigurationDriver._audit,
+    ActivateConfiguration: ConfigurationDriver._activate_configuration,
+    ReportSkipped: ConfigurationDriver._report_skipped,
+    WriteAuditEntry: ConfigurationDriver._log_refusal,
     OperatorReply: ConfigurationDriver._reply_operator,
 }
--- a/jackdawspur/entry/_log_lines.py
+++ b/jackdawspur/entry/_log_lines.py
@@ -1,4 +1,4 @@
-"""What an entry host writes to its log for the people on call."""
+"""Log lines of an entry host for operators on call."""
 
 import logging
 
@@ -10,12 +10,12 @@
 
 
 def log_started(host: HostId) -> None:
-    """Note a start, and which run it is."""
+    """Log the start of a host, with its incarnation."""
     log.info("entry host started", extra={"host": str(host)})
 
 
 def log_answer(answer: Answer) -> None:
-    """Note an answer that is no result, and why."""
+    """Log an answer without a result, and its reason."""
     if answer.code is None:
         return
     log.info(
@@ -31,10 +31,10 @@
 
 
 def log_draining(live_jobs: int) -> None:
-    """Note that the host was told to stop, and how many jobs it still has."""
+    """Log that the host starts to drain, and how many jobs are left."""
     log.info("draining", extra={"live_jobs": live_jobs})
 
 
 def log_drained() -> None:
-    """Note that every caller has its answer."""
+    """Log that all callers were answered."""
     log.info("drained")
--- a/jackdawspur/entry/_routes.py
+++ b/jackdawspur/entry/_routes.py
@@ -41,37 +41,37 @@
     SubmissionIdsRequested,
     Submitted,
 )
-from jackdawspur.entry._status import HostStatus, text_of_status
+from jackdawspur.entry._status import HostStatus, format_status
 from jackdawspur.model import FailureCode, InvalidId, JobRequest, SubmissionId
 from jackdawspur.ownership import IDEMPOTENCY_KEY_TTL_S
 
-__all__ = ["HostFace", "Routes"]
+__all__ = ["HostInterface", "Routes"]
 
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_LENGTH = 200
-# A key is forgotten after its window; a job that outlived it would run again on a
-# repeat. Half of the window leaves room for hosts that read the claim late.
+# A key is dropped after its TTL: if its job lived longer, a repeat would run it again.
+# Half of the TTL leaves time for hosts that read the claim late.
 MAX_KEYED_DEADLINE_MS = IDEMPOTENCY_KEY_TTL_S / 2 * 1000.0
 TEXT = "text/plain; charset=utf-8"
 
 
-class HostFace(Protocol):
-    """What the routes need of the host behind them."""
+class HostInterface(Protocol):
+    """Methods of the host that the routes call."""
 
     def post(self, event: Event) -> None:
-        """Hand an event to the decisions."""
+        """Queue an event for the core."""
 
     def handle_operator_request(self, request: OperatorRequest) -> None:
-        """Hand a request to the operators' desk."""
+        """Pass a request to the operator API."""
 
     def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a call."""
 
     def readiness(self) -> Readiness:
-        """Tell whether new jobs are accepted, and why not."""
+        """Return whether new jobs are accepted, and why not."""
 
     def status(self) -> HostStatus:
-        """Return what operators see of this host."""
+        """Return the status of this host for operators."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _DeskBody:
+class _OperatorReplyBody:
     code: str
     message: str
     page: str
@@ -96,16 +96,16 @@
 
 
 class Routes(WebService):
-    """Turn HTTP calls into events and requests."""
+    """Turns HTTP calls into events and operator requests."""
 
-    def __init__(self, host: HostFace) -> None:
+    def __init__(self, host: HostInterface) -> None:
         self._host = host
         self._customers: dict[str, CustomerEntry] = {}
-        self._as_text: set[int] = set()
+        self._text_calls: set[int] = set()
         self._status_calls: set[int] = set()
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take the customers and their tokens into force."""
+        """Use the customers and tokens of a configuration from now on."""
         self._customers = {
             hashed: customer
             for customer in configuration.customers
@@ -113,7 +113,7 @@
         }
 
     def handle_call(self, call: Call) -> None:
-        """Handle one call by its route."""
+        """Pass a call to the handler of its route."""
         known_path = False
         for route in _ROUTES:
             match = route.pattern.fullmatch(call.path)
@@ -123,18 +123,18 @@
             if route.method == call.method:
                 route.handle(self, call, match)
                 return
-        self._refuse_unknown(call, known_path)
+        self._refuse_unknown_route(call, known_path)
 
     def caller_disconnected(self, call_id: int) -> None:
-        """Note that a caller went away."""
-        self._as_text.discard(call_id)
+        """Process the disconnection of a caller."""
+        self._text_calls.discard(call_id)
         self._status_calls.discard(call_id)
         self._host.post(CallClosed(call_id))
 
     def deliver_operator_reply(self, reply: OperatorReply) -> None:
-        """Pass the desk's reply on to its operator."""
-        as_text = reply.call in self._as_text
-        self._as_text.discard(reply.call)
+        """Send a reply of the operator API to its operator."""
+        as_text = reply.call in self._text_calls
+        self._text_calls.discard(reply.call)
         wants_status = reply.call in self._status_calls
         self._status_calls.discard(reply.call)
         if wants_status and reply.status == HTTPStatus.OK:
@@ -143,26 +143,28 @@
             body = format_operator_reply(reply).encode()
             self._host.reply(reply.call, HttpResponse(int(reply.status), body, 0, TEXT))
         else:
-            shown = _DeskBody(str(reply.code), reply.message, reply.page, reply.body)
-            body = msgspec.json.encode(shown)
+            reply_body = _OperatorReplyBody(
+                str(reply.code), reply.message, reply.page, reply.body
+            )
+            body = msgspec.json.encode(reply_body)
             self._host.reply(reply.call, HttpResponse(int(reply.status), body))
 
     def _reply_status(self, reply: OperatorReply, as_text: bool) -> None:
         status = self._host.status()
         if as_text:
-            body = (text_of_status(status) + format_operator_reply(reply)).encode()
+            body = (format_status(status) + format_operator_reply(reply)).encode()
             self._host.reply(reply.call, HttpResponse(200, body, 0, TEXT))
             return
-        shown = _FullStatus(status, reply.body)
-        self._host.reply(reply.call, HttpResponse(200, msgspec.json.encode(shown)))
+        reply_body = _FullStatus(status, reply.body)
+        self._host.reply(reply.call, HttpResponse(200, msgspec.json.encode(reply_body)))
 
-    def _refuse_unknown(self, call: Call, known_path: bool) -> None:
+    def _refuse_unknown_route(self, call: Call, known_path: bool) -> None:
         code = FailureCode.INVALID if known_path else FailureCode.NOT_FOUND
         text = f"{call.method} {call.path} is not offered here"
         self._host.reply(call.call_id, refusal_response(code, text))
 
-    def _customer(self, call: Call) -> CustomerEntry | None:
-        """Return the customer whose token came, or refuse the call."""
+    def _authenticate(self, call: Call) -> CustomerEntry | None:
+        """Return the customer that owns the call's token, or refuse the call."""
         customer = (
             self._customers.get(token_hash(call.bearer_token))
             if call.bearer_token
@@ -185,7 +187,7 @@
     def _submit(
         self, call: Call, submission: SubmissionId | None, key: str | None
     ) -> None:
-        customer = self._customer(call)
+        customer = self._authenticate(call)
         if customer is None:
             return
         if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
@@ -194,9 +196,9 @@
             return
         try:
             body = read_job_body(call.body)
-            standing = _job_class_settings(customer, body.job_class)
-            request = to_request(body, customer.name, standing, key, submission)
-            _check_keyed(request)
+            class_settings = _job_class_settings(customer, body.job_class)
+            request = to_request(body, customer.name, class_settings, key, submission)
+            _check_keyed_deadline(request)
         except BodyError as error:
             self._refuse(call, FailureCode.INVALID, str(error))
             return
@@ -206,11 +208,13 @@
         self._submit(call, None, call.headers.get(KEY_HEADER))
 
     def _put_submission(self, call: Call, match: re.Match[str]) -> None:
-        submission = self._submission(call, match)
+        submission = self._parse_submission(call, match)
         if submission is not None:
             self._submit(call, submission, None)
 
-    def _submission(self, call: Call, match: re.Match[str]) -> SubmissionId | None:
+    def _parse_submission(
+        self, call: Call, match: re.Match[str]
+    ) -> SubmissionId | None:
         try:
             return SubmissionId.parse(match["id"])
         except InvalidId as error:
@@ -218,20 +222,20 @@
             return None
 
     def _get_submission(self, call: Call, match: re.Match[str]) -> None:
-        customer = self._customer(call)
-        submission = self._submission(call, match) if customer else None
+        customer = self._authenticate(call)
+        submission = self._parse_submission(call, match) if customer else None
         if submission is not None:
             wait = call.query_flag("wait")
             self._host.post(Polled(call.call_id, customer.name, submission, wait))
 
     def _delete_submission(self, call: Call, match: re.Match[str]) -> None:
-        customer = self._customer(call)
-        submission = self._submission(call, match) if customer else None
+        customer = self._authenticate(call)
+        submission = self._parse_submission(call, match) if customer else None
         if submission is not None:
             self._host.post(CancelRequested(call.call_id, customer.name, submission))
 
     def _post_submissions(self, call: Call, _match: re.Match[str]) -> None:
-        customer = self._customer(call)
+        customer = self._authenticate(call)
         if customer is None:
             return
         try:
@@ -251,14 +255,14 @@
             call.call_id, HttpResponse(200 if readiness.ready else 503, body)
         )
 
-    def _ask(self, call: Call, request: OperatorRequest) -> None:
+    def _send_request(self, call: Call, request: OperatorRequest) -> None:
         if "format=text" in call.query:
-            self._as_text.add(call.call_id)
+            self._text_calls.add(call.call_id)
         self._host.handle_operator_request(request)
 
     def _plan(self, call: Call, _match: re.Match[str]) -> None:
         intent = call.body.decode(errors="replace")
-        self._ask(
+        self._send_request(
             call, PlanAsked(call.call_id, call.bearer_token or "", intent, time())
         )
 
@@ -266,14 +270,18 @@
         request = ConfirmAsked(
             call.call_id, call.bearer_token or "", match["id"], time()
         )
-        self._ask(call, request)
+        self._send_request(call, request)
 
     def _history(self, call: Call, _match: re.Match[str]) -> None:
-        self._ask(call, HistoryAsked(call.call_id, call.bearer_token or "", time()))
+        self._send_request(
+            call, HistoryAsked(call.call_id, call.bearer_token or "", time())
+        )
 
     def _status(self, call: Call, _match: re.Match[str]) -> None:
         self._status_calls.add(call.call_id)
-        self._ask(call, StatusAsked(call.call_id, call.bearer_token or "", time()))
+        self._send_request(
+            call, StatusAsked(call.call_id, call.bearer_token or "", time())
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -282,10 +290,10 @@
     configuration: object
 
 
-def _check_keyed(request: JobRequest) -> None:
+def _check_keyed_deadline(request: JobRequest) -> None:
     if request.key is not None and request.deadline_ms > MAX_KEYED_DEADLINE_MS:
-        most = f"{MAX_KEYED_DEADLINE_MS:.0f}"
-        raise BodyError(f"deadline_ms: at most {most} with an {KEY_HEADER}")
+        maximum = f"{MAX_KEYED_DEADLINE_MS:.0f}"
+        raise BodyError(f"deadline_ms: at most {maximum} with an {KEY_HEADER}")
 
 
 def _job_class_settings(customer: CustomerEntry, name: str) -> JobClassSettings:
--- a/jackdawspur/entry/_meter.py
+++ b/jackdawspur/entry/_statsd.py
@@ -1,17 +1,17 @@
-"""Counters and gauges for statsd."""
+"""Sends counters and gauges to statsd."""
 
 from statsd import StatsClient
 
 from jackdawspur.adapters import split_address
 from jackdawspur.dispatch import EntryCore
 
-__all__ = ["Meter"]
+__all__ = ["StatsdReporter"]
 
 REPORT_EVERY_TICKS = 20
 
 
-class Meter:
-    """Report what changed about once a second, in one packet."""
+class StatsdReporter:
+    """Reports metrics about once per second, in one packet."""
 
     def __init__(self, address: str | None, host: str) -> None:
         self._client: StatsClient | None = None
@@ -19,15 +19,15 @@
             prefix = f"jackdawspur.{host.replace('.', '_')}"
             self._client = StatsClient(*split_address(address), prefix=prefix)
         self._ticks = 0
-        self._last: dict[str, int] = {}
+        self._last_totals: dict[str, int] = {}
         self.link_bytes = 0
 
-    def sent(self, count: int) -> None:
+    def count_sent_bytes(self, count: int) -> None:
         """Count bytes sent to other entry hosts."""
         self.link_bytes += count
 
     def report(self, core: EntryCore) -> None:
-        """Send counters and gauges when their turn has come."""
+        """Send counters and gauges on every `REPORT_EVERY_TICKS`-th call."""
         self._ticks += 1
         if self._client is None or self._ticks % REPORT_EVERY_TICKS:
             return
@@ -46,7 +46,7 @@
         state = core.state
         with self._client.pipeline() as pipe:
             for name, total in totals.items():
-                pipe.incr(name, total - self._last.get(name, 0))
+                pipe.incr(name, total - self._last_totals.get(name, 0))
             pipe.gauge("tasks.waiting", state.queue.waiting())
             pipe.gauge("slots.busy", state.slots.busy())
-        self._last = totals
+        self._last_totals = totals
--- a/jackdawspur/entry/_status.py
+++ b/jackdawspur/entry/_status.py
@@ -1,16 +1,22 @@
-"""What operators see of one entry host."""
+"""Status of one entry host for operators."""
 
 from dataclasses import dataclass
 
 from jackdawspur.dispatch import EntryCore
 from jackdawspur.metrics import HistogramSummary
 
-__all__ = ["CustomerStatus", "HostStatus", "JobCounts", "status_of", "text_of_status"]
+__all__ = [
+    "CustomerStatus",
+    "HostStatus",
+    "JobCounts",
+    "build_host_status",
+    "format_status",
+]
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerStatus:
-    """Show a customer's quota here and what it has running and waiting."""
+    """Quota share of a customer on this host, and its running and waiting tasks."""
 
     customer: str
     share: int
@@ -21,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCounts:
-    """Count jobs and messages since the start of this host."""
+    """Counters of jobs and messages since the start of this host."""
 
     complete: int
     failed: int
@@ -36,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HostStatus:
-    """Show one host: its view, its slots, its queues and its histograms.
+    """Status of one host: membership view, slots, queues and histograms.
 
-    `link_bytes` counts what this run sent to other entry hosts.
+    `link_bytes` counts the bytes sent to other entry hosts since the host's start.
     """
 
     host: str
@@ -61,7 +67,7 @@
     responses: tuple[HistogramSummary, ...]
 
 
-def status_of(core: EntryCore, link_bytes: int, now: float) -> HostStatus:
+def build_host_status(core: EntryCore, link_bytes: int, now: float) -> HostStatus:
     """Return the status of a host."""
     state = core.state
     upstreams = tuple(state.resource_tracker.upstreams())
@@ -113,8 +119,8 @@
     )
 
 
-def text_of_status(status: HostStatus) -> str:
-    """Return the status as lines for people."""
+def format_status(status: HostStatus) -> str:
+    """Return the status as text."""
     counts = status.counts
     lines = [
         f"host {status.host}: ready {status.ready}, draining {status.draining}, "
--- a/jackdawspur/entry/_trial_settings.py
+++ b/jackdawspur/entry/_trial_settings.py
@@ -1,4 +1,4 @@
-"""Settings and a configuration for a deployment on free ports of this machine."""
+"""Settings and configuration of a deployment on free ports of this machine."""
 
 import os
 import socket
@@ -40,108 +40,112 @@
 OTHER_CALLER = "trial-reporting-token"
 OPERATORS = tuple(f"op{number}" for number in range(8))
 VIEWER = "viewer"
-RACK = 64
+MAX_WORKERS_PER_POOL = 64
 DRAIN_MS = 20_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Size a deployment; the delay and the lag in milliseconds."""
+    """Size of a deployment; the delay and the lag are in milliseconds."""
 
     zones: tuple[str, ...] = ("north", "south")
-    hosts_a_zone: int = 2
-    upstreams_a_zone: int = 4
+    hosts_per_zone: int = 2
+    upstreams_per_zone: int = 4
     append_delay_ms: float = 5.0
     lag_ms: float = 1000.0
-    # Configured beside those that run; nothing listens at their addresses.
+    # Configured in addition to the running ones; nothing listens at their addresses.
     absent_zones: int = 0
     absent_upstreams: int = 0
-    more_customers: int = 0
-    cut_from_log: tuple[str, ...] = ()
+    extra_customers: int = 0
+    zones_without_log: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class TrialSettings:
-    """Hold what the processes of a deployment are started with."""
+    """Settings of the processes of a deployment, and its configuration."""
 
     log: LogStandinSettings
     host_list: HostListStandinSettings
-    racks: tuple[WorkerPoolStandinSettings, ...]
+    worker_pools: tuple[WorkerPoolStandinSettings, ...]
     hosts: tuple[EntrySettings, ...]
     configuration: Configuration
 
 
 class _Addresses:
-    """Choose free ports at a loopback address of this process's own.
+    """Reserves free ports at a loopback address that only this process uses.
 
-    A port that was free a moment ago may become the source port of somebody's
-    connection before the program binds it. Connections start at 127.0.0.1, so at
-    another loopback address no such connection can take it.
+    A free port may become the source port of another connection before the program
+    binds it. Connections have the source address 127.0.0.1, so none of them can take a
+    port at another loopback address.
     """
 
     def __init__(self) -> None:
         number = os.getpid()
         self._ip = f"127.{1 + number // 250 % 250}.{number % 250}.7"
-        self._held: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
 
-    def take(self) -> str:
-        """Return a free address and hold it until all are chosen."""
-        held = socket.socket()
-        held.bind((self._ip, 0))
-        self._held.append(held)
-        return f"{self._ip}:{held.getsockname()[1]}"
+    def reserve(self) -> str:
+        """Return a free address and keep it bound until `release`."""
+        sock = socket.socket()
+        sock.bind((self._ip, 0))
+        self._sockets.append(sock)
+        return f"{self._ip}:{sock.getsockname()[1]}"
 
     def release(self) -> None:
-        """Free the ports for the programs that will bind them."""
-        for held in self._held:
-            held.close()
+        """Release the ports for the programs that will bind them."""
+        for sock in self._sockets:
+            sock.close()
 
 
 def make_settings(sizes: Sizes) -> TrialSettings:
-    """Return settings and the first configuration of a deployment."""
+    """Return the settings and the first configuration of a deployment."""
     addresses = _Addresses()
-    closed = addresses.take()
-    log = LogStandinSettings(addresses.take(), sizes.append_delay_ms)
+    closed_address = addresses.reserve()
+    log = LogStandinSettings(addresses.reserve(), sizes.append_delay_ms)
     hosts = tuple(
         EntryHostEntry(
-            zone=zone, name=f"e{n + 1}", http=addresses.take(), link=addresses.take()
+            zone=zone,
+            name=f"e{n + 1}",
+            http=addresses.reserve(),
+            link=addresses.reserve(),
         )
         for zone in sizes.zones
-        for n in range(sizes.hosts_a_zone)
+        for n in range(sizes.hosts_per_zone)
     )
     upstreams = tuple(
-        UpstreamEntry(zone=zone, name=f"w{n + 1}", address=addresses.take())
+        UpstreamEntry(zone=zone, name=f"w{n + 1}", address=addresses.reserve())
         for zone in sizes.zones
-        for n in range(sizes.upstreams_a_zone)
+        for n in range(sizes.upstreams_per_zone)
     )
-    host_list = _host_list(addresses.take(), sizes, hosts, upstreams)
+    host_list = _host_list(addresses.reserve(), sizes, hosts, upstreams)
     addresses.release()
-    racks = _racks(sizes, upstreams)
+    worker_pools = _worker_pools(sizes, upstreams)
     entries = tuple(
         _entry(
             host,
             hosts,
-            closed if host.zone in sizes.cut_from_log else log.address,
+            closed_address if host.zone in sizes.zones_without_log else log.address,
             host_list.address,
         )
         for host in hosts
     )
     configuration = _configuration(sizes, hosts, (*upstreams, *_absent(sizes)))
-    return TrialSettings(log, host_list, racks, entries, configuration)
+    return TrialSettings(log, host_list, worker_pools, entries, configuration)
 
 
-def _racks(sizes: Sizes, upstreams) -> tuple[WorkerPoolStandinSettings, ...]:
-    """Return racks of at most `RACK` upstreams of one zone each."""
-    racks = []
+def _worker_pools(sizes: Sizes, upstreams) -> tuple[WorkerPoolStandinSettings, ...]:
+    """Return worker pools, each of one zone, of up to `MAX_WORKERS_PER_POOL`."""
+    worker_pools = []
     for zone in sizes.zones:
         addresses = [u.address for u in upstreams if u.zone == zone]
-        racks += [
+        worker_pools += [
             WorkerPoolStandinSettings(
-                tuple(addresses[start : start + RACK]), seed=RACK * len(racks)
+                tuple(addresses[start : start + MAX_WORKERS_PER_POOL]),
+                seed=MAX_WORKERS_PER_POOL * len(worker_pools),
             )
-            for start in range(0, len(addresses), RACK)
+            for start in range(0, len(addresses), MAX_WORKERS_PER_POOL)
         ]
-    return tuple(racks)
+    return tuple(worker_pools)
 
 
 def _host_list(address: str, sizes: Sizes, hosts, upstreams) -> HostListStandinSettings:
@@ -158,7 +162,7 @@
 
 
 def _absent(sizes: Sizes) -> tuple[UpstreamEntry, ...]:
-    """Return upstreams for the size only, spread over the absent zones."""
+    """Return upstreams that don't run, spread over the absent zones."""
     ports = count(1)
     zones = _all_zones(sizes)[len(sizes.zones) :]
     return tuple(
@@ -207,7 +211,7 @@
 
 
 def _customers(sizes: Sizes) -> tuple[CustomerEntry, ...]:
-    slots = 8 * sizes.upstreams_a_zone * len(sizes.zones) or 8
+    slots = 8 * sizes.upstreams_per_zone * len(sizes.zones) or 8
     roster = CustomerEntry(
         name="roster",
         token_sha256=(token_hash(CALLER),),
@@ -221,13 +225,13 @@
     reporting = CustomerEntry(
         name="reporting", token_sha256=(token_hash(OTHER_CALLER),), quota_slots=slots
     )
-    more = tuple(
+    extra = tuple(
         CustomerEntry(
             name=f"customer{n}",
             token_sha256=(token_hash(f"customer{n}"),),
             quota_slots=8,
             classes=(JobClass(name="usual"), JobClass(name="nightly")),
         )
-        for n in range(sizes.more_customers)
+        for n in range(sizes.extra_customers)
     )
-    return (roster, reporting, *more)
+    return (roster, reporting, *extra)
--- a/jackdawspur/entry/measure.py
+++ b/jackdawspur/entry/measure.py
@@ -1,6 +1,7 @@
-"""Measure configuration and idle cost on real processes; prints one JSON line each.
+"""Measures configuration delays and idle cost with real processes.
 
-Run ``python -m jackdawspur.entry.measure``; it takes about two minutes.
+Run ``python -m jackdawspur.entry.measure``. It takes about two minutes and prints one
+line of JSON for each result.
 """
 
 import re
@@ -23,22 +24,22 @@
 __all__ = ["ColdStart", "Idle", "InForce", "main"]
 
 ZONES = ("north", "middle", "south")
-SMALL = Sizes(zones=ZONES, upstreams_a_zone=8)
+SMALL = Sizes(zones=ZONES, upstreams_per_zone=8)
 FULL = Sizes(
     zones=ZONES,
-    upstreams_a_zone=217,
+    upstreams_per_zone=217,
     absent_zones=15,
     absent_upstreams=3_249,
-    more_customers=138,
+    extra_customers=138,
 )
-CUT = Sizes(zones=ZONES, upstreams_a_zone=8, cut_from_log=("south",))
-BURST = 50
-SLOW = 15
-SLOW_GAP_S = 1.0
-STARTS = 5
+PARTITIONED = Sizes(zones=ZONES, upstreams_per_zone=8, zones_without_log=("south",))
+BURST_CHANGES = 50
+SPACED_CHANGES = 15
+CHANGE_GAP_S = 1.0
+COLD_STARTS = 5
 IDLE_S = 10.0
 SETTLE_S = 3.0
-# Links to upstreams open one after the other after the start.
+# Time for a host to open its links to upstreams, one by one, after the start.
 IDLE_AFTER_S = 10.0
 KB = 1000.0
 MB = 1_000_000.0
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """Tell how long confirms took to be in force in all zones, in milliseconds."""
+    """Time from a confirm until it is in force in all zones, in milliseconds."""
 
     what: str
     changes: int
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStart:
-    """Tell how long a host takes from its start to ready, in milliseconds."""
+    """Time from the start of a host until it is ready, in milliseconds."""
 
     what: str
     starts: int
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Idle:
-    """Tell what idle hosts cost: the mean and the worst of them."""
+    """Cost of idle hosts: the mean and the maximum over all hosts."""
 
     what: str
     hosts: int
@@ -87,11 +88,11 @@
 @dataclass(frozen=True, slots=True)
 class _Confirmed:
     version: int
-    since: float
+    started_at: float
 
 
 def main(argv: list[str]) -> int:
-    """Run the measurements named, or all of them."""
+    """Run the measurements named in the arguments, or all of them."""
     names = argv[1:] or list(_MEASUREMENTS)
     for name in names:
         if name not in _MEASUREMENTS:
@@ -115,39 +116,50 @@
         deployment.close()
 
 
-def _changes(deployment: Deployment, what: str):
-    yield _in_force(deployment, f"{what}, burst", BURST, 0.0)
-    yield _in_force(deployment, f"{what}, one a second", SLOW, SLOW_GAP_S)
+def _measure_changes(deployment: Deployment, what: str):
+    yield _measure_in_force(deployment, f"{what}, burst", BURST_CHANGES, 0.0)
+    yield _measure_in_force(
+        deployment, f"{what}, one a second", SPACED_CHANGES, CHANGE_GAP_S
+    )
 
 
-def _idle_and_starts(deployment: Deployment, what: str):
-    yield _idle(deployment, what)
-    yield _cold_starts(deployment, what)
+def _measure_idle_and_starts(deployment: Deployment, what: str):
+    yield _measure_idle(deployment, what)
+    yield _measure_cold_starts(deployment, what)
 
 
-def _in_force(deployment: Deployment, what: str, count: int, gap_s: float) -> InForce:
+def _measure_in_force(
+    deployment: Deployment, what: str, count: int, gap_s: float
+) -> InForce:
     confirmed = []
     for number in range(count):
         time.sleep(gap_s)
-        # Through all hosts whose log is up, in turn: each has a share of the appends.
-        up = [
+        # Alternate between the hosts that reach the log: each may make only a share of
+        # the appends.
+        hosts_with_log = [
             h
             for h in deployment.hosts
             if h.settings.log == deployment.settings.log.address
         ]
-        confirmed.append(_confirm(deployment, up[number % len(up)], number))
+        confirmed.append(
+            _confirm(deployment, hosts_with_log[number % len(hosts_with_log)], number)
+        )
     deployment.wait_version(confirmed[-1].version)
-    seen = [_activations(host) for host in deployment.hosts]
-    took = sorted(
-        1000 * (max(_reached(times, one.version) for times in seen) - one.since)
-        for one in confirmed
+    activations = [_activations(host) for host in deployment.hosts]
+    durations = sorted(
+        1000
+        * (
+            max(_in_force_at(times, change.version) for times in activations)
+            - change.started_at
+        )
+        for change in confirmed
     )
     return InForce(
         what,
         count,
-        round(statistics.median(took), 1),
-        round(took[min(count - 1, int(0.99 * count))], 1),
-        round(took[-1], 1),
+        round(statistics.median(durations), 1),
+        round(durations[min(count - 1, int(0.99 * count))], 1),
+        round(durations[-1], 1),
     )
 
 
@@ -161,18 +173,18 @@
         "reason": f"change {number}",
         "changes": [{"op": "put_customer", "entry": entry}],
     }
-    # A host that lags behind the last change plans on an older version.
+    # Retry: a host that lags behind the last change plans on an older version.
     while True:
         plan = deployment.plan(host, intent)
-        since = time.time()
+        started_at = time.time()
         answer = deployment.confirm(host, plan.json["body"]["id"])
         if answer.status == 200:
-            return _Confirmed(answer.json["body"]["version"], since)
+            return _Confirmed(answer.json["body"]["version"], started_at)
 
 
 def _activations(host: EntryProgram) -> list[tuple[int, float]]:
-    """Return versions and times from the host's own log lines."""
-    lines = [line for line in host.lines.splitlines() if IN_FORCE in line]
+    """Return versions and the times of their activation from the host's log."""
+    lines = [line for line in host.log_output.splitlines() if IN_FORCE in line]
     return [
         (
             int(VERSION.search(line)[1]),
@@ -182,31 +194,33 @@
     ]
 
 
-def _reached(times: list[tuple[int, float]], version: int) -> float:
-    return min(at for known, at in times if known >= version)
+def _in_force_at(times: list[tuple[int, float]], version: int) -> float:
+    return min(at for activated, at in times if activated >= version)
 
 
-def _cold_starts(deployment: Deployment, what: str) -> ColdStart:
+def _measure_cold_starts(deployment: Deployment, what: str) -> ColdStart:
     host = deployment.hosts[-1]
-    took = []
-    for _ in range(STARTS):
+    durations = []
+    for _ in range(COLD_STARTS):
         host.kill()
-        since = time.monotonic()
+        started_at = time.monotonic()
         host.start()
         wait_until(host.ready, "readiness")
-        took.append(1000 * (time.monotonic() - since))
+        durations.append(1000 * (time.monotonic() - started_at))
         time.sleep(SETTLE_S)
-    return ColdStart(what, STARTS, round(statistics.median(took)), round(max(took)))
+    return ColdStart(
+        what, COLD_STARTS, round(statistics.median(durations)), round(max(durations))
+    )
 
 
-def _idle(deployment: Deployment, what: str) -> Idle:
+def _measure_idle(deployment: Deployment, what: str) -> Idle:
     time.sleep(IDLE_AFTER_S)
     processes = [psutil.Process(host.pid) for host in deployment.hosts]
     cpu = [_cpu_s(process) for process in processes]
     sent = [_link_bytes(host) for host in deployment.hosts]
-    since = time.monotonic()
+    started_at = time.monotonic()
     time.sleep(IDLE_S)
-    seconds = time.monotonic() - since
+    seconds = time.monotonic() - started_at
     cores = [
         100 * (_cpu_s(process) - before) / seconds
         for process, before in zip(processes, cpu, strict=True)
@@ -240,10 +254,10 @@
 
 
 _MEASUREMENTS = {
-    "small": (SMALL, _idle_and_starts),
-    "full-size": (FULL, _idle_and_starts),
-    "in-force": (SMALL, _changes),
-    "cut-zone": (CUT, _changes),
+    "small": (SMALL, _measure_idle_and_starts),
+    "full-size": (FULL, _measure_idle_and_starts),
+    "in-force": (SMALL, _measure_changes),
+    "cut-zone": (PARTITIONED, _measure_changes),
 }
 
 if __name__ == "__main__":
--- a/jackdawspur/entry/tests/__init__.py
+++ b/jackdawspur/entry/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of entry hosts as real processes."""
+"""Tests of entry hosts, most of them with real processes."""
--- a/jackdawspur/entry/tests/conftest.py
+++ b/jackdawspur/entry/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: real processes, ended after the test whatever happened."""
+"""Fixtures that run real processes and end them after the tests."""
 
 import pytest
 
@@ -18,10 +18,10 @@
 
 
 @pytest.fixture
-def healed(deployment):
-    """Return the deployment, with every host running and no fault after the test."""
+def restored(deployment):
+    """Return the deployment; after the test, restart hosts and remove faults."""
     yield deployment
-    deployment.log_faults()
+    deployment.set_log_faults()
     for host in deployment.hosts:
         if not host.running:
             host.start()
--- a/jackdawspur/entry/tests/helpers.py
+++ b/jackdawspur/entry/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Intents, jobs and calls that the tests of real processes share."""
+"""Intents, jobs and calls for the tests with real processes."""
 
 from concurrent.futures import Future, ThreadPoolExecutor
 from dataclasses import dataclass
@@ -10,18 +10,18 @@
 from jackdawspur.entry._trial_settings import CALLER
 from jackdawspur.entry.trial import Deployment, HttpAnswer, Program, wait_until
 
-CALLERS = ThreadPoolExecutor(32, thread_name_prefix="callers")
+CALLER_POOL = ThreadPoolExecutor(32, thread_name_prefix="callers")
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """Hold a call under way."""
+class PendingCall:
+    """Call that is in progress in another thread."""
 
     future: Future
 
     @property
     def answer(self) -> HttpAnswer:
-        """Return the answer, once it is there."""
+        """Wait for the answer and return it."""
         return self.future.result(60)
 
 
@@ -37,7 +37,7 @@
 
 
 def change_quota(deployment: Deployment, quota: int) -> int:
-    """Plan and confirm a quota, wait until all hosts have it; return the version."""
+    """Put a quota into force on all hosts; return the version."""
     host = deployment.hosts[0]
     planned = deployment.plan(host, quota_intent(quota))
     assert planned.status == 200, planned.text
@@ -49,7 +49,7 @@
 
 
 def job(run_ms: float, tasks: int = 1, idempotent: bool = True) -> dict:
-    """Return a job of tasks that give back their number."""
+    """Return a job whose tasks return their number."""
     bodies = [
         {
             "payload": msgspec.json.encode(
@@ -66,19 +66,20 @@
     }
 
 
-def send(host, body: dict, key: str | None = None) -> Sent:
-    """Submit a job from a thread of the test and wait there for the answer."""
-    return Sent(
-        CALLERS.submit(host.call, "POST", "/v1/jobs?wait=true", CALLER, body, key)
+def send(host, body: dict, key: str | None = None) -> PendingCall:
+    """Submit a job in another thread, which waits for the answer."""
+    return PendingCall(
+        CALLER_POOL.submit(host.call, "POST", "/v1/jobs?wait=true", CALLER, body, key)
     )
 
 
-def begin_load(
-    deployment: Deployment, seconds: float, load: float = 0.3, others: int = 0
+def start_load(
+    deployment: Deployment, seconds: float, load: float = 0.3, other_tasks: int = 0
 ) -> Program:
-    """Start callers of all hosts in one more process; return once tasks start.
+    """Start callers of all hosts in another process; return once tasks start.
 
-    `others` is how many tasks the test itself starts meanwhile: upstreams count all.
+    `other_tasks` is the number of tasks that the test itself starts meanwhile, which
+    the upstreams count too.
     """
     before = deployment.starts()
     program = deployment.run(
@@ -88,7 +89,7 @@
         f"--token={CALLER}",
         f"--seconds={seconds}",
         f"--load={load}",
-        f"--other_tasks={others}",
+        f"--other_tasks={other_tasks}",
     )
     wait_until(lambda: deployment.starts() > before + 50, "tasks of the load")
     return program
@@ -97,8 +98,8 @@
 def finish_load(program: Program, own_starts: int = 0) -> dict:
     """Check that every invariant held in a load, and return its report.
 
-    `own_starts` counts the tasks that the test itself had started meanwhile: the
-    load's callers can't tell them from tasks that were said not to have run.
+    `own_starts` is the number of tasks that the test itself started meanwhile. The load
+    can't distinguish them from tasks that ran although reported as not run.
     """
     status = program.wait()
     report = msgspec.json.decode(program.output.splitlines()[-1])
--- a/jackdawspur/entry/tests/raw_callers.py
+++ b/jackdawspur/entry/tests/raw_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send raw bytes, and a host behind the routes that they reach."""
+"""Callers that send raw bytes, and a host with routes to receive them."""
 
 import json
 import socket
@@ -20,7 +20,7 @@
 
 
 class Host:
-    """Stand behind the routes: keep events, answer jobs when told."""
+    """Host that records events, and answers jobs at once or on demand."""
 
     def __init__(self, loop) -> None:
         self.events = []
@@ -51,7 +51,7 @@
 
 @dataclass
 class Reply:
-    """Hold one reply, and what came after it."""
+    """One reply, and the bytes received after it."""
 
     status: int
     body: dict
@@ -59,7 +59,7 @@
 
 
 class Caller:
-    """Send raw bytes and read raw replies while the loop turns."""
+    """Client that sends raw bytes and reads replies while the loop runs."""
 
     def __init__(self, loop, port: int) -> None:
         self._loop = loop
@@ -75,7 +75,7 @@
             except BlockingIOError:
                 self._loop.settle(1)
 
-    def pull(self) -> None:
+    def receive(self) -> None:
         try:
             more = self.sock.recv(65536)
             self.closed = not more
@@ -85,7 +85,7 @@
 
     def reply(self) -> Reply:
         def whole() -> bool:
-            self.pull()
+            self.receive()
             head, found, body = self.data.partition(b"\r\n\r\n")
             return bool(found) and len(body) >= _length(head)
 
@@ -96,9 +96,9 @@
         read = json.loads(body[:length])
         return Reply(int(head.split()[1]), read, self.data)
 
-    def until_closed(self) -> None:
+    def wait_closed(self) -> None:
         def closed() -> bool:
-            self.pull()
+            self.receive()
             return self.closed
 
         self._loop.until(closed)
--- a/jackdawspur/entry/tests/session.py
+++ b/jackdawspur/entry/tests/session.py
@@ -1,4 +1,4 @@
-"""Make a session's texts comparable: names for what real time and chance choose."""
+"""Replaces values that differ between sessions, such as times, by placeholders."""
 
 import re
 
@@ -9,8 +9,8 @@
     r"(?P<time>\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\+00:00)",
     re.MULTILINE,
 )
-# How far a change is when its confirm is answered depends on how soon zones report.
-REACHED = re.compile(
+# The state of a change in the reply to its confirm depends on when zones report.
+CONFIRM_REPLY = re.compile(
     r"(?P<head>200 ok: confirmed\nversion \d+) (?:confirmed|in_force|accepted) "
     r"plan (?P<plan><plan \d+>)(?P<rest>[^\n]*\n[^\n]*\n)"
     r"(?:    (?:in force|not yet) in [^\n]*\n)+"
@@ -18,46 +18,46 @@
 PROPOSED = ("planned", "void")
 
 
-class Names:
-    """Give each plan, run and time a name that is the same in every session.
+class Placeholders:
+    """Placeholders for plans, incarnations and times, the same in every session.
 
-    A name stands for one value only: a plan or a time that changes between two
-    commands gets another name, so the comparison shows it.
+    Each placeholder represents one value: a plan or a time that changes between two
+    commands gets another placeholder, so a comparison shows the change.
     """
 
     def __init__(self) -> None:
         self._plans: dict[str, str] = {}
         self._runs: dict[str, list[str]] = {}
         self._times: dict[str, list[str]] = {}
-        self._reached: set[str] = set()
+        self._seen_confirms: set[str] = set()
 
     def normalise(self, text: str) -> str:
-        """Return the text with names in the place of values."""
-        text = PLAN.sub(lambda m: self._plan(m[0]), text)
-        text = RUN.sub(lambda m: f"{m[1]}.<run {self._run(m[1], m[2])}>", text)
-        text = CHANGE.sub(self._change, text)
-        return REACHED.sub(self._reach, text)
+        """Return the text with placeholders instead of values."""
+        text = PLAN.sub(lambda m: self._plan_placeholder(m[0]), text)
+        text = RUN.sub(lambda m: f"{m[1]}.<run {self._run_number(m[1], m[2])}>", text)
+        text = CHANGE.sub(self._replace_change, text)
+        return CONFIRM_REPLY.sub(self._replace_reached, text)
 
-    def _plan(self, plan: str) -> str:
+    def _plan_placeholder(self, plan: str) -> str:
         return self._plans.setdefault(plan, f"<plan {len(self._plans) + 1}>")
 
-    def _run(self, host: str, run: str) -> int:
-        return _place(self._runs.setdefault(host, []), run)
+    def _run_number(self, host: str, run: str) -> int:
+        return _index(self._runs.setdefault(host, []), run)
 
-    def _reach(self, match: re.Match[str]) -> str:
-        if match["plan"] in self._reached:
+    def _replace_reached(self, match: re.Match[str]) -> str:
+        if match["plan"] in self._seen_confirms:
             return match[0]
-        self._reached.add(match["plan"])
+        self._seen_confirms.add(match["plan"])
         return f"{match['head']} <just confirmed> plan {match['plan']}{match['rest']}"
 
-    def _change(self, match: re.Match[str]) -> str:
-        what = "proposed" if match["state"] in PROPOSED else "confirmed"
-        of = f"{match['plan']} {what}"
-        place = _place(self._times.setdefault(of, []), match["time"])
-        return f"{match['head']}<time {place} of {of}>"
+    def _replace_change(self, match: re.Match[str]) -> str:
+        kind = "proposed" if match["state"] in PROPOSED else "confirmed"
+        of = f"{match['plan']} {kind}"
+        index = _index(self._times.setdefault(of, []), match["time"])
+        return f"{match['head']}<time {index} of {of}>"
 
 
-def _place(known: list[str], value: str) -> int:
+def _index(known: list[str], value: str) -> int:
     if value not in known:
         known.append(value)
     return known.index(value) + 1
--- a/jackdawspur/entry/tests/test_bad_input.py
+++ b/jackdawspur/entry/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What callers send wrong, over real loopback sockets, to the server and routes."""
+"""Invalid input of callers, sent to the server and routes over loopback sockets."""
 
 import socket
 
@@ -57,7 +57,7 @@
         caller.sock.close()
 
 
-def is_served(caller: Caller) -> bool:
+def is_answered(caller: Caller) -> bool:
     caller.send(request(JOB))
     return caller.reply().body["state"] == "complete"
 
@@ -93,10 +93,10 @@
     ],
 )
 def test_bad_body_names_its_field_and_ran_nothing(host, call, body, named):
-    """A caller's program sends a job that makes no sense.
+    """A caller sends an invalid job.
 
-    It is told which field is wrong and that nothing ran, on a connection that goes on
-    to serve its next job.
+    The reply names the invalid field and says that nothing ran. The connection stays
+    open for the caller's next job.
     """
     caller = call()
     caller.send(request(body))
@@ -104,11 +104,11 @@
     assert (reply.status, reply.body["not_run"]) == (400, True)
     assert named in reply.body["message"]
     assert not host.submitted
-    assert is_served(caller)
+    assert is_answered(caller)
 
 
 def test_unknown_customer_is_refused(host, call):
-    """A token was withdrawn; its holder learns that nothing of its job ran."""
+    """A caller with a revoked token gets the reply that nothing ran."""
     caller = call()
     caller.send(request(JOB).replace(b"Bearer t", b"Bearer u"))
     reply = caller.reply()
@@ -117,9 +117,10 @@
 
 
 def test_keyed_job_may_not_outlive_its_key(host, call):
-    """A reassignment with an hour's deadline is repeated and sends a second crew.
+    """A keyed job with a deadline of an hour is repeated and runs twice.
 
-    The repeat comes after the key's ten minutes, while the first job still waits.
+    The repeat comes after the key has expired, after ten minutes, while the first job
+    is still waiting.
     """
     caller = call()
     long_job = JOB | {"deadline_ms": 3_600_000}
@@ -153,32 +154,32 @@
         (HEAD + b"Host: x\r\nA: " + b"y" * 70_000 + b"\r\n\r\n", 413),
     ],
 )
-def test_what_is_no_request_is_refused_and_closed(host, call, data, status):
-    """A scanner, a wrong port or a broken client sends what can't be read as HTTP.
+def test_malformed_request_is_refused_and_closed(host, call, data, status):
+    """A scanner, a client on the wrong port or a faulty client sends malformed HTTP.
 
-    circuits' parser raises or waits on some of these; the peer would hang.
+    The parser of circuits raises or waits on some of these, and the client would hang.
     """
     other, caller = call(), call()
     caller.send(data)
     reply = caller.reply()
     assert (reply.status, reply.body["not_run"]) == (status, True)
-    caller.until_closed()
-    assert not host.submitted and is_served(other)
+    caller.wait_closed()
+    assert not host.submitted and is_answered(other)
 
 
-def test_huge_body_in_flight_still_gets_its_refusal(host, call):
-    """A caller sends 8 MB and reads only afterwards.
+def test_caller_that_still_sends_a_huge_body_gets_the_refusal(host, call):
+    """A caller sends 8 MB and reads the reply only afterwards.
 
-    Were the connection closed with its bytes unread, the kernel would reset it and
-    the caller would see a broken pipe in place of the reason.
+    If the connection were closed with unread bytes, the kernel would reset it, and the
+    caller would get a broken pipe instead of the reason.
     """
     caller = call()
     caller.send(request(b"x" * 8_000_000))
     assert caller.reply().status == 413
-    assert is_served(call())
+    assert is_answered(call())
 
 
-def test_body_at_the_bound_is_read(host, call):
+def test_body_of_the_maximum_size_is_read(host, call):
     caller = call()
     caller.send(request(JOB) + request(b" " * (MAX_BODY - 2) + b"{}"))
     assert caller.reply().status == 200
@@ -187,9 +188,9 @@
 
 @pytest.mark.parametrize("place", [1, len(HEAD) - 1, 60])
 def test_request_in_two_parts_is_read_whole(loop, host, call, place):
-    """A router splits a request between the CR and the LF of its first line.
+    """The network splits a request between the CR and the LF of its first line.
 
-    circuits' parser never ends such a line, so the caller would wait for ever.
+    The parser of circuits never ends such a line, so the caller would wait forever.
     """
     caller, data = call(), request(JOB, path="/v1/jobs")
     caller.send(data[:place])
@@ -199,10 +200,11 @@
 
 
 @pytest.mark.parametrize("part", [b"POST", request(JOB)[:-3]])
-def test_slow_sender_is_refused_in_time_and_blocks_no_one(loop, host, call, part):
-    """A caller sends a part of its request, then a byte now and then, for hours.
+def test_slow_sender_is_refused_in_time_and_blocks_no_other(loop, host, call, part):
+    """A caller sends a part of its request, then single bytes for hours.
 
-    A thousand of them would use up all connections. Each has ten seconds a request.
+    A thousand such callers would use up all connections. Each request must be complete
+    within ten seconds.
     """
     caller, other = call(), call()
     caller.send(part)
@@ -210,16 +212,16 @@
     host.now += 9.0
     caller.send(b" ")
     loop.settle()
-    assert is_served(other)
+    assert is_answered(other)
     host.now += 1.5
     host.server.fire(web.sweep())
     reply = caller.reply()
     assert (reply.status, reply.body["not_run"]) == (400, True)
     assert "10 s" in reply.body["message"]
-    caller.until_closed()
+    caller.wait_closed()
 
 
-def test_waiting_caller_is_no_slow_sender(loop, host, call):
+def test_caller_that_waits_for_its_answer_is_no_slow_sender(loop, host, call):
     caller = call()
     host.answers_at_once = False
     caller.send(request(JOB))
@@ -232,7 +234,7 @@
 
 
 def test_half_closed_caller_gets_its_answer(loop, host, call):
-    """A caller shuts its sending side after the job and waits for the answer."""
+    """A caller shuts down its sending side after the job and waits for the answer."""
     caller = call()
     host.answers_at_once = False
     caller.send(request(JOB))
@@ -241,22 +243,22 @@
     loop.settle()
     host.answer(host.submitted[0].call)
     assert caller.reply().status == 200
-    caller.until_closed()
+    caller.wait_closed()
 
 
-def test_request_cut_off_by_a_half_close_is_refused(host, call):
-    """A caller's program ends in mid-request and shuts its sending side."""
+def test_request_truncated_by_a_half_close_is_refused(host, call):
+    """A caller shuts down its sending side in the middle of a request."""
     caller = call()
     caller.send(request(JOB)[:-3])
     caller.sock.shutdown(socket.SHUT_WR)
     reply = caller.reply()
     assert (reply.status, reply.body["not_run"]) == (400, True)
-    caller.until_closed()
+    caller.wait_closed()
     assert not host.submitted
 
 
 def test_pipelined_requests_are_answered_in_order(loop, host, call):
-    """A client sends three jobs at once; circuits took the later for one body."""
+    """A client sends three jobs at once; circuits parsed the later two as one body."""
     caller = call()
     host.answers_at_once = False
     caller.send(request(JOB) + request([]) + request(JOB))
@@ -270,10 +272,11 @@
     assert caller.reply().status == 200
 
 
-def test_pipelined_flood_is_held_back(loop, host, call):
-    """A caller sends without end while its first job runs.
+def test_pipelined_flood_is_throttled(loop, host, call):
+    """A caller sends requests without pause while its first job runs.
 
-    Beyond one request's bound the rest is left to the kernel, which stops the sender.
+    Beyond the maximum size of one request, bytes stay in the kernel, whose flow
+    control stops the sender.
     """
     caller = call()
     host.answers_at_once = False
@@ -290,43 +293,44 @@
     host.answer(host.submitted[0].call)
     assert caller.reply().status == 200
     host.answers_at_once = True
-    assert is_served(call())
+    assert is_answered(call())
 
 
-def test_odd_host_header_is_no_error(call):
-    """A Host header without a port number made circuits raise, and the caller wait."""
+def test_host_header_without_a_port_number_is_accepted(call):
+    """Such a header made circuits raise, and the caller waited without an answer."""
     caller = call()
     caller.send(request(JOB).replace(b"Host: e1", b"Host: x:yy"))
     assert caller.reply().status == 200
 
 
-def test_caller_that_waits_to_send_its_body_is_told_to(loop, host, call):
-    """curl sends `Expect: 100-continue` before a large body and waits a second."""
+def test_caller_that_expects_100_continue_gets_it(loop, host, call):
+    """Before a large body, curl sends `Expect: 100-continue` and waits a second."""
     caller, data = call(), request(JOB, extra="Expect: 100-continue\r\n")
     end = data.index(b"\r\n\r\n") + 4
     caller.send(data[:end])
 
-    def told() -> bool:
-        caller.pull()
+    def continued() -> bool:
+        caller.receive()
         return caller.data.startswith(b"HTTP/1.1 100 ")
 
-    loop.until(told)
+    loop.until(continued)
     caller.data = b""
     caller.send(data[end:])
     assert caller.reply().status == 200
 
 
-def test_too_many_connections_lock_no_one_out(loop, host, call, monkeypatch):
-    """A caller leaks idle connections until the host's bound.
+def test_idle_connections_lock_no_caller_out(loop, host, call, monkeypatch):
+    """A caller leaks idle connections up to the host's limit.
 
-    An idle one makes room for the next; with all in use the next is told so.
+    An idle connection is closed for a new one. If all are in use, a new one is refused
+    with an answer.
     """
     monkeypatch.setattr(web, "MAX_CONNECTIONS", 4)
     idle = [call() for _ in range(6)]
     loop.settle()
     assert host.server.connections == 4
-    idle[0].until_closed()
-    assert is_served(idle[5])
+    idle[0].wait_closed()
+    assert is_answered(idle[5])
     host.answers_at_once = False
     for caller in idle[2:]:
         caller.send(request(JOB))
@@ -335,8 +339,8 @@
     assert (reply.status, reply.body["not_run"]) == (503, True)
 
 
-def reset_in_mid_reply(loop, host, caller: Caller) -> None:
-    """Leave while the kernel holds a part of the reply and this host the rest."""
+def reset_during_reply(loop, host, caller: Caller) -> None:
+    """Reset the connection while a part of the reply is still in the host's buffer."""
     caller.send(request(JOB))
     loop.until(lambda: host.server.open_calls)
     large = Answer(JobState.COMPLETE, outputs=("x" * 8_000_000,))
@@ -348,13 +352,13 @@
 
 
 def test_closed_connections_leave_nothing_behind(loop, host, call):
-    """A host that runs for weeks grows with each connection that ever ended badly.
+    """The memory of a host grows with each connection that ended abnormally.
 
-    circuits keeps parsers, requests and buffers of sockets until a reply is sent.
+    circuits keeps the parsers, requests and buffers of sockets until a reply is sent.
     """
     host.answers_at_once = False
-    parts = [b"", b"POST", request(JOB)[:-3], request(JOB), b"nonsense\r\n\r\n"]
-    for part in parts * 3:
+    fragments = [b"", b"POST", request(JOB)[:-3], request(JOB), b"nonsense\r\n\r\n"]
+    for part in fragments * 3:
         caller = call()
         caller.send(part)
         loop.settle(4)
@@ -363,15 +367,15 @@
     for event in host.submitted:
         host.answer(event.call)
     loop.settle()
-    reset_in_mid_reply(loop, host, call())
+    reset_during_reply(loop, host, call())
     sockets = host.server._sockets
     assert host.server.connections == host.server.open_calls == 0
     assert not sockets._buffers and not sockets._clients and not sockets._closeq
     assert not [s for s in loop.poller._targets if s not in (sockets._sock,)]
 
 
-def test_fault_in_a_route_answers_its_caller(host, call, monkeypatch):
-    """A route raises; the caller hears that the outcome is unknown, not silence."""
+def test_exception_in_a_route_answers_its_caller(host, call, monkeypatch):
+    """A route raises; the caller gets an answer that the outcome is unknown."""
 
     def broken(_call):
         raise KeyError("boom")
--- a/jackdawspur/entry/tests/test_ids_and_upstreams.py
+++ b/jackdawspur/entry/tests/test_ids_and_upstreams.py
@@ -1,4 +1,4 @@
-"""Issued ids, keys and leaving upstreams over several real hosts."""
+"""Issued ids, keys and leaving upstreams, with several real hosts."""
 
 import time
 from threading import Barrier
@@ -6,7 +6,7 @@
 import pytest
 
 from jackdawspur.entry._trial_settings import CALLER, OTHER_CALLER
-from jackdawspur.entry.tests.helpers import CALLERS, begin_load, finish_load, job
+from jackdawspur.entry.tests.helpers import CALLER_POOL, finish_load, job, start_load
 from jackdawspur.entry.trial import call, wait_until
 
 LEAVING_S = 3.0
@@ -20,14 +20,14 @@
     return f"/v1/submissions/{answer.json['ids'][0]}"
 
 
-def test_issued_id_runs_once_whoever_is_asked(healed):
-    """A caller whose connection broke asks another host, and its job runs again.
+def test_issued_id_runs_once_whichever_host_is_asked(restored):
+    """A caller repeats a job at another host after a broken connection; it runs twice.
 
-    The id comes from one host, the job is put at another, put again at a third and
-    polled at a fourth.
+    The id is issued by one host. The job is submitted at a second one, again at a
+    third, and polled at a fourth.
     """
-    issuer, second, third, fourth = healed.hosts
-    before = healed.starts()
+    issuer, second, third, fourth = restored.hosts
+    before = restored.starts()
     path = _issue(issuer)
     body = job(300, 3, idempotent=False)
     first = second.call("PUT", path + "?wait=true", CALLER, body)
@@ -36,27 +36,27 @@
     for answer in (first, again, polled):
         assert (answer.status, answer.json["state"]) == (200, "complete"), answer
         assert answer.json["outputs"] == ["0", "1", "2"]
-    assert healed.starts() - before == 3
-    assert healed.started_twice() == 0
+    assert restored.starts() - before == 3
+    assert restored.started_twice() == 0
     assert fourth.call("GET", path, OTHER_CALLER).status == 404
 
 
-def test_issued_id_is_cancelled_from_a_third_host(healed):
-    """A cancelled order is carried out, because another host was told."""
-    issuer, second, third, fourth = healed.hosts
+def test_issued_id_is_cancelled_from_a_third_host(restored):
+    """A cancelled job still runs, because another host than its owner got the call."""
+    issuer, second, third, fourth = restored.hosts
     path = _issue(issuer)
     body = job(20_000, 2, idempotent=False)
-    before = healed.starts()
+    before = restored.starts()
     assert second.call("PUT", path, CALLER, body).status == 202
-    wait_until(lambda: healed.starts() - before == 2, "both tasks started")
+    wait_until(lambda: restored.starts() - before == 2, "both tasks started")
     assert third.call("DELETE", path, OTHER_CALLER).status == 404
     assert fourth.call("GET", path, CALLER).json["state"] == "pending"
     cancelled = third.call("DELETE", path, CALLER)
     assert cancelled.json["code"] == "cancelled", cancelled
     again = second.call("PUT", path + "?wait=true", CALLER, body)
     assert again.json["code"] == "cancelled", again
-    wait_until(lambda: _busy(healed) == 0, "both tasks stopped")
-    assert healed.starts() - before == 2
+    wait_until(lambda: _busy(restored) == 0, "both tasks stopped")
+    assert restored.starts() - before == 2
 
 
 def _busy(deployment) -> int:
@@ -64,47 +64,50 @@
 
 
 @pytest.mark.parametrize("number", range(3))
-def test_key_used_at_two_hosts_at_once_runs_once(healed, number):
-    """A passenger is moved twice: the caller's retry overtook its first request."""
-    before = healed.starts()
+def test_key_used_at_two_hosts_at_once_runs_once(restored, number):
+    """A keyed job runs twice because the caller's retry overtakes its first request."""
+    before = restored.starts()
     body = job(400, 2, idempotent=False)
-    together = Barrier(2)
+    barrier = Barrier(2)
 
     def submit(host):
-        together.wait(30)
+        barrier.wait(30)
         path = "/v1/jobs?wait=true"
         return host.call("POST", path, CALLER, body, f"twice-{number}")
 
-    answers = list(CALLERS.map(submit, (healed.hosts[0], healed.hosts[3])))
+    answers = list(CALLER_POOL.map(submit, (restored.hosts[0], restored.hosts[3])))
     states = [answer.json["state"] for answer in answers]
     assert states == ["complete", "complete"], [answer.text for answer in answers]
-    assert healed.starts() - before == 2
-    assert healed.started_twice() == 0
+    assert restored.starts() - before == 2
+    assert restored.started_twice() == 0
 
 
-def test_leaving_upstream_gets_nothing_new_though_the_list_lags(healed):
-    """Jobs fail on a machine that its rack's owners are about to switch off.
+def test_leaving_upstream_gets_nothing_new_though_the_list_lags(restored):
+    """Jobs fail on an upstream that is about to be switched off.
 
-    An upstream says that it leaves; the host list will tell half a minute later. The
-    hosts must hear of it from its replies and from each other within 3 s.
+    The upstream reports in its replies that it is leaving; the host list shows it half
+    a minute later. The hosts must learn it from the replies and from each other within
+    3 s.
     """
     lag = {"lag_ms": LIST_LAG_MS}
-    call(healed.settings.host_list.address, "POST", "/faults", body=lag)
-    leaving, *rest = healed.upstreams()
-    load = begin_load(healed, LEAVING_S + 3.0, 0.5)
-    healed.set_leaving(leaving)
+    call(restored.settings.host_list.address, "POST", "/faults", body=lag)
+    leaving, *rest = restored.upstreams()
+    load = start_load(restored, LEAVING_S + 3.0, 0.5)
+    restored.set_leaving(leaving)
     try:
         time.sleep(LEAVING_S)
-        then = healed.counters(leaving)
-        others = sum(healed.counters(a).starts for a in rest)
+        counters_before = restored.counters(leaving)
+        other_tasks = sum(restored.counters(a).starts for a in rest)
         wait_until(
-            lambda: sum(healed.counters(a).starts for a in rest) >= others + 100,
+            lambda: sum(restored.counters(a).starts for a in rest) >= other_tasks + 100,
             "starts elsewhere",
         )
-        now = healed.counters(leaving)
-        assert now.starts == then.starts
-        assert now.requests.get(STARTS_PATH, 0) == then.requests.get(STARTS_PATH, 0)
+        counters_after = restored.counters(leaving)
+        assert counters_after.starts == counters_before.starts
+        assert counters_after.requests.get(
+            STARTS_PATH, 0
+        ) == counters_before.requests.get(STARTS_PATH, 0)
         finish_load(load)
     finally:
-        healed.set_leaving(leaving, False)
-        call(healed.settings.host_list.address, "POST", "/faults", body={})
+        restored.set_leaving(leaving, False)
+        call(restored.settings.host_list.address, "POST", "/faults", body={})
--- a/jackdawspur/entry/tests/test_never_back.py
+++ b/jackdawspur/entry/tests/test_never_back.py
@@ -1,4 +1,4 @@
-"""The configuration over restarts, outages and races, on real processes."""
+"""The configuration after restarts, outages and races, with real processes."""
 
 import signal
 from threading import Barrier
@@ -7,7 +7,7 @@
 
 from jackdawspur.entry._trial_settings import CALLER, OPERATORS, VIEWER
 from jackdawspur.entry.tests.helpers import (
-    CALLERS,
+    CALLER_POOL,
     change_quota,
     job,
     quota_intent,
@@ -18,56 +18,58 @@
 LOST_REPLIES = 6
 
 
-def _come_back(hosts, version) -> None:
-    """Wait for readiness, and see no version but the one that was in force."""
-    seen = set()
+def _wait_ready_at_version(hosts, version) -> None:
+    """Wait until hosts are ready; no other version may be in force meanwhile."""
+    versions = set()
 
     def ready(host) -> bool:
-        seen.add(host.status()["host"]["version"])
+        versions.add(host.status()["host"]["version"])
         return host.ready()
 
     for host in hosts:
         wait_until(lambda host=host: ready(host), f"readiness of {host.name}")
-        seen.add(host.version())
-    assert seen <= {NONE_IN_FORCE, version}
+        versions.add(host.version())
+    assert versions <= {NONE_IN_FORCE, version}
 
 
-def test_restarts_with_the_log_down_keep_the_version(healed):
-    """An operator's change is gone after a restart during an outage of the log.
+def test_restarts_with_the_log_down_keep_the_version(restored):
+    """An operator's change is lost by restarts during an outage of the log.
 
-    The change is confirmed; the log goes down; every host is restarted, then all
-    but one at once. Without its peers' records a host would serve an older version.
+    After the change is confirmed, the log goes down. All hosts are restarted one by
+    one, then all but one at once. Without the records of its peers a host would serve
+    an older version.
     """
-    version = change_quota(healed, 41)
-    healed.log_faults(outage=True)
-    for host in healed.hosts:
+    version = change_quota(restored, 41)
+    restored.set_log_faults(outage=True)
+    for host in restored.hosts:
         host.signal(signal.SIGTERM)
         assert host.wait() == 0
         host.start()
-        _come_back([host], version)
-    rest = healed.hosts[1:]
-    for host in rest:
+        _wait_ready_at_version([host], version)
+    others = restored.hosts[1:]
+    for host in others:
         host.kill()
         host.start()
-    _come_back(rest, version)
-    healed.log_faults()
-    healed.wait_log_read()
-    later = change_quota(healed, 42)
+    _wait_ready_at_version(others, version)
+    restored.set_log_faults()
+    restored.wait_log_read()
+    later = change_quota(restored, 42)
     assert later > version
-    assert {host.version() for host in healed.hosts} == {later}
+    assert {host.version() for host in restored.hosts} == {later}
 
 
-def test_host_alone_without_the_log_is_not_ready(healed):
-    """A job is lost on a host that has no configuration to serve it by.
+def test_host_alone_without_the_log_is_not_ready(restored):
+    """A host without a configuration accepts a job and loses it.
 
-    All hosts are down, the log too; one host starts. It can know nothing, so it must
-    say so and refuse with "not run"; after the outage all have the old version.
+    One host starts while the log and all other hosts are down. It can't get a
+    configuration, so it must report the reason and refuse jobs with "not run". After
+    the outage all hosts have the old version.
     """
-    version = change_quota(healed, 43)
-    for host in healed.hosts:
+    version = change_quota(restored, 43)
+    for host in restored.hosts:
         host.kill()
-    healed.log_faults(outage=True)
-    alone = healed.hosts[-1]
+    restored.set_log_faults(outage=True)
+    alone = restored.hosts[-1]
     alone.start()
     wait_until(
         lambda: "no peer" in alone.call("GET", "/readyz").text,
@@ -79,35 +81,35 @@
     assert refused.status == 503
     assert refused.json["not_run"] is True
     assert refused.json["code"] == "not_ready"
-    healed.log_faults()
-    for host in healed.hosts[:-1]:
+    restored.set_log_faults()
+    for host in restored.hosts[:-1]:
         host.start()
-    _come_back(healed.hosts, version)
+    _wait_ready_at_version(restored.hosts, version)
 
 
-def _race(deployment, number: int):
-    """Let every operator confirm a plan on the same base at once; return replies."""
+def _confirm_concurrently(deployment, number: int):
+    """Let all operators confirm plans on one base at once; return ids and replies."""
     hosts = deployment.hosts
     plans = [
         deployment.plan(
-            hosts[place % len(hosts)],
-            quota_intent(10 + place, f"round {number} of {name}"),
+            hosts[index % len(hosts)],
+            quota_intent(10 + index, f"round {number} of {name}"),
             name,
         )
-        for place, name in enumerate(OPERATORS)
+        for index, name in enumerate(OPERATORS)
     ]
     assert {plan.status for plan in plans} == {200}
     ids = [plan.json["body"]["id"] for plan in plans]
     assert len({plan.json["body"]["base"] for plan in plans}) == 1
-    deployment.log_faults(lose_appends=LOST_REPLIES)
-    together = Barrier(len(OPERATORS))
+    deployment.set_log_faults(lose_appends=LOST_REPLIES)
+    barrier = Barrier(len(OPERATORS))
 
-    def confirm(place: int):
-        together.wait(30)
-        host = hosts[(place + 1) % len(hosts)]
-        return deployment.confirm(host, ids[place], OPERATORS[place])
+    def confirm(index: int):
+        barrier.wait(30)
+        host = hosts[(index + 1) % len(hosts)]
+        return deployment.confirm(host, ids[index], OPERATORS[index])
 
-    return ids, list(CALLERS.map(confirm, range(len(OPERATORS))))
+    return ids, list(CALLER_POOL.map(confirm, range(len(OPERATORS))))
 
 
 def _order(host) -> list:
@@ -116,13 +118,14 @@
 
 
 @pytest.mark.parametrize("number", [1, 2])
-def test_race_has_one_winner_and_one_order(healed, number):
-    """Two operators both believe that their change is in force.
+def test_race_has_one_winner_and_one_order(restored, number):
+    """Two operators both get the reply that their change is in force.
 
-    Eight confirm on the same version at different hosts while the log loses replies
-    after their effect, so hosts append again without knowing what became of it.
+    Eight operators confirm plans on the same version at different hosts. The log loses
+    replies to appends that took effect, so hosts append again without knowing the
+    outcome.
     """
-    ids, replies = _race(healed, number)
+    ids, replies = _confirm_concurrently(restored, number)
     won = [(i, r) for i, r in zip(ids, replies, strict=True) if r.status == 200]
     assert len(won) == 1, [r.text for r in replies]
     plan, winner = won[0]
@@ -130,11 +133,11 @@
     lost = [reply for reply in replies if reply.status == 409]
     assert len(lost) == len(replies) - 1
     assert {reply.json["body"]["won"] for reply in lost} == {version}
-    healed.wait_version(version)
-    for host in healed.hosts:
-        again = healed.confirm(host, plan)
+    restored.wait_version(version)
+    for host in restored.hosts:
+        again = restored.confirm(host, plan)
         assert (again.status, again.json["body"]["version"]) == (200, version)
-    orders = [_order(host) for host in healed.hosts]
+    orders = [_order(host) for host in restored.hosts]
     assert all(order == orders[0] for order in orders)
     assert [entry for entry in orders[0] if entry[0] in ids] == [
         (plan, version, winner.json["body"]["operator"])
@@ -146,7 +149,7 @@
 
 
 def test_invalid_intent_shows_every_error_and_appends_nothing(deployment):
-    """An operator mends one error after the other, a refusal for each."""
+    """An operator must fix errors one by one, with a refusal for each."""
     host = deployment.hosts[0]
     before = _appends(host)
     customer = {"name": "UPPER", "token_sha256": ["short"], "quota_slots": 0}
@@ -167,7 +170,7 @@
 
 
 def test_operators_without_the_right_see_and_change_nothing(deployment):
-    """Somebody without a token, or with less than a right, changes a quota."""
+    """A caller without a token or the necessary right changes a quota."""
     host = deployment.hosts[0]
     before = _appends(host), host.version()
     for token, status in (("", 401), ("wrong", 401), (CALLER, 401), (VIEWER, 403)):
@@ -185,13 +188,13 @@
     assert (_appends(host), host.version()) == before
 
 
-def test_stale_plan_conflicts_with_the_changes_since(healed):
-    """A plan read yesterday undoes what was confirmed since."""
-    stale = healed.plan(healed.hosts[1], quota_intent(20, "stale"))
-    version = change_quota(healed, 21)
-    refused = healed.confirm(healed.hosts[2], stale.json["body"]["id"])
+def test_stale_plan_conflicts_with_the_changes_since(restored):
+    """A plan made before another change reverts that change."""
+    stale = restored.plan(restored.hosts[1], quota_intent(20, "stale"))
+    version = change_quota(restored, 21)
+    refused = restored.confirm(restored.hosts[2], stale.json["body"]["id"])
     assert refused.status == 409
     body = refused.json["body"]
     assert body["won"] == version
     assert [change["version"] for change in body["since"]] == [version]
-    assert {host.version() for host in healed.hosts} == {version}
+    assert {host.version() for host in restored.hosts} == {version}
--- a/jackdawspur/entry/tests/test_operator_session.py
+++ b/jackdawspur/entry/tests/test_operator_session.py
@@ -1,4 +1,4 @@
-"""A whole session of operators on the command line, against golden files."""
+"""A session of operators on the command line, compared with a golden file."""
 
 import json
 import re
@@ -7,30 +7,30 @@
 
 from jackdawspur.entry._trial_settings import OPERATORS, VIEWER
 from jackdawspur.entry.tests.helpers import quota_intent
-from jackdawspur.entry.tests.session import Names
+from jackdawspur.entry.tests.session import Placeholders
 from jackdawspur.entry.trial import wait_until
 
 ANN, BEN = OPERATORS[:2]
 
 
 class Terminal:
-    """Run commands against one host and keep what they print."""
+    """Runs commands against one host and records their output."""
 
     def __init__(self, host, folder) -> None:
         self._host = host
         self._folder = folder
-        self._names = Names()
+        self._placeholders = Placeholders()
         self.transcript = ""
 
     def run(self, token: str, command: str, *rest: str) -> str:
-        """Run a command as an operator; return what it printed, unchanged."""
+        """Run a command as an operator; return its original output."""
         flags = [f"--host={self._host.address}", f"--token={token}"]
         line = [sys.executable, "-m", "jackdawspur", command, *flags, *rest]
         done = subprocess.run(line, capture_output=True, text=True, timeout=60)
         shown = " ".join((token, "$", "jackdawspur", command, *rest))
         shown = shown.replace(f"{self._folder}/", "")
         text = f"{shown}\n{done.stdout}{done.stderr}exit {done.returncode}\n\n"
-        self.transcript += self._names.normalise(text)
+        self.transcript += self._placeholders.normalise(text)
         return done.stdout
 
     def plan(self, token: str, name: str, intent: object) -> str:
@@ -41,8 +41,8 @@
         return found[1] if found else ""
 
 
-def _settled(deployment, version: int, through: int) -> bool:
-    """Tell whether every host sees every host and zone at a version."""
+def _is_converged(deployment, version: int, through: int) -> bool:
+    """Return whether all hosts see all hosts, and all zones at a version."""
     for host in deployment.hosts:
         status = host.status()
         if status["configuration"]["through"] != through:
@@ -56,11 +56,13 @@
 
 
 def test_session_of_operators(deployment, tmp_path, snapshot):
-    """Show plan, confirm, status, a conflict, refusals and the history."""
+    """Run plan, confirm, status, a conflict, refusals and the history."""
     host = deployment.hosts[0]
     first = host.version()
-    # The first host writes the first snapshot; no other host may double it.
-    wait_until(lambda: _settled(deployment, first, first + 1), "the first snapshot")
+    # The first host writes the first snapshot; no other host may write it again.
+    wait_until(
+        lambda: _is_converged(deployment, first, first + 1), "the first snapshot"
+    )
     terminal = Terminal(host, tmp_path)
     terminal.run(VIEWER, "status")
     ann = terminal.plan(ANN, "ann.json", quota_intent(40, "more room for reports"))
@@ -70,7 +72,7 @@
     version = host.version()
     assert version > first
     wait_until(
-        lambda: _settled(deployment, version, version), "the change in every zone"
+        lambda: _is_converged(deployment, version, version), "the change in every zone"
     )
     terminal.run(ANN, "confirm", ann)
     terminal.run(BEN, "confirm", ben)
--- a/jackdawspur/entry/trial.py
+++ b/jackdawspur/entry/trial.py
@@ -1,4 +1,4 @@
-"""Run a deployment's processes on this machine, for tests and measurements."""
+"""Runs the processes of a deployment on this machine, for tests and measurements."""
 
 import http.client
 import signal
@@ -32,18 +32,18 @@
 
 __all__ = ["Deployment", "HttpAnswer", "Program", "TrialFailed", "call", "wait_until"]
 
-BOUND_S = 30.0
+TIMEOUT_S = 30.0
 POLL_S = 0.02
-END_S = 5.0
+KILL_TIMEOUT_S = 5.0
 
 
 class TrialFailed(JackdawspurError):
-    """Raise when a deployment does not do in time what it must."""
+    """Raised when a deployment doesn't reach an expected state in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """Carry one HTTP answer."""
+    """Answer to an HTTP call."""
 
     status: int
     text: str
@@ -62,13 +62,13 @@
     body: object = None,
     key: str | None = None,
 ) -> HttpAnswer:
-    """Make one HTTP call; raise `OSError` or `HTTPException` if no answer comes."""
+    """Make one HTTP call; raise `OSError` or `HTTPException` without an answer."""
     data = body if isinstance(body, bytes) else msgspec.json.encode(body)
     headers = {"Authorization": f"Bearer {token}"} if token else {}
     if key is not None:
         headers["Idempotency-Key"] = key
-    where = split_address(address)
-    connection = http.client.HTTPConnection(*where, timeout=BOUND_S)
+    host_and_port = split_address(address)
+    connection = http.client.HTTPConnection(*host_and_port, timeout=TIMEOUT_S)
     try:
         connection.request(method, path, b"" if body is None else data, headers)
         response = connection.getresponse()
@@ -77,21 +77,23 @@
         connection.close()
 
 
-def wait_until(holds: Callable[[], bool], what: str, bound_s: float = BOUND_S) -> None:
-    """Return once `holds` does; raise `TrialFailed` after the bound."""
-    ends_at = time.monotonic() + bound_s
-    while time.monotonic() < ends_at:
+def wait_until(
+    condition: Callable[[], bool], what: str, timeout_s: float = TIMEOUT_S
+) -> None:
+    """Wait until `condition` returns true; raise `TrialFailed` after the timeout."""
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         try:
-            if holds():
+            if condition():
                 return
         except (OSError, http.client.HTTPException):
             pass
         time.sleep(POLL_S)
-    raise TrialFailed(f"not within {bound_s} s: {what}")
+    raise TrialFailed(f"not within {timeout_s} s: {what}")
 
 
 class Program:
-    """Hold one process and what it was started with."""
+    """One process and its arguments."""
 
     def __init__(self, name: str, folder: Path, arguments: Iterable[str]) -> None:
         self.name = name
@@ -101,26 +103,26 @@
 
     @property
     def pid(self) -> int:
-        """Return the process id of the present run."""
+        """Return the process id."""
         return self._process.pid
 
     @property
     def running(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process runs."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def output(self) -> str:
-        """Return what was printed on standard output."""
+        """Return the text written to standard output."""
         return (self._folder / f"{self.name}.out").read_text()
 
     @property
-    def lines(self) -> str:
-        """Return what was printed on standard error."""
+    def log_output(self) -> str:
+        """Return the text written to standard error."""
         return (self._folder / f"{self.name}.err").read_text()
 
     def start(self) -> None:
-        """Start the process once more."""
+        """Start the process; output of earlier runs is kept."""
         command = [sys.executable, "-m", "jackdawspur", *self._arguments]
         with (
             open(self._folder / f"{self.name}.out", "ab") as out,
@@ -129,25 +131,25 @@
             self._process = subprocess.Popen(command, stdout=out, stderr=err)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process, and only to it."""
+        """Send a signal to this process, not to its group."""
         self._process.send_signal(number)
 
-    def wait(self, bound_s: float = BOUND_S) -> int:
-        """Return the exit status; raise `TrialFailed` after the bound."""
+    def wait(self, timeout_s: float = TIMEOUT_S) -> int:
+        """Return the exit status; raise `TrialFailed` after the timeout."""
         try:
-            return self._process.wait(bound_s)
+            return self._process.wait(timeout_s)
         except subprocess.TimeoutExpired as error:
-            raise TrialFailed(f"{self.name} did not end in {bound_s} s") from error
+            raise TrialFailed(f"{self.name} did not end in {timeout_s} s") from error
 
     def kill(self) -> None:
-        """End the process at once, also when it is stopped."""
+        """Kill the process, even if it is suspended."""
         if self.running:
             self._process.kill()
-            self._process.wait(END_S)
+            self._process.wait(KILL_TIMEOUT_S)
 
 
 class EntryProgram(Program):
-    """Hold one entry host's process."""
+    """Process of one entry host."""
 
     def __init__(self, settings: EntrySettings, folder: Path) -> None:
         name = f"{settings.zone}-{settings.name}"
@@ -157,7 +159,7 @@
 
     @property
     def address(self) -> str:
-        """Return where it serves HTTP."""
+        """Return the address on which it serves HTTP."""
         return self.settings.http
 
     def call(
@@ -172,31 +174,31 @@
         return call(self.address, method, path, token, body, key)
 
     def ready(self) -> bool:
-        """Tell whether the host is ready."""
+        """Return whether the host is ready."""
         return self.call("GET", "/readyz").status == HTTPStatus.OK
 
     def live(self) -> bool:
-        """Tell whether the host answers."""
+        """Return whether the host answers."""
         return self.call("GET", "/livez").status == HTTPStatus.OK
 
     def status(self, token: str = OPERATORS[0]) -> dict:
-        """Return the status that an operator sees, as JSON."""
+        """Return the status for operators as decoded JSON."""
         return self.call("GET", "/status", token).json
 
     def version(self) -> int:
-        """Return the version in force here."""
+        """Return the version in force on this host."""
         return self.status()["configuration"]["version"]
 
 
 class Deployment:
-    """Start, disturb and end the processes of one deployment."""
+    """Starts and ends the processes of one deployment, and injects faults."""
 
     def __init__(self, folder: Path, sizes: Sizes) -> None:
         self.folder = folder
         self.settings: TrialSettings = make_settings(sizes)
         self.hosts = tuple(EntryProgram(s, folder) for s in self.settings.hosts)
         self._standins = tuple(self._make_standins())
-        self._others: list[Program] = []
+        self._other_programs: list[Program] = []
         document = TypeAdapter(Configuration).dump_json(self.settings.configuration)
         self.document = folder / "configuration.json"
         self.document.write_bytes(document)
@@ -205,15 +207,15 @@
         kinds = [("log", "log", self.settings.log)]
         kinds += [("hostlist", "hostlist", self.settings.host_list)]
         kinds += [
-            (f"rack{number}", "worker", rack)
-            for number, rack in enumerate(self.settings.racks)
+            (f"rack{number}", "worker", worker_pool)
+            for number, worker_pool in enumerate(self.settings.worker_pools)
         ]
         for name, kind, settings in kinds:
             path = _write(self.folder, name, settings)
             yield Program(name, self.folder, ("standin", kind, f"--settings={path}"))
 
     def start(self) -> None:
-        """Start everything and put the first configuration in force everywhere."""
+        """Start all processes and put the first configuration into force."""
         for program in (*self._standins, *self.hosts):
             program.start()
         self.confirm_first()
@@ -226,7 +228,7 @@
         changes = changes_between(Configuration(), self.settings.configuration)
         intent = Intent(reason="first configuration", changes=changes)
         body = TypeAdapter(Intent).dump_json(intent)
-        # Until the host has read the empty log to its end it can't judge a plan.
+        # The host refuses plans until it has read the empty log to its end.
         wait_until(lambda: _lacks_configuration(host), "the end of the empty log")
         plan = self.plan(host, body).json["body"]["id"]
         answer = self.confirm(host, plan)
@@ -259,9 +261,10 @@
             )
 
     def wait_log_read(self) -> None:
-        """Wait until every host has read the log to its end, as after an outage.
+        """Wait until every host has read the log to its end, such as after an outage.
 
-        Until then it refuses to judge a plan; after that it judges an empty one.
+        Until then a host refuses all plans as not ready. After that it refuses the
+        empty plan sent here as a bad request.
         """
         for host in self.hosts:
             wait_until(
@@ -269,41 +272,45 @@
                 f"the log read to its end on {host.name}",
             )
 
-    def log_faults(self, **faults: object) -> None:
-        """Set the faults of the log; none heals it."""
+    def set_log_faults(self, **faults: object) -> None:
+        """Set the faults of the log; without arguments, remove all."""
         _expect_ok(call(self.settings.log.address, "POST", "/faults", body=faults))
 
     def set_leaving(self, address: str, leaving: bool = True) -> None:
-        """Let an upstream refuse starts because it leaves."""
+        """Make an upstream refuse starts as a leaving one does, or accept them."""
         _expect_ok(call(address, "POST", "/faults", body={"leaving": leaving}))
 
     def counters(self, address: str) -> WorkerCounters:
-        """Return what one upstream counted itself."""
+        """Return the counters of one upstream."""
         answer = call(address, "GET", "/v1/counters")
         return msgspec.json.decode(answer.text, type=WorkerCounters)
 
     def starts(self) -> int:
-        """Return the starts that all upstreams counted."""
+        """Return the number of starts counted by all upstreams."""
         return sum(self.counters(a).starts for a in self.upstreams())
 
     def started_twice(self) -> int:
-        """Return how many tasks the upstreams started twice."""
+        """Return the number of tasks that upstreams started twice."""
         return sum(self.counters(a).started_twice for a in self.upstreams())
 
     def upstreams(self) -> tuple[str, ...]:
-        """Return the addresses of the upstreams that run."""
-        return tuple(a for rack in self.settings.racks for a in rack.addresses)
+        """Return the addresses of the running upstreams."""
+        return tuple(
+            a
+            for worker_pool in self.settings.worker_pools
+            for a in worker_pool.addresses
+        )
 
     def run(self, name: str, *arguments: str) -> Program:
-        """Start one more program, such as a load; it ends with the deployment."""
+        """Start another program, such as a load generator; `close` kills it."""
         program = Program(name, self.folder, arguments)
-        self._others.append(program)
+        self._other_programs.append(program)
         program.start()
         return program
 
     def close(self) -> None:
-        """End every process that this deployment started."""
-        for program in (*self._others, *self.hosts, *self._standins):
+        """Kill all processes that this deployment started."""
+        for program in (*self._other_programs, *self.hosts, *self._standins):
             program.kill()
 
 
