--- a/jackdawspur/configuration/_text.py
+++ b/jackdawspur/configuration/_text.py
@@ -50,10 +50,10 @@
 
 @_lines.register
 def _change(change: ChangeStatus) -> list[str]:
-    place = "-" if change.version is None else f"version {change.version}"
+    version = "-" if change.version is None else f"version {change.version}"
     when = datetime.fromtimestamp(change.at, UTC).isoformat(timespec="seconds")
     lines = [
-        f"{place} {change.state} plan {change.plan}",
+        f"{version} {change.state} plan {change.plan}",
         f"    {when} {change.operator}: {change.reason}",
     ]
     if change.in_force:
--- a/jackdawspur/configuration/tests/test_cluster.py
+++ b/jackdawspur/configuration/tests/test_everywhere.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_concurrent_confirms_of_eight_operators_give_one_order(cluster, document, seed):
+def test_race_of_eight_operators_gives_one_order(cluster, document, seed):
     """Eight operators plan on the same version and confirm at once.
 
     Half of the replies to appends are lost, so hosts append confirms again. Exactly
@@ -84,7 +84,7 @@
     assert cluster.hosts["north-c.e1"].replica.log_health is LogHealth.DOWN
 
 
-def test_partitioned_zone_is_reported_and_catches_up(cluster, document):
+def test_zone_cut_from_all_is_named_and_catches_up(cluster, document):
     """A zone is partitioned from the log and all other zones, then reconnected.
 
     Meanwhile a change is in force in the other zones but not accepted, and the zone
--- a/jackdawspur/configuration/tests/test_replica.py
+++ b/jackdawspur/configuration/tests/test_replica.py
@@ -31,8 +31,8 @@
 
 ANN = "example-ann-token"
 SELF = HostId("north-a", "e1", 9)
-SIBLING = HostId("north-a", "e2", 1)
-OTHER = HostId("north-b", "e1", 1)
+ZONE_PEER = HostId("north-a", "e2", 1)
+REMOTE_PEER = HostId("north-b", "e1", 1)
 
 
 def heartbeat(host, version, ready=True, zones=()):
@@ -58,20 +58,20 @@
         "north-a.e1", ANN, quota_intent(document, 100)
     ).body.version
     replica.handle(0.0, LogReadFailed("down"))
-    far = HostId("north-c", "e1", 1)
-    replica.handle(0.1, LivePeersChanged((SIBLING, OTHER, far)))
+    third_zone_peer = HostId("north-c", "e1", 1)
+    replica.handle(0.1, LivePeersChanged((ZONE_PEER, REMOTE_PEER, third_zone_peer)))
     zones = (ZoneStatus("north-c", version),) if relayed else ()
     replica.handle(
-        0.1, HeartbeatReceived(heartbeat(OTHER, old[-1].offset, zones=zones))
+        0.1, HeartbeatReceived(heartbeat(REMOTE_PEER, old[-1].offset, zones=zones))
     )
     own = old[-1].offset if relayed else version
-    replica.handle(0.1, HeartbeatReceived(heartbeat(SIBLING, own)))
-    effects = replica.handle(0.2, RecordsReceived(OTHER, RecordsPassed(old)))
+    replica.handle(0.1, HeartbeatReceived(heartbeat(ZONE_PEER, own)))
+    effects = replica.handle(0.2, RecordsReceived(REMOTE_PEER, RecordsPassed(old)))
     assert replica.readiness.reason is ReadinessReason.BEHIND_PEERS
     assert not any(isinstance(effect, ActivateConfiguration) for effect in effects)
     new = tuple(cluster.log.records[len(old) :])
     effects = replica.handle(
-        0.3, RecordsReceived(SIBLING, RecordsPassed(new, old[-1].offset))
+        0.3, RecordsReceived(ZONE_PEER, RecordsPassed(new, old[-1].offset))
     )
     activated = [
         e.cluster_spec.version for e in effects if isinstance(e, ActivateConfiguration)
@@ -85,16 +85,16 @@
     No host of that zone sends heartbeats to this one directly. Any of its hosts has
     the records, and those that don't answer must not delay a cold start.
     """
-    far = HostId("north-c", "e1", 1)
+    third_zone_peer = HostId("north-c", "e1", 1)
     replica.handle(0.0, LogReadFailed("down"))
-    replica.handle(0.1, LivePeersChanged((SIBLING, far)))
-    ahead = heartbeat(SIBLING, 3, zones=(ZoneStatus("north-c", 9),))
+    replica.handle(0.1, LivePeersChanged((ZONE_PEER, third_zone_peer)))
+    ahead = heartbeat(ZONE_PEER, 3, zones=(ZoneStatus("north-c", 9),))
     effects = replica.handle(0.7, HeartbeatReceived(ahead))
     asked = [e.to for e in effects if isinstance(e, RequestRecords)]
     for step in range(20):
         effects = replica.handle(1.0 + step, ReplicaTick(0.0))
         asked += [e.to for e in effects if isinstance(e, RequestRecords)]
-    assert far in asked
+    assert third_zone_peer in asked
 
 
 def test_reconnected_host_closes_its_gap_in_a_trimmed_log(cluster, document):
@@ -131,12 +131,12 @@
     records = tuple(r for r in cluster.log.records if r.offset <= version)
     replica.handle(0.0, LogRecordsRead(records[:-1]))
     ahead = RecordsPassed(records[-1:], version + 3)
-    replica.handle(0.1, RecordsReceived(OTHER, ahead))
+    replica.handle(0.1, RecordsReceived(REMOTE_PEER, ahead))
     assert replica.state_machine.through == version - 1
     sender = cluster.hosts["north-b.e1"].replica
     [state, *_] = sender.handle(cluster.now, RecordsRequested(SELF, RecordsWanted(-2)))
     for _ in range(2):
-        replica.handle(0.2, RecordsReceived(OTHER, state.passed))
+        replica.handle(0.2, RecordsReceived(REMOTE_PEER, state.passed))
     assert replica.state_machine.version == version and replica.state_machine.contiguous
     assert replica.state_machine.configuration == sender.state_machine.configuration
 
@@ -160,41 +160,43 @@
     asked = set()
     for step in range(1, 60):
         now = step / 10
-        effects = replica.handle(now, LivePeersChanged((SIBLING, OTHER)))
+        effects = replica.handle(now, LivePeersChanged((ZONE_PEER, REMOTE_PEER)))
         for effect in (*effects, *replica.handle(now, ReplicaTick(0.0))):
             if isinstance(effect, RequestRecords):
                 asked.add(effect.to)
                 replica.handle(now, RecordsReceived(effect.to, RecordsPassed((), -1)))
-    assert asked == {SIBLING, OTHER}
+    assert asked == {ZONE_PEER, REMOTE_PEER}
     assert replica.readiness.reason is ReadinessReason.LOG_UNREACHABLE
 
 
 def test_host_without_configuration_sends_no_records(replica):
-    [sent, *_] = replica.handle(0.0, RecordsRequested(OTHER, RecordsWanted(-2)))
-    assert sent == SendRecords(OTHER, RecordsPassed((), -2))
+    [sent, *_] = replica.handle(0.0, RecordsRequested(REMOTE_PEER, RecordsWanted(-2)))
+    assert sent == SendRecords(REMOTE_PEER, RecordsPassed((), -2))
 
 
 def test_zone_has_a_version_only_when_all_its_hosts_have_it():
     """A zone must not report a change that an unresponsive or lagging peer lacks."""
     zones = ZoneReports(SELF)
-    zones.update_own_zone([SIBLING, OTHER], 7, 0.0)
+    zones.update_own_zone([ZONE_PEER, REMOTE_PEER], 7, 0.0)
     assert zones.in_force(7) == frozenset()
-    zones.record_heartbeat(heartbeat(SIBLING, 4), 0.0)
-    zones.update_own_zone([SIBLING], 7, 0.0)
+    zones.record_heartbeat(heartbeat(ZONE_PEER, 4), 0.0)
+    zones.update_own_zone([ZONE_PEER], 7, 0.0)
     assert zones.in_force(7) == frozenset()
-    zones.record_heartbeat(heartbeat(SIBLING, 7), 1.0)
-    zones.update_own_zone([SIBLING], 7, 1.0)
+    zones.record_heartbeat(heartbeat(ZONE_PEER, 7), 1.0)
+    zones.update_own_zone([ZONE_PEER], 7, 1.0)
     assert zones.in_force(7) == {"north-a"}
-    zones.record_heartbeat(heartbeat(SIBLING, -1, ready=False), 2.0)
-    zones.update_own_zone([SIBLING], 9, 2.0)
+    zones.record_heartbeat(heartbeat(ZONE_PEER, -1, ready=False), 2.0)
+    zones.update_own_zone([ZONE_PEER], 9, 2.0)
     assert zones.in_force(9) == {"north-a"}
 
 
 def test_reports_of_this_zone_and_older_reports_are_ignored():
     zones = ZoneReports(SELF)
     claims = (ZoneStatus("north-a", 99), ZoneStatus("north-b", 5))
-    zones.record_heartbeat(heartbeat(OTHER, 5, zones=claims), 0.0)
-    zones.record_heartbeat(heartbeat(OTHER, 3, zones=(ZoneStatus("north-b", 3),)), 0.0)
+    zones.record_heartbeat(heartbeat(REMOTE_PEER, 5, zones=claims), 0.0)
+    zones.record_heartbeat(
+        heartbeat(REMOTE_PEER, 3, zones=(ZoneStatus("north-b", 3),)), 0.0
+    )
     assert zones.reports == (ZoneStatus("north-b", 5),)
 
 
--- a/jackdawspur/configuration/tests/test_state_machine.py
+++ b/jackdawspur/configuration/tests/test_state_machine.py
@@ -218,10 +218,10 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(histories(), *[st.integers(0, 25)] * 4)
-def test_late_readers_end_at_the_same_version(bodies, trimmed, cut, asked, lag):
+def test_late_readers_end_at_the_same_version(bodies, trimmed, joins_at, state_at, lag):
     """One host reads every record at once; another starts late with a trimmed log.
 
-    The late host receives the state of a peer once; the peer may lag. The late host
+    The late host receives the state of a peer once; that peer may lag. The late host
     may stay behind, but whenever it decides on confirms, it decides like the first.
     The version never decreases on either host.
     """
@@ -232,9 +232,9 @@
     for index, record in enumerate(records):
         before = whole.version, late.version
         whole.apply_records([record])
-        if index >= cut:
+        if index >= joins_at:
             late.apply_records(records[: index + 1])
-        if index == asked:
+        if index == state_at:
             peer = replay(records[: max(0, index + 1 - lag)])
             if peer.version >= 0:
                 late.install_state(build_snapshot(peer, wall=0.0))
