--- a/jackdawspur/configuration/_readiness.py
+++ b/jackdawspur/configuration/_readiness.py
@@ -1,4 +1,4 @@
-"""Say whether this host's configuration is fit to serve, and why not."""
+"""Readiness of one host's configuration, and the reasons for it."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class LogHealth(enum.StrEnum):
-    """Tell how the log answers this host."""
+    """State of the log as this host observes it."""
 
     UNKNOWN = "unknown"
     UP = "up"
@@ -16,7 +16,7 @@
 
 
 class ReadinessReason(enum.StrEnum):
-    """Say why a host is ready or not."""
+    """Reason why a host is ready or not."""
 
     READY = "ready"
     READING_LOG = "reading_log"
@@ -33,23 +33,23 @@
     ReadinessReason.READY: "a configuration is in force",
     ReadinessReason.READING_LOG: "reading the log",
     ReadinessReason.ASKING_PEERS: "the log does not answer; waiting for peers",
-    ReadinessReason.BEHIND_PEERS: "a peer has a newer version than read so far",
-    ReadinessReason.LOG_UNREACHABLE: "the log does not answer and no peer does",
+    ReadinessReason.BEHIND_PEERS: "a peer has a newer version than this host has read",
+    ReadinessReason.LOG_UNREACHABLE: "the log does not answer, and no peer answers",
     ReadinessReason.LOG_TRIMMED: "the log was trimmed and holds no snapshot",
     ReadinessReason.NEWER_SCHEMA: "the log holds only a newer schema version",
-    ReadinessReason.NO_CONFIGURATION: "no configuration was ever confirmed",
+    ReadinessReason.NO_CONFIGURATION: "no configuration has been confirmed yet",
     ReadinessReason.DRAINING: "this host is shutting down",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Readiness:
-    """Carry the answer of the readiness check."""
+    """Result of the readiness check."""
 
     ready: bool
     reason: ReadinessReason
 
     @property
     def message(self) -> str:
-        """Return the reason as a sentence for people."""
+        """Return the reason as text for operators."""
         return MESSAGES[self.reason]
