--- a/jackdawspur/links/tests/test_links.py
+++ b/jackdawspur/links/tests/test_links.py
@@ -32,8 +32,8 @@
     UpstreamId,
 )
 
-ONE = HostId("north", "e1", 5)
-TWO = HostId("south", "e2", 9)
+SENDER = HostId("north", "e1", 5)
+RECEIVER = HostId("south", "e2", 9)
 REQUEST = JobRequest("roster", "confirm", (TaskSpec("{}", 120.0),), 900.0, key="k")
 INFINITE_DEADLINE = {"deadline_ms": math.inf}
 
@@ -41,25 +41,25 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Heartbeat(ONE, 3, True, False, 17, 30, 0, 0.0, bad_upstreams=()),
-        Delegate(SubmissionId(ONE, 4), REQUEST, 512.5),
+        Heartbeat(SENDER, 3, True, False, 17, 30, 0, 0.0, bad_upstreams=()),
+        Delegate(SubmissionId(SENDER, 4), REQUEST, 512.5),
         SlotGrant(1, 200.0, (UpstreamSlots(UpstreamId("north", "w1"), 2),)),
     ],
 )
 def test_message_round_trip(message):
-    envelope = Envelope(ONE, TWO, 12.25, message)
+    envelope = Envelope(SENDER, RECEIVER, 12.25, message)
     assert decode(encode(envelope)) == envelope
 
 
 @pytest.mark.parametrize(
     "message",
     [
-        Delegate(SubmissionId(ONE, 4), REQUEST, math.nan),
-        Delegate(SubmissionId(ONE, 4), replace(REQUEST, tasks=()), 1.0),
+        Delegate(SubmissionId(SENDER, 4), REQUEST, math.nan),
+        Delegate(SubmissionId(SENDER, 4), replace(REQUEST, tasks=()), 1.0),
         Forward(
             1,
             "roster",
-            SubmissionId(ONE, 4),
+            SubmissionId(SENDER, 4),
             True,
             replace(REQUEST, **INFINITE_DEADLINE),
         ),
@@ -72,7 +72,7 @@
     A time in the message is not a finite number, and as a timer it blocks all others.
     """
     with pytest.raises(MessageDecodeError):
-        decode(encode(Envelope(ONE, TWO, 12.25, message)))
+        decode(encode(Envelope(SENDER, RECEIVER, 12.25, message)))
 
 
 @settings(derandomize=True, max_examples=200)
@@ -83,7 +83,9 @@
 
 
 def test_newer_schema_raises_its_own_error():
-    data = encode(Envelope(ONE, TWO, 0.0, Delegate(SubmissionId(ONE, 4), REQUEST, 1)))
+    data = encode(
+        Envelope(SENDER, RECEIVER, 0.0, Delegate(SubmissionId(SENDER, 4), REQUEST, 1))
+    )
     # The frame is an array whose first element is the version.
     newer = data[:1] + bytes([SCHEMA_VERSION + 1]) + data[2:]
     with pytest.raises(UnknownSchemaError):
@@ -97,7 +99,7 @@
     the partition ends, the link delivers the messages that were still in its queue.
     """
     stale = StaleFilter()
-    assert not stale.is_stale(ONE, sent_at=100.0, now=7.0)
-    assert not stale.is_stale(ONE, sent_at=101.0, now=8.001)
-    assert stale.is_stale(ONE, sent_at=102.0, now=39.0)
-    assert not stale.is_stale(ONE, sent_at=132.0, now=39.002)
+    assert not stale.is_stale(SENDER, sent_at=100.0, now=7.0)
+    assert not stale.is_stale(SENDER, sent_at=101.0, now=8.001)
+    assert stale.is_stale(SENDER, sent_at=102.0, now=39.0)
+    assert not stale.is_stale(SENDER, sent_at=132.0, now=39.002)
--- a/jackdawspur/platform/tests/test_topics.py
+++ b/jackdawspur/platform/tests/test_topics.py
@@ -6,7 +6,7 @@
 
 from jackdawspur.platform._topics import RecordsDecodeError, _decode_records
 
-HEAD = b"\0" * 16
+HEADER = b"\0" * 16
 
 
 def record(key: str, value: bytes) -> bytes:
@@ -16,7 +16,7 @@
 
 def test_newest_value_of_each_key_is_returned():
     changed, count = _decode_records(
-        HEAD + record("a", b"1") + record("b", b"") + record("a", b"2")
+        HEADER + record("a", b"1") + record("b", b"") + record("a", b"2")
     )
     assert changed == {"a": b"2", "b": b""}
     assert count == 3
@@ -26,10 +26,10 @@
     "data",
     [
         b"",
-        HEAD[:5],
-        HEAD + b"\0",
-        HEAD + record("abc", b"x")[:-1],
-        HEAD + b"\0\0\0\1\5",
+        HEADER[:5],
+        HEADER + b"\0",
+        HEADER + record("abc", b"x")[:-1],
+        HEADER + b"\0\0\0\1\5",
     ],
 )
 def test_malformed_bytes_raise_a_decode_error(data: bytes):
--- a/jackdawspur/scheduling/tests/test_queue.py
+++ b/jackdawspur/scheduling/tests/test_queue.py
@@ -173,13 +173,13 @@
     `next_task` would have to remove them all.
     """
     jobs = [make_job("a", (100.0,) * 2) for _ in range(10_000)]
-    kept = make_job("b", arrived=99.0)
-    for job in [*jobs, kept]:
+    remaining_job = make_job("b", arrived=99.0)
+    for job in [*jobs, remaining_job]:
         queue.add(job)
     assert sum(queue.remove(job.submission) for job in jobs) == 20_000
     remaining = len(queue._customer_queues["a"]._jobs)
     assert remaining <= MIN_STALE_TO_COMPACT + 1
-    assert queue.next_task(99.0, fits_always).job is kept
+    assert queue.next_task(99.0, fits_always).job is remaining_job
     assert (queue.waiting(), queue.backlog_ms(), len(queue)) == (0, 0.0, 0)
 
 
@@ -195,10 +195,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_every_task_leaves_the_queue_once(queue, make_job, seed):
-    """A task is returned twice or never after refusals, cancels and failed placements.
-
-    The operations and the sizes of tasks are random.
-    """
+    """A task is returned twice or never after refusals, cancels or no free capacity."""
     rng = random.Random(seed)
     out, ends = [], []
     jobs, cancelled = [], set()
@@ -232,8 +229,8 @@
                 ends.append(task)
     out += _drain_remaining(queue)
     assert len(out) == len(set(out))
-    kept = [job for job in jobs if job.submission not in cancelled]
-    wanted = {(j.submission, i) for j in kept for i in range(len(j.tasks))}
+    remaining_jobs = [job for job in jobs if job.submission not in cancelled]
+    wanted = {(j.submission, i) for j in remaining_jobs for i in range(len(j.tasks))}
     assert wanted <= set(out)
     assert (queue.waiting(), len(queue)) == (0, 0)
     assert queue.backlog_ms() == pytest.approx(0.0, abs=1e-6)
