--- a/jackdawspur/soak/__init__.py
+++ b/jackdawspur/soak/__init__.py
@@ -1,4 +1,4 @@
-"""Real processes under faults: a deployment, its faults, and what must still hold."""
+"""Fault-injection tests of real processes, with invariants checked at the end."""
 
 from jackdawspur.soak._checks import Findings, check
 from jackdawspur.soak._deployment import (
--- a/jackdawspur/soak/__main__.py
+++ b/jackdawspur/soak/__main__.py
@@ -1,6 +1,6 @@
-"""Run seeds of the fault soak: ``python -m`` this module prints a line a seed.
+"""Run seeds of the soak test; ``python -m jackdawspur.soak`` prints one line per seed.
 
-Exits 1 when any seed shows something wrong; its folder with all logs is then kept.
+Exits with 1 if a check of any seed fails; the folder with its logs is then kept.
 """
 
 import shutil
@@ -20,29 +20,30 @@
 
 FLAGS = flags.FlagValues()
 flags.DEFINE_integer("first", 1, "the first seed", flag_values=FLAGS)
-flags.DEFINE_integer("seeds", 50, "how many seeds", flag_values=FLAGS)
+flags.DEFINE_integer("seeds", 50, "number of seeds", flag_values=FLAGS)
 flags.DEFINE_bool(
-    "kept", False, "first run those that have shown a fault", flag_values=FLAGS
+    "kept", False, "first run the seeds that once exposed a bug", flag_values=FLAGS
 )
-flags.DEFINE_float("seconds", 8.0, "seconds of load a seed", flag_values=FLAGS)
+flags.DEFINE_float("seconds", 8.0, "seconds of load per seed", flag_values=FLAGS)
 
 
 def main(arguments: list[str]) -> int:
-    """Run the seeds one after the other."""
+    """Run the seeds in sequence and return the exit status."""
     FLAGS(arguments)
-    # The processes of a deployment end with its seed, also when that is broken off.
+    # Exit through SystemExit, so that the processes of a deployment are also ended
+    # when a seed is interrupted.
     signal(SIGTERM, lambda _signo, _frame: sys.exit(1))
-    drawn = range(FLAGS.first, FLAGS.first + FLAGS.seeds)
-    seeds = [*(REGRESSION_SEEDS if FLAGS.kept else ()), *drawn]
-    wrong = [seed for seed in seeds if not _run(seed, FLAGS.seconds)]
-    print(f"{len(seeds)} seeds, wrong: {wrong or 'none'}")  # noqa: T201
-    return 1 if wrong else 0
+    requested = range(FLAGS.first, FLAGS.first + FLAGS.seeds)
+    seeds = [*(REGRESSION_SEEDS if FLAGS.kept else ()), *requested]
+    failed = [seed for seed in seeds if not _run_seed(seed, FLAGS.seconds)]
+    print(f"{len(seeds)} seeds, wrong: {failed or 'none'}")  # noqa: T201
+    return 1 if failed else 0
 
 
-def _run(seed: int, seconds: float) -> bool:
+def _run_seed(seed: int, seconds: float) -> bool:
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     result = run_seed(seed, seconds, folder)
-    print(_line(result), flush=True)  # noqa: T201
+    print(_format_result(result), flush=True)  # noqa: T201
     if result.findings.wrong:
         print(f"logs of seed {seed}: {folder}", flush=True)  # noqa: T201
         return False
@@ -50,15 +51,15 @@
     return True
 
 
-def _line(result: SoakResult) -> str:
+def _format_result(result: SoakResult) -> str:
     faults = [f"{f.at_s:.1f}s {f.kind.value} {f.target}" for f in result.faults]
-    shown = {
+    record = {
         "seed": result.seed,
         "deployment": result.layout.name,
         **asdict(result.findings),
         "faults": faults,
     }
-    return msgspec.json.encode(shown).decode()
+    return msgspec.json.encode(record).decode()
 
 
 if __name__ == "__main__":
--- a/jackdawspur/soak/_deployment.py
+++ b/jackdawspur/soak/_deployment.py
@@ -1,4 +1,4 @@
-"""A store, workers and hosts as processes of their own, proxies between them."""
+"""A store, workers and hosts as separate processes, connected through proxies."""
 
 import json
 import subprocess
@@ -24,15 +24,15 @@
 
 __all__ = ["Answer", "Deployment", "wait_until"]
 
-CALLERS = ThreadPoolExecutor(32, thread_name_prefix="callers")
-WAIT_S = 20.0
+CALLER_THREADS = ThreadPoolExecutor(32, thread_name_prefix="callers")
+WAIT_TIMEOUT_S = 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold a reply; status 0 stands for a connection that broke.
+    """A reply of a host; status 0 means that the connection broke.
 
-    `nobody_there` tells that there was no connection to break.
+    `nobody_there` is set if the connection was refused.
     """
 
     status: int
@@ -41,18 +41,18 @@
     nobody_there: bool = False
 
 
-def wait_until(condition, what: str, seconds: float = WAIT_S) -> None:
-    """Return once the condition holds; fail with its name."""
+def wait_until(condition, description: str, seconds: float = WAIT_TIMEOUT_S) -> None:
+    """Wait until the condition holds; fail with its description after `seconds`."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         if condition():
             return
         time.sleep(0.05)
-    raise AssertionError(f"in {seconds} s there were no {what}")
+    raise AssertionError(f"timed out after {seconds} s waiting for {description}")
 
 
 class Host:
-    """Run one host."""
+    """One host process, with proxies before its link and its store."""
 
     def __init__(
         self,
@@ -64,14 +64,14 @@
         most_upstreams: int = 64,
         processor: float = 1.0,
     ) -> None:
-        callers, ready, link, announced, metrics, passage = ports.take(6)
+        callers, ready, link, announced, metrics, store_proxy_port = ports.allocate(6)
         self.name = name
         self.zone = zone
         self.link_proxy = LinkProxy(announced, link)
-        self.store_proxy = Proxy(passage, store_port)
+        self.store_proxy = Proxy(store_proxy_port, store_port)
         self.callers_port, self.ready_port, self.metrics_port = callers, ready, metrics
-        self._file = folder / f"{name}.json"
-        self._log = folder / f"{name}.log"
+        self._settings_file = folder / f"{name}.json"
+        self._log_file = folder / f"{name}.log"
         settings = {
             "name": name,
             "zone": zone,
@@ -82,44 +82,44 @@
             "link": f"127.0.0.1:{link}",
             "announced": f"127.0.0.1:{announced}",
             "metrics": f"127.0.0.1:{metrics}",
-            "store": f"127.0.0.1:{passage}",
+            "store": f"127.0.0.1:{store_proxy_port}",
         }
-        self._file.write_text(json.dumps(settings))
+        self._settings_file.write_text(json.dumps(settings))
         self.start()
 
     def start(self) -> None:
         """Start the process."""
-        words = ["front", f"--settings={self._file}"]
+        arguments = ["front", f"--settings={self._settings_file}"]
         self.started_at = time.monotonic()
-        self.process = _run(words, self._log)
+        self.process = _start_process(arguments, self._log_file)
 
     def call(self, method: str, path: str, body=None, port: int | None = None):
-        """Ask the host and return its answer."""
-        return _call(port or self.callers_port, method, path, body)
+        """Send a request to the host and return its answer."""
+        return _send_request(port or self.callers_port, method, path, body)
 
     def is_ready(self) -> bool:
-        """Tell whether the host wants connections."""
+        """Return whether the host passes its readiness probe."""
         return self.call("GET", "/ready", port=self.ready_port).status == 200
 
     def leader(self) -> str | None:
-        """Return the name of the host that this one follows, its own if it leads."""
+        """Return the name of the leader that the host reports, which may be itself."""
         return self.call("GET", "/status", port=self.metrics_port).body.get("leader")
 
     def leads(self) -> bool:
-        """Tell whether the host leads."""
+        """Return whether the host is a leader."""
         return self.leader() == self.name
 
     def log_mentions(self, job: str) -> bool:
-        """Tell whether a line of the log names a job."""
-        return job in self._log.read_text()
+        """Return whether the log mentions a job."""
+        return job in self._log_file.read_text()
 
     def log_lines(self) -> list[dict]:
-        """Return the log so far."""
-        return [json.loads(line) for line in self._log.read_text().splitlines()]
+        """Return the parsed lines of the log so far."""
+        return [json.loads(line) for line in self._log_file.read_text().splitlines()]
 
 
 class Deployment:
-    """Run a stand-in of the platform and some hosts."""
+    """A stand-in of the platform and several hosts, as processes."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         self._ports = PortBlock()
         self._start_platform(folder, workers, zones)
         self.hosts: list[Host] = []
-        self._next_job = 0x1000
+        self._last_job_number = 0x1000
         try:
             for number in range(hosts):
                 host = Host(
@@ -154,7 +154,7 @@
     def _start_platform(
         self, folder: Path, workers: int, zones: tuple[str, ...]
     ) -> None:
-        store, *ports = self._ports.take(2 * workers + 1)
+        store, *ports = self._ports.allocate(2 * workers + 1)
         self._store_port = store
         listening, announced = ports[:workers], ports[workers:]
         self.worker_proxies = [
@@ -167,15 +167,15 @@
             "zones": list(zones),
             "configuration": {"version": 3, "routes": [PLATFORM_ROUTE]},
         }
-        file = folder / "platform.json"
-        file.write_text(json.dumps(settings))
-        words = ["standin", f"--settings={file}", "platform"]
-        self._platform = _run(words, folder / "platform.log")
+        settings_file = folder / "platform.json"
+        settings_file.write_text(json.dumps(settings))
+        arguments = ["standin", f"--settings={settings_file}", "platform"]
+        self._platform = _start_process(arguments, folder / "platform.log")
 
     def next_job_id(self) -> str:
-        """Return the id of a job not sent yet."""
-        self._next_job += 1
-        return f"{self._next_job:016x}"
+        """Return a new job id."""
+        self._last_job_number += 1
+        return f"{self._last_job_number:016x}"
 
     def submit(
         self,
@@ -185,38 +185,38 @@
         job: str | None = None,
         fails: bool = False,
     ) -> Future:
-        """Send a job from a thread and return its future answer."""
+        """Send a job from a caller thread and return the future of its answer."""
         job = job or self.next_job_id()
         body = platform_job_body(run_ms, tasks, fails)
-        return CALLERS.submit(host.call, "POST", f"/q/{job}", body)
+        return CALLER_THREADS.submit(host.call, "POST", f"/q/{job}", body)
 
     def leader(self) -> Host:
-        """Return the host that leads, once all that run follow it.
+        """Return the leader, once all running hosts report the same one.
 
-        While hosts start on a busy machine two may lead for a moment.
+        While hosts start on a busy machine there may be two leaders for a moment.
         """
-        found: list[str] = []
+        agreed_names: list[str] = []
 
-        def agreed() -> bool:
-            name = self._followed()
+        def all_agree() -> bool:
+            name = self._common_leader()
             if name is not None:
-                found.append(name)
-            return bool(found)
+                agreed_names.append(name)
+            return bool(agreed_names)
 
-        wait_until(agreed, "leading host of all")
-        return next(host for host in self.hosts if host.name == found[0])
+        wait_until(all_agree, "leader that all hosts follow")
+        return next(host for host in self.hosts if host.name == agreed_names[0])
 
     def set_faults(self, **faults) -> None:
-        """Let the store be away or workers be silent."""
-        assert _call(self._store_port, "POST", "/faults", faults).status == 200
+        """Replace the faults of the platform stand-in, such as `store_down`."""
+        assert _send_request(self._store_port, "POST", "/faults", faults).status == 200
 
     def report(self) -> PlatformReport:
-        """Return what the workers have counted."""
-        body = _call(self._store_port, "GET", "/report", None).body
+        """Return the counters of the workers."""
+        body = _send_request(self._store_port, "GET", "/report", None).body
         return msgspec.convert(body, PlatformReport)
 
     def close(self) -> None:
-        """End all processes of this deployment."""
+        """End all processes and proxies of this deployment."""
         for process in [*(h.process for h in self.hosts), self._platform]:
             process.kill()
             process.wait()
@@ -225,42 +225,42 @@
             proxy.close()
         self._ports.close()
 
-    def _followed(self) -> str | None:
-        """Return the host that all follow, None while they name different ones."""
+    def _common_leader(self) -> str | None:
+        """Return the leader that all running hosts report, or None if they differ."""
         running = [host for host in self.hosts if host.process.poll() is None]
         names = {host.leader() for host in running}
         return names.pop() or None if len(names) == 1 else None
 
 
 def stop_host(host: Host, seconds: float = 8.0) -> int:
-    """Ask a host to stop and return its exit status."""
+    """Send SIGTERM to a host, wait for it and return its exit status."""
     host.process.send_signal(SIGTERM)
     return host.process.wait(seconds)
 
 
 def wait_for_answers(futures: list[Future]) -> list[Answer]:
-    """Return the answers, once all are there."""
-    return [future.result(WAIT_S) for future in futures]
+    """Wait for all answers and return them."""
+    return [future.result(WAIT_TIMEOUT_S) for future in futures]
 
 
-def _run(words: list[str], log: Path) -> subprocess.Popen:
+def _start_process(arguments: list[str], log: Path) -> subprocess.Popen:
     with log.open("ab") as output:
         return subprocess.Popen(
-            [sys.executable, "-m", "jackdawspur", *words],
+            [sys.executable, "-m", "jackdawspur", *arguments],
             stdout=output,
             stderr=subprocess.STDOUT,
         )
 
 
-def _call(port: int, method: str, path: str, body) -> Answer:
-    connection = HTTPConnection("127.0.0.1", port, timeout=WAIT_S)
+def _send_request(port: int, method: str, path: str, body) -> Answer:
+    connection = HTTPConnection("127.0.0.1", port, timeout=WAIT_TIMEOUT_S)
     try:
-        data = None if body is None else json.dumps(body)
-        connection.request(method, path, data, PLATFORM_HEADERS)
+        encoded = None if body is None else json.dumps(body)
+        connection.request(method, path, encoded, PLATFORM_HEADERS)
         response = connection.getresponse()
         text = response.read().decode()
-        retry = response.getheader("Retry-After")
-        return Answer(response.status, json.loads(text or "{}"), retry)
+        retry_after = response.getheader("Retry-After")
+        return Answer(response.status, json.loads(text or "{}"), retry_after)
     except ConnectionRefusedError:
         return Answer(0, {}, nobody_there=True)
     except OSError:
--- a/jackdawspur/soak/_fault_injector.py
+++ b/jackdawspur/soak/_fault_injector.py
@@ -1,4 +1,4 @@
-"""Carrying faults out on a deployment, and taking them back."""
+"""Injection of planned faults into a deployment, and their end."""
 
 import time
 from dataclasses import dataclass
@@ -6,15 +6,15 @@
 from subprocess import Popen
 
 from jackdawspur.soak._deployment import Deployment, Host, wait_until
-from jackdawspur.soak._plan import OF_LIST, Fault, FaultKind
+from jackdawspur.soak._plan import LIST_FAULTS, Fault, FaultKind
 from jackdawspur.soak._proxy import ProxyMode
 
 __all__ = ["FaultInjector"]
 
-# By then an interpreter runs its program, which can ignore signals from there on.
-BEGUN_S = 0.1
-# At most so many workers are off the list for one fault.
-MOST_UNLISTED = 4
+# Time until an interpreter runs its program, which can ignore signals from then on.
+INTERPRETER_START_S = 0.1
+# The maximum number of workers that one LIST_SHORT fault takes off the list.
+MAX_UNLISTED = 4
 
 PROXY_MODES = {
     FaultKind.STORE_SILENT_FOR_HOST: ProxyMode.SILENT,
@@ -22,9 +22,9 @@
     FaultKind.WORKER_SILENT: ProxyMode.SILENT,
     FaultKind.WORKER_RESETS: ProxyMode.RESET,
 }
-OF_WORKERS = (FaultKind.WORKER_SILENT, FaultKind.WORKER_RESETS)
-OF_PLATFORM = (FaultKind.STORE_DOWN, *OF_LIST)
-OF_LINKS = (
+WORKER_FAULTS = (FaultKind.WORKER_SILENT, FaultKind.WORKER_RESETS)
+PLATFORM_FAULTS = (FaultKind.STORE_DOWN, *LIST_FAULTS)
+LINK_FAULTS = (
     FaultKind.HOST_HEARS_NOBODY,
     FaultKind.HOST_HEARD_BY_NOBODY,
     FaultKind.HOST_CUT_OFF,
@@ -33,65 +33,66 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Undo:
-    """Keep what is to end when; `process` is the run of the host that was struck."""
+class _ActiveFault:
+    """A fault, its end, and the process of its target host when it was injected."""
 
-    at_s: float
+    until_s: float
     fault: Fault
     process: Popen
 
 
 class FaultInjector:
-    """Carry faults out, and take them back when their time is over."""
+    """Inject faults and revert each one when its duration is over."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
-        self._undo: list[_Undo] = []
+        self._active: list[_ActiveFault] = []
         self.kills: dict[str, int] = {host.name: 0 for host in deployment.hosts}
 
     def inject(self, fault: Fault, now_s: float) -> None:
-        """Begin a fault; one whose target is struck already by the same does nothing.
+        """Start a fault, unless the same one is already active for its target.
 
-        A host that is down or stands still takes no signal, and none to reload while
-        its interpreter starts: no program could keep that from ending it.
+        A host that is down or frozen gets no signal. It also gets no SIGHUP while its
+        interpreter starts, because the signal would end the process before the program
+        can handle it.
         """
-        if any(_same(undo.fault, fault) for undo in self._undo):
+        if any(_is_same_fault(active.fault, fault) for active in self._active):
             return
-        host = self._host(fault)
-        on_host = fault.kind not in (*PROXY_MODES, *OF_PLATFORM, *OF_LINKS)
+        host = self._target_host(fault)
+        on_host = fault.kind not in (*PROXY_MODES, *PLATFORM_FAULTS, *LINK_FAULTS)
         if fault.kind is FaultKind.STORE_FORGETS:
-            self._set_platform(forget=True)
+            self._apply_platform_faults(forget=True)
             return
-        if on_host and (host.process.poll() is not None or self._frozen(host)):
+        if on_host and (host.process.poll() is not None or self._is_frozen(host)):
             return
-        if fault.kind is FaultKind.RELOAD_HOST and not _has_begun(host):
+        if fault.kind is FaultKind.RELOAD_HOST and not _is_interpreter_started(host):
             return
-        self._undo.append(_Undo(now_s + fault.for_s, fault, host.process))
+        self._active.append(_ActiveFault(now_s + fault.duration_s, fault, host.process))
         if on_host:
-            self._signal(fault, host)
+            self._signal_host(fault, host)
         else:
-            self._put_in_force(fault)
+            self._apply(fault)
 
     def revert_due(self, now_s: float) -> None:
-        """End what has lasted long enough, and start hosts again that are down."""
-        for undo in [one for one in self._undo if one.at_s <= now_s]:
-            if self._may_end(undo):
-                self._undo.remove(undo)
-                self._end(undo)
+        """Revert the faults whose duration is over, restarting hosts that are down."""
+        for active in [a for a in self._active if a.until_s <= now_s]:
+            if self._can_revert(active):
+                self._active.remove(active)
+                self._revert(active)
 
     def revert_all(self, seconds: float) -> None:
-        """End all faults, and wait for hosts that are still stopping."""
-        wait_until(self._none_left, "end of all faults", seconds)
+        """Revert all faults and wait for hosts that are still stopping."""
+        wait_until(self._revert_and_check, "end of all faults", seconds)
 
-    def _none_left(self) -> bool:
+    def _revert_and_check(self) -> bool:
         self.revert_due(float("inf"))
-        return not self._undo
+        return not self._active
 
-    def _signal(self, fault: Fault, host: Host) -> None:
+    def _signal_host(self, fault: Fault, host: Host) -> None:
         if fault.kind is FaultKind.KILL_HOST:
             self.kills[host.name] += 1
             host.process.send_signal(SIGKILL)
-            # Until it is gone its port takes connections that nobody will read.
+            # Until the process is gone, its port accepts connections that stay unread.
             host.process.wait()
         elif fault.kind is FaultKind.FREEZE_HOST:
             host.process.send_signal(SIGSTOP)
@@ -100,98 +101,101 @@
         elif fault.kind is FaultKind.RELOAD_HOST:
             host.process.send_signal(SIGHUP)
 
-    def _may_end(self, undo: _Undo) -> bool:
-        down = undo.fault.kind in (FaultKind.KILL_HOST, FaultKind.STOP_HOST)
-        return not down or undo.process.poll() is not None
+    def _can_revert(self, active: _ActiveFault) -> bool:
+        down = active.fault.kind in (FaultKind.KILL_HOST, FaultKind.STOP_HOST)
+        return not down or active.process.poll() is not None
 
-    def _end(self, undo: _Undo) -> None:
-        fault, host = undo.fault, self._host(undo.fault)
-        if fault.kind in (*PROXY_MODES, *OF_PLATFORM, *OF_LINKS):
-            self._put_in_force(fault)
+    def _revert(self, active: _ActiveFault) -> None:
+        fault, host = active.fault, self._target_host(active.fault)
+        if fault.kind in (*PROXY_MODES, *PLATFORM_FAULTS, *LINK_FAULTS):
+            self._apply(fault)
         elif fault.kind is FaultKind.FREEZE_HOST:
-            undo.process.send_signal(SIGCONT)
+            active.process.send_signal(SIGCONT)
         elif fault.kind in (FaultKind.KILL_HOST, FaultKind.STOP_HOST):
-            if host.process is undo.process:
+            if host.process is active.process:
                 host.start()
 
-    def _put_in_force(self, fault: Fault) -> None:
-        """Let faults that are to last, of a kind, be those that have not ended."""
-        if fault.kind in OF_PLATFORM:
-            self._set_platform()
-        elif fault.kind in OF_LINKS:
-            self._cut_links()
+    def _apply(self, fault: Fault) -> None:
+        """Set the faults of one kind to those that are active."""
+        if fault.kind in PLATFORM_FAULTS:
+            self._apply_platform_faults()
+        elif fault.kind in LINK_FAULTS:
+            self._apply_partitions()
         else:
-            self._set_passage(fault)
+            self._apply_proxy_mode(fault)
 
-    def _set_platform(self, forget: bool = False) -> None:
-        lasting = [undo.fault for undo in self._undo]
-        down = any(fault.kind is FaultKind.STORE_DOWN for fault in lasting)
-        off = {number for fault in lasting for number in self._unlisted(fault)}
+    def _apply_platform_faults(self, forget: bool = False) -> None:
+        active_faults = [active.fault for active in self._active]
+        down = any(fault.kind is FaultKind.STORE_DOWN for fault in active_faults)
+        unlisted = {index for fault in active_faults for index in self._unlisted(fault)}
         self._deployment.set_faults(
-            store_down=down, unlisted=sorted(off), forget=forget
+            store_down=down, unlisted=sorted(unlisted), forget=forget
         )
 
     def _unlisted(self, fault: Fault) -> set[int]:
-        """Return the workers that a fault takes off the list."""
-        if fault.kind not in OF_LIST:
+        """Return the indices of the workers that a fault removes from the list."""
+        if fault.kind not in LIST_FAULTS:
             return set()
         workers = len(self._deployment.worker_proxies)
         count = workers // 2
         if fault.kind is FaultKind.LIST_SHORT:
-            count = 1 + fault.target // len(self._deployment.hosts) % MOST_UNLISTED
-        return {(fault.target + step) % workers for step in range(count)}
+            count = 1 + fault.target // len(self._deployment.hosts) % MAX_UNLISTED
+        return {(fault.target + offset) % workers for offset in range(count)}
 
-    def _set_passage(self, fault: Fault) -> None:
-        of_workers = fault.kind in OF_WORKERS
+    def _apply_proxy_mode(self, fault: Fault) -> None:
+        on_workers = fault.kind in WORKER_FAULTS
         proxies = self._deployment.worker_proxies
-        if not of_workers:
+        if not on_workers:
             proxies = [host.store_proxy for host in self._deployment.hosts]
-        number = fault.target % len(proxies)
-        lasting = [
-            PROXY_MODES[undo.fault.kind]
-            for undo in self._undo
-            if undo.fault.kind in PROXY_MODES
-            and (undo.fault.kind in OF_WORKERS) == of_workers
-            and undo.fault.target % len(proxies) == number
+        index = fault.target % len(proxies)
+        active_modes = [
+            PROXY_MODES[active.fault.kind]
+            for active in self._active
+            if active.fault.kind in PROXY_MODES
+            and (active.fault.kind in WORKER_FAULTS) == on_workers
+            and active.fault.target % len(proxies) == index
         ]
-        proxies[number].mode = lasting[-1] if lasting else ProxyMode.OPEN
+        proxies[index].mode = active_modes[-1] if active_modes else ProxyMode.OPEN
 
-    def _cut_links(self) -> None:
+    def _apply_partitions(self) -> None:
         hosts = self._deployment.hosts
-        cuts = [u.fault for u in self._undo if u.fault.kind in OF_LINKS]
-        for to, host in enumerate(hosts):
+        partitions = [a.fault for a in self._active if a.fault.kind in LINK_FAULTS]
+        for receiver, host in enumerate(hosts):
             host.link_proxy.blocked_senders = frozenset(
-                other.name
-                for sender, other in enumerate(hosts)
-                if any(self._is_cut(cut, sender, to) for cut in cuts)
+                peer.name
+                for sender, peer in enumerate(hosts)
+                if any(
+                    self._is_blocked(fault, sender, receiver) for fault in partitions
+                )
             )
 
-    def _is_cut(self, cut: Fault, sender: int, to: int) -> bool:
-        """Tell whether a cut keeps back what one host sends to another, by number."""
-        number = cut.target % len(self._deployment.hosts)
-        if cut.kind is FaultKind.HALVES_CUT:
-            # Zones are dealt to hosts in turn: with two, these are the halves.
-            return sender % 2 != to % 2
-        if cut.kind is FaultKind.HOST_HEARS_NOBODY:
-            return to == number
-        if cut.kind is FaultKind.HOST_HEARD_BY_NOBODY:
-            return sender == number
-        return number in (sender, to)
-
-    def _frozen(self, host: Host) -> bool:
+    def _is_blocked(self, fault: Fault, sender: int, receiver: int) -> bool:
+        """Return whether a partition blocks messages between two hosts, by index."""
+        isolated = fault.target % len(self._deployment.hosts)
+        if fault.kind is FaultKind.HALVES_CUT:
+            # Hosts are in the two zones alternately, so these are the halves.
+            return sender % 2 != receiver % 2
+        if fault.kind is FaultKind.HOST_HEARS_NOBODY:
+            return receiver == isolated
+        if fault.kind is FaultKind.HOST_HEARD_BY_NOBODY:
+            return sender == isolated
+        return isolated in (sender, receiver)
+
+    def _is_frozen(self, host: Host) -> bool:
         return any(
-            undo.fault.kind is FaultKind.FREEZE_HOST and self._host(undo.fault) is host
-            for undo in self._undo
+            active.fault.kind is FaultKind.FREEZE_HOST
+            and self._target_host(active.fault) is host
+            for active in self._active
         )
 
-    def _host(self, fault: Fault) -> Host:
+    def _target_host(self, fault: Fault) -> Host:
         hosts = self._deployment.hosts
         return hosts[fault.target % len(hosts)]
 
 
-def _has_begun(host: Host) -> bool:
-    return time.monotonic() - host.started_at >= BEGUN_S
+def _is_interpreter_started(host: Host) -> bool:
+    return time.monotonic() - host.started_at >= INTERPRETER_START_S
 
 
-def _same(one: Fault, other: Fault) -> bool:
-    return (one.kind, one.target) == (other.kind, other.target)
+def _is_same_fault(fault: Fault, other: Fault) -> bool:
+    return (fault.kind, fault.target) == (other.kind, other.target)
--- a/jackdawspur/soak/_link_proxy.py
+++ b/jackdawspur/soak/_link_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy before a host's link that can keep back what single hosts send."""
+"""A proxy before a host's link that can block the messages of single senders."""
 
 import re
 import socket
@@ -7,69 +7,72 @@
 
 __all__ = ["LinkProxy"]
 
-# The first bytes of each side of a link, which name nobody.
+# The first bytes that each side of a link sends; they contain no host name.
 GREETING = b"\x00SP\x00"
-# The name of one of the soak's hosts in MessagePack, in a heartbeat or an offer.
-SENDER = re.compile(rb"(?:\xa4name|\xa6sender)\xa2(h\d)")
+# Matches the name of a soak host in MessagePack, in a heartbeat or a job offer.
+SENDER_PATTERN = re.compile(rb"(?:\xa4name|\xa6sender)\xa2(h\d)")
 
 
 class LinkProxy(Proxy):
-    """Pass on what hosts send to one host, but for those of them that are cut off."""
+    """Forward messages to one host, except those of blocked senders."""
 
     def __init__(self, port: int, target: int) -> None:
-        self._cut: frozenset[str] = frozenset()
+        self._blocked: frozenset[str] = frozenset()
         self._senders: dict[socket.socket, str] = {}
-        # What was read but is not passed on yet.
-        self._kept: dict[socket.socket, bytes] = {}
+        # Bytes that were read but not forwarded yet.
+        self._unsent: dict[socket.socket, bytes] = {}
         super().__init__(port, target)
 
     @property
     def blocked_senders(self) -> frozenset[str]:
-        """Return the hosts whose messages are kept back; these stay connected."""
-        return self._cut
+        """Return the hosts whose messages are held back; they stay connected."""
+        return self._blocked
 
     @blocked_senders.setter
     def blocked_senders(self, names: frozenset[str]) -> None:
-        self._cut = names
+        self._blocked = names
 
-    def _before_wait(self) -> None:
-        """Read again from hosts that are not cut off any more."""
-        for source in [one for one in self._kept if not self._keeps_back(one)]:
-            data = self._kept.pop(source, b"")
+    def _before_select(self) -> None:
+        """Resume reading from senders that are no longer blocked."""
+        for source in [sock for sock in self._unsent if not self._is_blocked(sock)]:
+            data = self._unsent.pop(source, b"")
             if source not in self._pairs:
-                # What was sent before has shown that its pair broke off.
+                # A failed send earlier in this loop has closed the connection.
                 continue
             if source not in self._selector.get_map():
-                self._watch(source)
+                self._register(source)
             if data:
                 self._send(source, data)
 
-    def _pass(self, source: socket.socket) -> None:
-        cut = self._keeps_back(source)
-        if cut and source in self._senders:
-            # Nothing is read: the kernel keeps it, as on a link whose packets get lost.
+    def _forward(self, source: socket.socket) -> None:
+        blocked = self._is_blocked(source)
+        if blocked and source in self._senders:
+            # Leave the bytes in the kernel's buffer, as on a link that loses packets.
             self._selector.unregister(source)
-            self._kept.setdefault(source, b"")
+            self._unsent.setdefault(source, b"")
             return
-        fresh = self._read(source)
-        # What a host that ended meanwhile had sent is lost with it.
-        data = self._kept.pop(source, b"") + fresh if fresh else b""
-        named = SENDER.search(data)
-        if named and source not in self._senders:
-            self._senders[source] = named[1].decode()
-        if data and not data.startswith(GREETING) and self._keeps_back(source):
-            self._kept[source] = data
+        received = self._read(source)
+        # The unsent bytes of a sender that has exited are lost with it.
+        data = self._unsent.pop(source, b"") + received if received else b""
+        match = SENDER_PATTERN.search(data)
+        if match and source not in self._senders:
+            self._senders[source] = match[1].decode()
+        if data and not data.startswith(GREETING) and self._is_blocked(source):
+            self._unsent[source] = data
             return
         self._send(source, data)
 
-    def _keeps_back(self, source: socket.socket) -> bool:
-        """Tell whether bytes wait; of unknown senders they do during any cut."""
+    def _is_blocked(self, source: socket.socket) -> bool:
+        """Return whether to hold back the bytes of a connection.
+
+        An unidentified sender is held back while any sender is blocked.
+        """
         sender = self._senders.get(source)
-        return bool(self._cut) if sender is None else sender in self._cut
+        return bool(self._blocked) if sender is None else sender in self._blocked
 
-    def _drop(self, one: socket.socket) -> None:
-        other = self._pairs[one]
-        super()._drop(one)
-        for end in (one, other):
+    def _close_pair(self, sock: socket.socket) -> None:
+        other = self._pairs[sock]
+        super()._close_pair(sock)
+        for end in (sock, other):
             self._senders.pop(end, None)
-            self._kept.pop(end, None)
+            self._unsent.pop(end, None)
--- a/jackdawspur/soak/_plan.py
+++ b/jackdawspur/soak/_plan.py
@@ -1,4 +1,4 @@
-"""Which deployment a seed has, and which faults strike it when."""
+"""Generation of the deployment and the fault schedule of a seed."""
 
 import random
 from collections.abc import Callable
@@ -9,42 +9,43 @@
     "Fault",
     "FaultKind",
     "Layout",
-    "OF_LIST",
+    "LIST_FAULTS",
     "REGRESSION_SEEDS",
     "layout_of",
     "plan_faults",
 ]
 
-# Seeds that have shown a fault of the product.
+# Seeds that once exposed a bug of the product.
 REGRESSION_SEEDS = (203, 224, 1016)
 
-# Pauses between two faults, in seconds: at the least, several are in force at a time.
-LEAST_GAP_S = 0.1
-MOST_GAP_S = 1.2
-# Shorter than a missed heartbeat at the least, longer than a lease at the most.
-LEAST_FOR_S = 0.2
-MOST_FOR_S = 2.0
-# Hosts that run take an upstream off their lists only 2.5 s after its entry lapsed.
-MOST_SHORT_S = 5.0
-# Hosts pass no list of upstreams on that is older than 2 s.
-LEAST_DOWN_S = 2.5
-MOST_DOWN_S = 4.0
-# A host is down for this long before it starts again under another fault.
-LEAST_RESTART_S = 0.1
-MOST_RESTART_S = 0.6
-# Of what is drawn, how much is a host that starts again with no list or a short one.
-STARTS_SHARE = 0.4
-# Long enough that hosts that run learn of a number below the limit, and see it above
-# the limit again before the last fault.
-LEAST_HALVED_S = 3.5
-MOST_HALVED_S = 4.5
+# Pauses between two faults, in seconds; at the minimum, several faults overlap.
+MIN_GAP_S = 0.1
+MAX_GAP_S = 1.2
+# From less than a missed heartbeat to more than a lease.
+MIN_DURATION_S = 0.2
+MAX_DURATION_S = 2.0
+# Running hosts remove an upstream from their lists only 2.5 s after its entry expired.
+MAX_LIST_FAULT_S = 5.0
+# Hosts forward no list of upstreams that is older than 2 s.
+MIN_STORE_DOWN_S = 2.5
+MAX_STORE_DOWN_S = 4.0
+# Delay before a host that is down restarts, while another fault is active.
+MIN_RESTART_DELAY_S = 0.1
+MAX_RESTART_DELAY_S = 0.6
+# The fraction of random faults that restart a host with no list or a short one.
+RESTART_FRACTION = 0.4
+# Long enough for running hosts to see the number of upstreams fall below the limit, and
+# rise above it again before the last fault.
+MIN_HALVED_S = 3.5
+MAX_HALVED_S = 4.5
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Say how the hosts and workers of a deployment are dealt out.
+    """Zones and limits of a deployment's hosts and workers.
 
-    `processors` are what the hosts state in turn, in cores.
+    Hosts are assigned to `zones` and `processors` in rotation; the latter are the
+    processor capacities that hosts report, in cores.
     """
 
     name: str
@@ -54,8 +55,8 @@
     processors: tuple[float, ...] = (1.0,)
 
 
-# For six workers: with one group, with two that stay so, and with two that become one
-# when three workers are off the list, and two again when they are back.
+# For six workers: one group; two groups throughout; two groups that merge when three
+# workers are off the list, and split again when these are back.
 LAYOUTS = (
     Layout("one group", ("z1",), 64, processors=(1.0, 1.0, 1.0, 2.0)),
     Layout("two groups", ("z1", "z2"), 2),
@@ -64,7 +65,7 @@
 
 
 class FaultKind(Enum):
-    """Name what is done, to a host, to a worker or to all."""
+    """Kinds of faults of a host, a worker, the store or the links."""
 
     KILL_HOST = "kill host"
     FREEZE_HOST = "freeze host"
@@ -84,80 +85,84 @@
     HALVES_CUT = "two halves cut from each other"
 
 
-OF_LIST = (FaultKind.LIST_SHORT, FaultKind.LIST_HALVED)
+LIST_FAULTS = (FaultKind.LIST_SHORT, FaultKind.LIST_HALVED)
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Strike one target, by number, for some time; seconds from the first job."""
+    """A fault of one target, by index; `at_s` counts from the start of the load."""
 
     at_s: float
     kind: FaultKind
     target: int
-    for_s: float
+    duration_s: float
 
 
 def layout_of(seed: int) -> Layout:
-    """Return the deployment of a seed: each in turn."""
+    """Return the layout of a seed; seeds rotate through all layouts."""
     return LAYOUTS[seed % len(LAYOUTS)]
 
 
 def plan_faults(seed: int, seconds: float, targets: int) -> tuple[Fault, ...]:
-    """Return the faults of a seed, in order of time."""
-    draw = random.Random(seed)
+    """Return the faults of a seed, sorted by time."""
+    rng = random.Random(seed)
     faults: list[Fault] = []
     if layout_of(seed).crosses_limit:
-        at_s = draw.uniform(LEAST_GAP_S, MOST_GAP_S)
-        for_s = draw.uniform(LEAST_HALVED_S, MOST_HALVED_S)
-        target = draw.randrange(targets)
-        faults.append(Fault(at_s, FaultKind.LIST_HALVED, target, for_s))
-    at_s = draw.uniform(LEAST_GAP_S, MOST_GAP_S)
+        at_s = rng.uniform(MIN_GAP_S, MAX_GAP_S)
+        duration_s = rng.uniform(MIN_HALVED_S, MAX_HALVED_S)
+        target = rng.randrange(targets)
+        faults.append(Fault(at_s, FaultKind.LIST_HALVED, target, duration_s))
+    at_s = rng.uniform(MIN_GAP_S, MAX_GAP_S)
     while at_s < seconds:
-        target = draw.randrange(targets)
-        if draw.random() < STARTS_SHARE:
-            faults += draw.choice(STARTS)(draw, at_s, target)
+        target = rng.randrange(targets)
+        if rng.random() < RESTART_FRACTION:
+            faults += rng.choice(RESTART_SCENARIOS)(rng, at_s, target)
         else:
-            kind = draw.choice(list(FaultKind))
-            most_s = MOST_SHORT_S if kind in OF_LIST else MOST_FOR_S
-            faults.append(Fault(at_s, kind, target, draw.uniform(LEAST_FOR_S, most_s)))
-        at_s += draw.uniform(LEAST_GAP_S, MOST_GAP_S)
-    kept = [fault for fault in faults if fault.at_s < seconds]
-    return tuple(sorted(kept, key=lambda fault: fault.at_s))
+            kind = rng.choice(list(FaultKind))
+            max_s = MAX_LIST_FAULT_S if kind in LIST_FAULTS else MAX_DURATION_S
+            faults.append(Fault(at_s, kind, target, rng.uniform(MIN_DURATION_S, max_s)))
+        at_s += rng.uniform(MIN_GAP_S, MAX_GAP_S)
+    started = [fault for fault in faults if fault.at_s < seconds]
+    return tuple(sorted(started, key=lambda fault: fault.at_s))
 
 
-def _start_again(draw: random.Random, at_s: float, target: int) -> Fault:
-    kind = draw.choice((FaultKind.KILL_HOST, FaultKind.KILL_HOST, FaultKind.STOP_HOST))
-    return Fault(at_s, kind, target, draw.uniform(LEAST_RESTART_S, MOST_RESTART_S))
+def _restart(rng: random.Random, at_s: float, target: int) -> Fault:
+    kind = rng.choice((FaultKind.KILL_HOST, FaultKind.KILL_HOST, FaultKind.STOP_HOST))
+    return Fault(
+        at_s, kind, target, rng.uniform(MIN_RESTART_DELAY_S, MAX_RESTART_DELAY_S)
+    )
 
 
-def _without_store(draw: random.Random, at_s: float, target: int) -> list[Fault]:
-    """Start a host while the store does not answer it, and others have a list."""
+def _restart_without_store(rng: random.Random, at_s: float, target: int) -> list[Fault]:
+    """Restart a host that can't reach the store while other hosts have a list."""
     kinds = (FaultKind.STORE_SILENT_FOR_HOST, FaultKind.STORE_RESETS_HOST)
-    for_s = draw.uniform(LEAST_DOWN_S, MOST_DOWN_S)
-    away = Fault(at_s, draw.choice(kinds), target, for_s)
-    return [away, _start_again(draw, at_s, target)]
+    duration_s = rng.uniform(MIN_STORE_DOWN_S, MAX_STORE_DOWN_S)
+    unreachable = Fault(at_s, rng.choice(kinds), target, duration_s)
+    return [unreachable, _restart(rng, at_s, target)]
 
 
-def _without_list(draw: random.Random, at_s: float, target: int) -> list[Fault]:
-    """Start a host while nobody has a list to pass on; entries lapse meanwhile."""
-    down_s = draw.uniform(LEAST_DOWN_S, MOST_DOWN_S)
-    short_s = draw.uniform(LEAST_FOR_S, MOST_FOR_S)
+def _restart_without_list(rng: random.Random, at_s: float, target: int) -> list[Fault]:
+    """Restart a host while no host has a list to forward and entries expire."""
+    down_s = rng.uniform(MIN_STORE_DOWN_S, MAX_STORE_DOWN_S)
+    short_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
     return [
         Fault(at_s, FaultKind.STORE_DOWN, target, down_s),
-        _start_again(draw, at_s + draw.uniform(0.0, down_s), target),
+        _restart(rng, at_s + rng.uniform(0.0, down_s), target),
         Fault(at_s + down_s, FaultKind.LIST_SHORT, target, short_s),
     ]
 
 
-def _with_short_list(draw: random.Random, at_s: float, target: int) -> list[Fault]:
-    """Start a host while some workers are off the list."""
-    for_s = draw.uniform(LEAST_FOR_S, MOST_SHORT_S)
-    short = Fault(at_s, FaultKind.LIST_SHORT, target, for_s)
-    return [short, _start_again(draw, at_s, target)]
+def _restart_with_short_list(
+    rng: random.Random, at_s: float, target: int
+) -> list[Fault]:
+    """Restart a host while some workers are off the list."""
+    duration_s = rng.uniform(MIN_DURATION_S, MAX_LIST_FAULT_S)
+    short_list = Fault(at_s, FaultKind.LIST_SHORT, target, duration_s)
+    return [short_list, _restart(rng, at_s, target)]
 
 
-STARTS: tuple[Callable[[random.Random, float, int], list[Fault]], ...] = (
-    _without_store,
-    _without_list,
-    _with_short_list,
+RESTART_SCENARIOS: tuple[Callable[[random.Random, float, int], list[Fault]], ...] = (
+    _restart_without_store,
+    _restart_without_list,
+    _restart_with_short_list,
 )
--- a/jackdawspur/soak/_ports.py
+++ b/jackdawspur/soak/_ports.py
@@ -1,57 +1,57 @@
-"""Ports that no other deployment on this machine uses."""
+"""Allocation of ports that no other deployment on this machine uses."""
 
 import random
 import socket
 
 __all__ = ["PortBlock"]
 
-# Below the ports that the kernel gives to outgoing connections: one of those could
-# take a port between its choice and the start of the process that is to listen on it.
-FIRST = 20_000
-LAST = 32_000
-BLOCK = 64
+# Below the kernel's range of ephemeral ports: an outgoing connection could take such a
+# port after its allocation, before the process that listens on it has started.
+FIRST_PORT = 20_000
+LAST_PORT = 32_000
+BLOCK_SIZE = 64
 
 
 class PortBlock:
-    """Hold the ports of one deployment; the first stays bound and marks the block."""
+    """The ports of one deployment; the first stays bound to reserve the block."""
 
     def __init__(self) -> None:
-        self._mark = socket.socket()
-        self._next = self._claim() + 1
-        self._end = self._next + BLOCK - 1
-
-    def take(self, count: int) -> list[int]:
-        """Return ports that were not taken before."""
-        ports = list(range(self._next, self._next + count))
-        self._next += count
-        if self._next > self._end:
-            raise ValueError(f"a deployment has {BLOCK - 1} ports, no more")
+        self._reservation = socket.socket()
+        self._next_port = self._reserve_block() + 1
+        self._end_port = self._next_port + BLOCK_SIZE - 1
+
+    def allocate(self, count: int) -> list[int]:
+        """Return `count` ports that were not allocated before."""
+        ports = list(range(self._next_port, self._next_port + count))
+        self._next_port += count
+        if self._next_port > self._end_port:
+            raise ValueError(f"a deployment can use {BLOCK_SIZE - 1} ports at most")
         return ports
 
     def close(self) -> None:
-        """Leave the block to others."""
-        self._mark.close()
+        """Release the block."""
+        self._reservation.close()
 
-    def _claim(self) -> int:
-        blocks = list(range(FIRST, LAST, BLOCK))
+    def _reserve_block(self) -> int:
+        blocks = list(range(FIRST_PORT, LAST_PORT, BLOCK_SIZE))
         random.shuffle(blocks)
         for first in blocks:
             try:
-                self._mark.bind(("127.0.0.1", first))
+                self._reservation.bind(("127.0.0.1", first))
             except OSError:
-                # Another deployment holds it.
+                # Another deployment has reserved it.
                 continue
-            if all(_is_free(port) for port in range(first + 1, first + BLOCK)):
+            if all(_is_free(port) for port in range(first + 1, first + BLOCK_SIZE)):
                 return first
-            self._mark.close()
-            self._mark = socket.socket()
-        raise OSError("every block of ports is held")
+            self._reservation.close()
+            self._reservation = socket.socket()
+        raise OSError("all blocks of ports are in use")
 
 
 def _is_free(port: int) -> bool:
-    """Tell whether a server may listen on a port.
+    """Return whether a server can listen on a port.
 
-    A deployment that has left its block may still be closing what listened there.
+    A deployment that has released its block may still be closing its listeners.
     """
     try:
         socket.create_server(("127.0.0.1", port)).close()
--- a/jackdawspur/soak/_proxy.py
+++ b/jackdawspur/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on the loopback address whose passage can be closed."""
+"""A TCP proxy on the loopback address that can stop or reset its connections."""
 
 import selectors
 import socket
@@ -10,14 +10,15 @@
 __all__ = ["Proxy", "ProxyMode"]
 
 CHUNK_BYTES = 65_536
-# How soon a change of the passage is seen.
-POLL_S = 0.02
-# A peer that reads nothing for this long is cut off, so that it can't stop the others.
-SEND_S = 1.0
+# The maximum delay until a change of the mode takes effect.
+POLL_INTERVAL_S = 0.02
+# A peer that reads nothing for this long is disconnected, so that it can't block the
+# other connections.
+SEND_TIMEOUT_S = 1.0
 
 
 class ProxyMode(Enum):
-    """Say what becomes of bytes; a silent proxy keeps connections open."""
+    """Handling of connections; a silent proxy keeps them open but forwards nothing."""
 
     OPEN = "open"
     SILENT = "silent"
@@ -25,11 +26,11 @@
 
 
 class Proxy:
-    """Pass connections on to a port of this machine, on a thread of its own."""
+    """Forward connections to a local port, on its own thread."""
 
     def __init__(self, port: int, target: int) -> None:
-        self._target = target
-        self._passage = ProxyMode.OPEN
+        self._target_port = target
+        self._mode = ProxyMode.OPEN
         self._pairs: dict[socket.socket, socket.socket] = {}
         self._selector = selectors.DefaultSelector()
         self._listener = socket.create_server(("127.0.0.1", port))
@@ -40,61 +41,63 @@
 
     @property
     def port(self) -> int:
-        """Return where it listens."""
+        """Return the port on which the proxy listens."""
         return self._listener.getsockname()[1]
 
     @property
     def mode(self) -> ProxyMode:
-        """Return what becomes of bytes now."""
-        return self._passage
+        """Return the current mode."""
+        return self._mode
 
     @mode.setter
-    def mode(self, passage: ProxyMode) -> None:
-        self._passage = passage
+    def mode(self, new_mode: ProxyMode) -> None:
+        self._mode = new_mode
 
     def close(self) -> None:
-        """End the thread and all connections."""
+        """Stop the thread and close all connections."""
         self._closing = True
         self._thread.join()
 
     def _run(self) -> None:
         while not self._closing:
-            if self._passage is ProxyMode.RESET:
-                self._drop_all()
-            if self._passage is ProxyMode.SILENT:
-                # The kernel goes on accepting and buffering; nobody reads or answers.
-                time.sleep(POLL_S)
+            if self._mode is ProxyMode.RESET:
+                self._close_all()
+            if self._mode is ProxyMode.SILENT:
+                # The kernel keeps accepting and buffering; nothing is read or answered.
+                time.sleep(POLL_INTERVAL_S)
                 continue
-            self._before_wait()
-            ready = self._selector.select(POLL_S)
+            self._before_select()
+            ready = self._selector.select(POLL_INTERVAL_S)
             for key, _events in ready:
                 if key.fileobj is self._listener:
                     self._accept()
                 elif key.fileobj in self._pairs:
-                    self._pass(key.fileobj)
-        self._drop_all()
+                    self._forward(key.fileobj)
+        self._close_all()
         self._listener.close()
 
-    def _before_wait(self) -> None:
-        """Do what a change of the passage asks for."""
+    def _before_select(self) -> None:
+        """Apply changes of settings before each wait; a hook for subclasses."""
 
     def _accept(self) -> None:
-        near, _address = self._listener.accept()
-        near.settimeout(SEND_S)
+        client, _address = self._listener.accept()
+        client.settimeout(SEND_TIMEOUT_S)
         try:
-            far = socket.create_connection(("127.0.0.1", self._target), timeout=SEND_S)
+            server = socket.create_connection(
+                ("127.0.0.1", self._target_port), timeout=SEND_TIMEOUT_S
+            )
         except OSError:
-            # Nobody listens there: the caller sees the same as without a proxy.
-            near.close()
+            # Nothing listens there: close the connection, as without a proxy.
+            client.close()
             return
-        self._pairs[near], self._pairs[far] = far, near
-        for one in (near, far):
-            self._watch(one)
+        self._pairs[client], self._pairs[server] = server, client
+        for end in (client, server):
+            self._register(end)
 
-    def _watch(self, one: socket.socket) -> None:
-        self._selector.register(one, selectors.EVENT_READ)
+    def _register(self, sock: socket.socket) -> None:
+        self._selector.register(sock, selectors.EVENT_READ)
 
-    def _pass(self, source: socket.socket) -> None:
+    def _forward(self, source: socket.socket) -> None:
         self._send(source, self._read(source))
 
     def _read(self, source: socket.socket) -> bytes:
@@ -104,24 +107,27 @@
             return b""
 
     def _send(self, source: socket.socket, data: bytes) -> None:
-        """Pass bytes on; none, or an error, tell the other side that one broke off."""
+        """Forward bytes to the other end.
+
+        Close both ends on an error, or if `data` is empty, which means end of file.
+        """
         try:
             if data:
                 self._pairs[source].sendall(data)
                 return
         except OSError:
             pass
-        self._drop(source)
+        self._close_pair(source)
 
-    def _drop(self, one: socket.socket) -> None:
-        other = self._pairs.pop(one)
+    def _close_pair(self, sock: socket.socket) -> None:
+        other = self._pairs.pop(sock)
         self._pairs.pop(other, None)
-        for end in (one, other):
+        for end in (sock, other):
             with suppress(KeyError):
                 self._selector.unregister(end)
             with suppress(OSError):
                 end.close()
 
-    def _drop_all(self) -> None:
+    def _close_all(self) -> None:
         while self._pairs:
-            self._drop(next(iter(self._pairs)))
+            self._close_pair(next(iter(self._pairs)))
--- a/jackdawspur/soak/_soak.py
+++ b/jackdawspur/soak/_soak.py
@@ -1,4 +1,4 @@
-"""One seed: a deployment under load, its faults, and the checks after them."""
+"""Run of one seed: a deployment under load, its faults and the final checks."""
 
 import random
 import time
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from jackdawspur.soak._checks import Findings, Sent, check
+from jackdawspur.soak._checks import Findings, SentJob, check
 from jackdawspur.soak._deployment import Answer, Deployment, Host, wait_until
 from jackdawspur.soak._fault_injector import FaultInjector
 from jackdawspur.soak._plan import Fault, Layout, layout_of, plan_faults
@@ -16,26 +16,26 @@
 HOSTS = 4
 WORKERS = 6
 STEP_S = 0.02
-# About half of the workers' room: faults, not overload, are to make jobs fail.
-JOB_EVERY_S = 0.08
-LEAST_RUN_MS = 20.0
-MOST_RUN_MS = 700.0
-MOST_TASKS = 3
-FAILING_SHARE = 0.05
-# All callers have an answer by then: their own limit is 5 s.
-ANSWERS_S = 20.0
-# Long after the last fault a job is served by every host: a restart, a change of the
-# leading host and the end of all leases take under 5 s together.
-RECOVERED_S = 15.0
-# So many of the jobs go to a host that started so lately, if there is one: what it
-# takes for its group may still change.
-FRESH_SHARE = 0.5
-FRESH_S = 3.0
+# About half of the workers' capacity: jobs must fail by faults, not by overload.
+JOB_INTERVAL_S = 0.08
+MIN_RUN_MS = 20.0
+MAX_RUN_MS = 700.0
+MAX_TASKS = 3
+FAILING_FRACTION = 0.05
+# All callers have an answer earlier: their own timeout is 5 s.
+ANSWER_TIMEOUT_S = 20.0
+# Every host must complete a job within this time after the last fault: a restart, a
+# change of the leader and the expiry of all leases take less than 5 s together.
+RECOVERY_S = 15.0
+# If a host has started less than NEW_HOST_S ago, this fraction of the jobs goes to such
+# a host, because the group that it derives for itself may still change.
+NEW_HOST_FRACTION = 0.5
+NEW_HOST_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """Tell what one seed did and showed."""
+    """Faults and findings of one seed."""
 
     seed: int
     layout: Layout
@@ -44,8 +44,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Open:
-    job: str
+class _OpenJob:
+    job_id: str
     tasks: int
     fails: bool
     host: Host
@@ -54,7 +54,7 @@
 
 
 def run_seed(seed: int, seconds: float, folder: Path) -> SoakResult:
-    """Run a deployment under the faults of a seed and check all that came of it."""
+    """Run a deployment under the faults of a seed and check the outcomes."""
     plan = plan_faults(seed, seconds, HOSTS * WORKERS)
     layout = layout_of(seed)
     deployment = Deployment(
@@ -66,10 +66,10 @@
         layout.processors,
     )
     try:
-        faults = FaultInjector(deployment)
-        opened = _load(deployment, faults, plan, seed, seconds)
-        faults.revert_all(RECOVERED_S)
-        sent = [_ended(one, faults) for one in opened]
+        injector = FaultInjector(deployment)
+        open_jobs = _run_load(deployment, injector, plan, seed, seconds)
+        injector.revert_all(RECOVERY_S)
+        sent = [_await_answer(job, injector) for job in open_jobs]
         findings = check(sent, deployment.report())
         _check_recovered(deployment, findings)
         return SoakResult(seed, layout, plan, findings)
@@ -77,69 +77,69 @@
         deployment.close()
 
 
-def _load(
+def _run_load(
     deployment: Deployment,
-    faults: FaultInjector,
+    injector: FaultInjector,
     plan: tuple[Fault, ...],
     seed: int,
     seconds: float,
-) -> list[_Open]:
-    draw = random.Random(seed)
-    began = time.monotonic()
-    to_come, opened = list(plan), []
+) -> list[_OpenJob]:
+    rng = random.Random(seed)
+    started_at = time.monotonic()
+    pending_faults, open_jobs = list(plan), []
     job_at_s = 0.0
-    while (now_s := time.monotonic() - began) < seconds:
-        faults.revert_due(now_s)
-        while to_come and to_come[0].at_s <= now_s:
-            faults.inject(to_come.pop(0), now_s)
+    while (now_s := time.monotonic() - started_at) < seconds:
+        injector.revert_due(now_s)
+        while pending_faults and pending_faults[0].at_s <= now_s:
+            injector.inject(pending_faults.pop(0), now_s)
         if now_s >= job_at_s:
-            job_at_s = now_s + JOB_EVERY_S
-            opened.append(_submit(deployment, faults, draw))
+            job_at_s = now_s + JOB_INTERVAL_S
+            open_jobs.append(_submit(deployment, injector, rng))
         time.sleep(STEP_S)
-    return opened
+    return open_jobs
 
 
 def _submit(
-    deployment: Deployment, faults: FaultInjector, draw: random.Random
-) -> _Open:
-    host = _choose_host(deployment, draw)
-    run_ms = draw.uniform(LEAST_RUN_MS, MOST_RUN_MS)
-    tasks = draw.randint(1, MOST_TASKS)
-    fails = draw.random() < FAILING_SHARE
-    job = deployment.next_job_id()
-    kills = faults.kills[host.name]
-    answer = deployment.submit(host, run_ms, tasks, job, fails)
-    return _Open(job, tasks, fails, host, kills, answer)
-
-
-def _choose_host(deployment: Deployment, draw: random.Random) -> Host:
-    since = time.monotonic() - FRESH_S
-    fresh = [host for host in deployment.hosts if host.started_at > since]
-    any_host, drawn = draw.choice(deployment.hosts), draw.random()
-    if not fresh or drawn >= FRESH_SHARE:
-        return any_host
-    return fresh[int(drawn / FRESH_SHARE * len(fresh))]
-
-
-def _ended(one: _Open, faults: FaultInjector) -> Sent:
-    answer: Answer = one.answer.result(ANSWERS_S)
-    killed = faults.kills[one.host.name] > one.kills
-    unread = answer.status == 0 and not one.host.log_mentions(one.job)
-    return Sent(one.job, one.tasks, one.fails, answer, killed, unread)
+    deployment: Deployment, injector: FaultInjector, rng: random.Random
+) -> _OpenJob:
+    host = _choose_host(deployment, rng)
+    run_ms = rng.uniform(MIN_RUN_MS, MAX_RUN_MS)
+    tasks = rng.randint(1, MAX_TASKS)
+    fails = rng.random() < FAILING_FRACTION
+    job_id = deployment.next_job_id()
+    kills = injector.kills[host.name]
+    answer = deployment.submit(host, run_ms, tasks, job_id, fails)
+    return _OpenJob(job_id, tasks, fails, host, kills, answer)
+
+
+def _choose_host(deployment: Deployment, rng: random.Random) -> Host:
+    since = time.monotonic() - NEW_HOST_S
+    new_hosts = [host for host in deployment.hosts if host.started_at > since]
+    random_host, sample = rng.choice(deployment.hosts), rng.random()
+    if not new_hosts or sample >= NEW_HOST_FRACTION:
+        return random_host
+    return new_hosts[int(sample / NEW_HOST_FRACTION * len(new_hosts))]
+
+
+def _await_answer(job: _OpenJob, injector: FaultInjector) -> SentJob:
+    answer: Answer = job.answer.result(ANSWER_TIMEOUT_S)
+    killed = injector.kills[job.host.name] > job.kills
+    not_logged = answer.status == 0 and not job.host.log_mentions(job.job_id)
+    return SentJob(job.job_id, job.tasks, job.fails, answer, killed, not_logged)
 
 
 def _check_recovered(deployment: Deployment, findings: Findings) -> None:
     for host in deployment.hosts:
-        ended = host.process.poll()
-        if ended is not None:
-            findings.wrong.append(f"{host.name}: ended by itself with {ended}")
+        exit_status = host.process.poll()
+        if exit_status is not None:
+            findings.wrong.append(f"{host.name}: unexpected exit status {exit_status}")
             continue
         try:
-            wait_until(lambda: _serves(deployment, host), "answers", RECOVERED_S)  # noqa: B023
+            wait_until(lambda: _completes_job(deployment, host), "answers", RECOVERY_S)  # noqa: B023
         except AssertionError:
-            findings.wrong.append(f"{host.name}: no job served after the faults")
+            findings.wrong.append(f"{host.name}: no job completed after the faults")
 
 
-def _serves(deployment: Deployment, host: Host) -> bool:
-    answer = deployment.submit(host).result(ANSWERS_S)
+def _completes_job(deployment: Deployment, host: Host) -> bool:
+    answer = deployment.submit(host).result(ANSWER_TIMEOUT_S)
     return answer.status == 200 and answer.body.get("state") == "completed"
--- a/jackdawspur/soak/tests/__init__.py
+++ b/jackdawspur/soak/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of jackdawspur.soak."""
+"""Tests of the soak package."""
--- a/jackdawspur/soak/tests/test_proxy.py
+++ b/jackdawspur/soak/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy passes, keeps or breaks connections as it is told."""
+"""A proxy forwards, stalls or closes connections according to its mode."""
 
 import socket
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 from jackdawspur.soak import Proxy, ProxyMode
 from jackdawspur.soak._ports import PortBlock
 
-SHORT_S = 0.3
+SHORT_TIMEOUT_S = 0.3
 
 
 def _echo(listener: socket.socket) -> None:
@@ -28,9 +28,9 @@
 def proxy() -> Iterator[Proxy]:
     listener = socket.create_server(("127.0.0.1", 0))
     Thread(target=_echo, args=(listener,), daemon=True).start()
-    one = Proxy(0, listener.getsockname()[1])
-    yield one
-    one.close()
+    running_proxy = Proxy(0, listener.getsockname()[1])
+    yield running_proxy
+    running_proxy.close()
     listener.close()
 
 
@@ -38,16 +38,16 @@
     return socket.create_connection(("127.0.0.1", proxy.port), timeout=5.0)
 
 
-def test_an_open_proxy_passes_bytes_both_ways(proxy: Proxy):
+def test_an_open_proxy_forwards_bytes_both_ways(proxy: Proxy):
     with _connect(proxy) as caller:
         caller.sendall(b"hello")
         assert caller.recv(100) == b"hello"
 
 
-def test_a_silent_proxy_answers_once_it_is_open_again(proxy: Proxy):
+def test_a_silent_proxy_forwards_once_it_is_open_again(proxy: Proxy):
     with _connect(proxy) as caller:
         proxy.mode = ProxyMode.SILENT
-        caller.settimeout(SHORT_S)
+        caller.settimeout(SHORT_TIMEOUT_S)
         caller.sendall(b"hello")
         with pytest.raises(TimeoutError):
             caller.recv(100)
@@ -56,7 +56,7 @@
         assert caller.recv(100) == b"hello"
 
 
-def test_a_resetting_proxy_breaks_connections(proxy: Proxy):
+def test_a_resetting_proxy_closes_connections(proxy: Proxy):
     with _connect(proxy) as caller:
         caller.sendall(b"hello")
         assert caller.recv(100) == b"hello"
@@ -64,10 +64,10 @@
         assert caller.recv(100) == b""
 
 
-def test_two_deployments_never_have_the_same_ports():
-    # Hosts do not start beside another run: the port chosen for one was taken by the
-    # other before the process listened on it.
+def test_two_deployments_never_share_a_port():
+    # Guards against hosts that fail to start beside another test run, because that run
+    # takes a port after it was chosen and before the process listens on it.
     first, second = PortBlock(), PortBlock()
-    assert not set(first.take(60)) & set(second.take(60))
+    assert not set(first.allocate(60)) & set(second.allocate(60))
     first.close()
     second.close()
--- a/jackdawspur/soak/tests/test_soak.py
+++ b/jackdawspur/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: a seed of each deployment on real processes, and the plan of seeds."""
+"""A short soak of each layout with real processes, and the fault plans of seeds."""
 
 from pathlib import Path
 
@@ -6,10 +6,10 @@
 
 from jackdawspur.soak import FaultKind, layout_of, plan_faults, run_seed
 
-SHORT_S = 6.0
+LOAD_S = 6.0
 
 
-def test_a_seed_always_gives_the_same_plan():
+def test_a_seed_always_has_the_same_plan():
     assert plan_faults(7, 30.0, 24) == plan_faults(7, 30.0, 24)
     assert plan_faults(7, 30.0, 24) != plan_faults(8, 30.0, 24)
     at_s = [fault.at_s for fault in plan_faults(7, 30.0, 24)]
@@ -17,7 +17,7 @@
     assert at_s[-1] < 30.0
 
 
-def test_seeds_draw_every_fault_and_every_deployment():
+def test_seeds_cover_every_fault_and_every_layout():
     seeds = range(30)
     faults = [fault for seed in seeds for fault in plan_faults(seed, 8.0, 24)]
     assert {fault.kind for fault in faults} == set(FaultKind)
@@ -25,11 +25,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3], ids=lambda seed: layout_of(seed).name)
-def test_nothing_wrong_under_the_faults_of_a_seed(tmp_path: Path, seed: int):
-    # Hosts are killed, stand still, don't hear each other or start again without a list
-    # of upstreams, the store forgets its history, and a worker answers nobody, all
-    # within six seconds. Callers may be refused or wait in vain; no task runs twice at
-    # a time and no answer is false.
-    result = run_seed(seed, SHORT_S, tmp_path)
+def test_no_invariant_is_violated_under_the_faults_of_a_seed(tmp_path: Path, seed: int):
+    # Within six seconds hosts are killed, frozen, partitioned or restarted without a
+    # list of upstreams, the store loses its history and a worker stops answering.
+    # Callers may be refused or time out, but no task runs twice at a time and no answer
+    # is false.
+    result = run_seed(seed, LOAD_S, tmp_path)
     assert result.findings.complete > 0
     assert result.findings.wrong == []
