--- a/jackdawspur/slopes/__init__.py
+++ b/jackdawspur/slopes/__init__.py
@@ -1,4 +1,4 @@
-"""Measure what a role's state, messages and processor time grow with."""
+"""Measure how memory, message sizes and processor time grow with each size."""
 
 from jackdawspur.slopes._fit import Slope, fit
 
--- a/jackdawspur/slopes/_configuration.py
+++ b/jackdawspur/slopes/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration's figures at today's number of upstreams and the letter's."""
+"""Costs of the configuration at today's and at the required number of upstreams."""
 
 from collections.abc import Iterator
 
@@ -6,26 +6,35 @@
 
 __all__ = ["configuration_lines"]
 
-SMALL = (140, 24, 3)
-FULL = (140, 3900, 18)
+CURRENT_SIZES = (140, 24, 3)
+REQUIRED_SIZES = (140, 3900, 18)
 
 
 def configuration_lines() -> Iterator[str]:
-    """Yield each figure at both sizes and what one more upstream adds to it."""
-    small, full = measure_size(*SMALL), measure_size(*FULL)
-    yield _line("snapshot", "KB", small, full, "snapshot_kb")
-    yield _line("a ready host takes a change", "ms", small, full, "change_ms")
-    yield _line("a ready host meets a snapshot", "ms", small, full, "mark_ms")
-    yield _line("a snapshot is written", "ms", small, full, "write_ms")
-    yield _line("start: a snapshot and 200 changes", "ms", small, full, "start_ms")
-    yield _line("state of the keeper", "MB", small, full, "keeper_mb")
-
-
-def _line(name: str, unit: str, small: SizeCost, full: SizeCost, field: str) -> str:
-    low, high = getattr(small, field), getattr(full, field)
-    each = (high - low) / (full.upstreams - small.upstreams)
+    """Yield each cost at both sizes, and its increase per upstream."""
+    current, required = measure_size(*CURRENT_SIZES), measure_size(*REQUIRED_SIZES)
+    yield _format_cost("snapshot", "KB", current, required, "snapshot_kb")
+    yield _format_cost(
+        "change applied by a ready host", "ms", current, required, "change_ms"
+    )
+    yield _format_cost(
+        "snapshot header read by a ready host", "ms", current, required, "mark_ms"
+    )
+    yield _format_cost("a snapshot is written", "ms", current, required, "write_ms")
+    yield _format_cost(
+        "start with a snapshot and 200 changes", "ms", current, required, "start_ms"
+    )
+    yield _format_cost("state of the replica", "MB", current, required, "keeper_mb")
+
+
+def _format_cost(
+    name: str, unit: str, current: SizeCost, required: SizeCost, field: str
+) -> str:
+    low, high = getattr(current, field), getattr(required, field)
+    per_upstream = (high - low) / (required.upstreams - current.upstreams)
     return (
-        f"configuration: {name}: {each:.4g} {unit} an upstream (medians of 5 repeats; "
-        f"{low:.4g}/{high:.4g} at {small.upstreams}/{full.upstreams} upstreams, "
-        f"{full.customers} customers)"
+        f"configuration: {name}: {per_upstream:.4g} {unit} per upstream "
+        f"(medians of 5 repeats; {low:.4g}/{high:.4g} at "
+        f"{current.upstreams}/{required.upstreams} upstreams, "
+        f"{required.customers} customers)"
     )
--- a/jackdawspur/slopes/_fit.py
+++ b/jackdawspur/slopes/_fit.py
@@ -1,27 +1,28 @@
-"""Slopes, fitted to repeated measurements."""
+"""Linear fits of repeated measurements."""
 
 import statistics
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-__all__ = ["REPEATS", "Slope", "fit", "text_of"]
+__all__ = ["REPEATS", "Slope", "fit", "format_slope"]
 
 REPEATS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Tell how a figure grows with one size, over the sizes measured.
+    """Linear growth of a measured value with one size.
 
-    `base` is the figure at size zero of the fitted line; `low` and `high` bound the
-    slopes of the repeats; `points` are the medians at `sizes`.
+    `intercept` is the value of the fitted line at size zero and `per_unit` its slope;
+    `low` and `high` are the bounds of the slopes of all repeats; `points` are the
+    medians at `sizes`.
     """
 
     name: str
     unit: str
     per: str
-    base: float
-    each: float
+    intercept: float
+    per_unit: float
     low: float
     high: float
     sizes: tuple[int, ...]
@@ -37,30 +38,31 @@
     measure: Callable[[int], float],
     repeats: int = REPEATS,
 ) -> Slope:
-    """Measure each size so often and fit a line to every repeat by least squares."""
+    """Measure each size `repeats` times and fit each repeat by least squares."""
     rounds = [[measure(size) for size in sizes] for _ in range(repeats)]
-    lines = [statistics.linear_regression(sizes, one) for one in rounds]
+    lines = [statistics.linear_regression(sizes, values) for values in rounds]
     slopes = [line.slope for line in lines]
     return Slope(
         name=name,
         unit=unit,
         per=per,
-        base=statistics.median(line.intercept for line in lines),
-        each=statistics.median(slopes),
+        intercept=statistics.median(line.intercept for line in lines),
+        per_unit=statistics.median(slopes),
         low=min(slopes),
         high=max(slopes),
         sizes=tuple(sizes),
-        points=tuple(statistics.median(at) for at in zip(*rounds, strict=True)),
+        points=tuple(statistics.median(values) for values in zip(*rounds, strict=True)),
         repeats=repeats,
     )
 
 
-def text_of(slope: Slope) -> str:
-    """Return a slope as one line for people."""
+def format_slope(slope: Slope) -> str:
+    """Return a slope as one line of text."""
     sizes = "/".join(str(size) for size in slope.sizes)
     points = "/".join(f"{point:.4g}" for point in slope.points)
     return (
-        f"{slope.name}: {slope.base:.4g} {slope.unit} + {slope.each:.4g} a {slope.per}"
+        f"{slope.name}: {slope.intercept:.4g} {slope.unit}"
+        f" + {slope.per_unit:.4g} per {slope.per}"
         f" ({slope.low:.4g} to {slope.high:.4g}, {slope.repeats} repeats;"
         f" {points} at {sizes})"
     )
--- a/jackdawspur/slopes/_host.py
+++ b/jackdawspur/slopes/_host.py
@@ -1,4 +1,4 @@
-"""One entry host's decisions in a world of a given size, driven by events."""
+"""The core logic of an entry host in a cluster of a given size, driven by events."""
 
 import random
 import time
@@ -33,22 +33,28 @@
     UpstreamId,
 )
 
-__all__ = ["DrivenHost", "Sizes", "WrongRun", "peer_of", "world_of_size"]
+__all__ = [
+    "DrivenHost",
+    "Sizes",
+    "MeasurementError",
+    "make_host_id",
+    "make_cluster_spec",
+]
 
 RUN_MS = 200.0
 QUOTA = 100_000
-UPSTREAM_RUN = 1
-HOST_RUN = 1
+UPSTREAM_INCARNATION = 1
+HOST_INCARNATION = 1
 TICK_S = 0.05
 
 
-class WrongRun(Exception):
-    """Raise when a host did not do what was to be measured."""
+class MeasurementError(Exception):
+    """Raised when a host did not do the work to be measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """State the size of a world; upstreams and hosts are those of one zone."""
+    """Sizes of a cluster; `upstreams` and `hosts` count those of one zone."""
 
     upstreams: int = 64
     hosts: int = 1
@@ -56,14 +62,14 @@
     customers: int = 1
 
 
-def peer_of(zone: int, host: int) -> HostId:
-    """Return the name of an entry host of the made-up world."""
-    return HostId(f"zone-{zone:02}", f"e{host:02}", HOST_RUN)
+def make_host_id(zone: int, host: int) -> HostId:
+    """Return the id of an entry host of the synthetic cluster."""
+    return HostId(f"zone-{zone:02}", f"e{host:02}", HOST_INCARNATION)
 
 
-def world_of_size(sizes: Sizes) -> ClusterSpec:
-    """Return a world; only the first zone has upstreams."""
-    hosts = [peer_of(z, h) for z in range(sizes.zones) for h in range(sizes.hosts)]
+def make_cluster_spec(sizes: Sizes) -> ClusterSpec:
+    """Return a cluster spec; only the first zone has upstreams."""
+    hosts = [make_host_id(z, h) for z in range(sizes.zones) for h in range(sizes.hosts)]
     return ClusterSpec(
         version=1,
         customers=tuple(
@@ -81,84 +87,86 @@
 
 
 class DrivenHost:
-    """Hand events to one host and add up the processor time that it takes."""
+    """Pass events to the core of one host and sum its processor time by event type."""
 
     def __init__(self, sizes: Sizes) -> None:
         self.sizes = sizes
-        self.core = EntryCore(peer_of(0, 0), random.Random(1), 0.0)
+        self.core = EntryCore(make_host_id(0, 0), random.Random(1), 0.0)
         self.now = 0.0
-        self.spent_s: Counter[type] = Counter()
-        self.handled: Counter[type] = Counter()
-        self._calls = 0
-        self._complete = 0
-        self.do(ClusterSpecUpdated(world_of_size(sizes)))
-
-    def do(self, event: Event) -> list:
-        """Let an event happen now and return its effects."""
-        begun = time.process_time()
+        self.cpu_s: Counter[type] = Counter()
+        self.event_counts: Counter[type] = Counter()
+        self._last_call = 0
+        self._complete_jobs = 0
+        self.handle(ClusterSpecUpdated(make_cluster_spec(sizes)))
+
+    def handle(self, event: Event) -> list:
+        """Pass an event to the core and return its effects."""
+        started = time.process_time()
         effects = self.core.handle(event, self.now)
         kind = type(event.message if isinstance(event, PeerMessageReceived) else event)
-        self.spent_s[kind] += time.process_time() - begun
-        self.handled[kind] += 1
+        self.cpu_s[kind] += time.process_time() - started
+        self.event_counts[kind] += 1
         return effects
 
-    def hear(self, sender: HostId, message: Message) -> list:
-        """Let a message of a peer arrive."""
-        return self.do(PeerMessageReceived(sender, message))
+    def receive(self, sender: HostId, message: Message) -> list:
+        """Pass a peer's message to the core and return its effects."""
+        return self.handle(PeerMessageReceived(sender, message))
 
     def tick(self) -> list:
-        """Let the time of one tick pass."""
+        """Advance time by one tick and return the effects."""
         self.now += TICK_S
-        return self.do(Tick())
+        return self.handle(Tick())
 
-    def forget(self) -> None:
-        """Begin to add up afresh."""
-        self.spent_s.clear()
-        self.handled.clear()
+    def reset_counters(self) -> None:
+        """Reset the processor times and counts of events."""
+        self.cpu_s.clear()
+        self.event_counts.clear()
 
     def submit(self, tasks: int, customer: int = 0) -> list:
-        """Submit a job and return the effects."""
-        self._calls += 1
+        """Submit a job and return its effects."""
+        self._last_call += 1
         specs = tuple(TaskSpec("x" * 32, RUN_MS) for _ in range(tasks))
         name = f"team-{customer:03}"
-        request = JobRequest(name, f"class-{self._calls % 4}", specs, 60_000.0)
-        return self.do(Submitted(self._calls, request))
+        request = JobRequest(name, f"class-{self._last_call % 4}", specs, 60_000.0)
+        return self.handle(Submitted(self._last_call, request))
 
     def accept(self, effects: list) -> list[StartTasks]:
-        """Let all upstreams take what was sent to them."""
-        starts = [one for one in effects if isinstance(one, StartTasks)]
-        for one in starts:
-            verdicts = tuple(StartVerdict(start.task) for start in one.starts)
-            reply = UpstreamReply(one.upstream, UPSTREAM_RUN, verdicts)
-            self._note(self.do(StartsReplied(reply)))
+        """Accept all starts for the upstreams and return them."""
+        starts = [effect for effect in effects if isinstance(effect, StartTasks)]
+        for batch in starts:
+            verdicts = tuple(StartVerdict(start.task) for start in batch.starts)
+            reply = UpstreamReply(batch.upstream, UPSTREAM_INCARNATION, verdicts)
+            self._count_complete(self.handle(StartsReplied(reply)))
         return starts
 
     def finish(self, starts: list[StartTasks]) -> None:
-        """Let all tasks of these starts end well."""
-        for one in starts:
+        """Complete all tasks of these starts."""
+        for batch in starts:
             outcomes = tuple(
                 TaskOutcome(start.task, TaskState.DONE, "y" * 32)
-                for start in one.starts
+                for start in batch.starts
             )
-            reply = UpstreamReply(one.upstream, UPSTREAM_RUN, outcomes=outcomes)
-            self._note(self.do(ResultsReplied(reply)))
+            reply = UpstreamReply(
+                batch.upstream, UPSTREAM_INCARNATION, outcomes=outcomes
+            )
+            self._count_complete(self.handle(ResultsReplied(reply)))
 
     def run_job(self, tasks: int, customer: int = 0) -> None:
-        """Take one job from its submission to its complete answer."""
-        before = self._complete
+        """Run one job from its submission to its complete answer."""
+        complete_before = self._complete_jobs
         starts = self.accept(self.submit(tasks, customer))
-        if sum(len(one.starts) for one in starts) != tasks:
-            raise WrongRun(f"not all {tasks} tasks started at once")
+        if sum(len(batch.starts) for batch in starts) != tasks:
+            raise MeasurementError(f"not all {tasks} tasks started at once")
         self.now += RUN_MS / 1000.0
-        self.do(Tick())
+        self.handle(Tick())
         self.finish(starts)
-        if self._complete != before + 1:
-            raise WrongRun("the job did not complete")
+        if self._complete_jobs != complete_before + 1:
+            raise MeasurementError("the job did not complete")
 
-    def _note(self, effects: list) -> None:
+    def _count_complete(self, effects: list) -> None:
         for effect in effects:
             if not isinstance(effect, AnswerCall):
                 continue
             if effect.answer.state is not JobState.COMPLETE:
-                raise WrongRun(f"a job ended as {effect.answer}")
-            self._complete += 1
+                raise MeasurementError(f"a job ended as {effect.answer}")
+            self._complete_jobs += 1
--- a/jackdawspur/slopes/_http.py
+++ b/jackdawspur/slopes/_http.py
@@ -1,4 +1,4 @@
-"""Processor time of the HTTP front, on loopback within one process."""
+"""Processor time of the HTTP server and client, on loopback in one process."""
 
 import time
 from collections.abc import Iterator
@@ -20,8 +20,8 @@
 __all__ = ["http_slopes"]
 
 REQUESTS = 60
-WAKE_S = 0.005
-OPENING_PASSES = 10
+WAKE_INTERVAL_S = 0.005
+STARTUP_TICKS = 10
 MICRO = 1e6
 TIMEOUT_S = 5.0
 JOB_CLASS_SETTINGS = JobClassSettings(5000.0, 360, True)
@@ -29,11 +29,11 @@
 
 
 class answered(Event):
-    """Wake the loop, so that an answer is seen."""
+    """Event that wakes the loop, so that it notices a reply."""
 
 
-class _Parsing(WebService):
-    """Read each body as a caller's job and answer with as many outputs."""
+class _EchoService(WebService):
+    """Parse each body as a job and answer with the payloads as outputs."""
 
     server: WebServer
 
@@ -44,29 +44,30 @@
         self.server.reply(call.call_id, answer_response(answer))
 
     def caller_disconnected(self, call_id: int) -> None:
-        """Nothing is kept of a call."""
+        """Do nothing, because no state is kept per call."""
 
 
-class _Pair:
-    """Run a server and its client on one loop."""
+class _ClientAndServer:
+    """A server and its client on one loop."""
 
     def __init__(self) -> None:
         self._root = Manager()
-        # Only a running manager polls; here the measurement itself makes the passes.
+        # Only a running manager polls, but here the measurement calls tick() itself.
         self._root._running = True
         EPoll().register(self._root)
         timer_queue = TimerQueue().register(self._root)
-        service = _Parsing()
+        service = _EchoService()
         service.server = WebServer("127.0.0.1:0", service).register(self._root)
-        # The poller may wait without a limit, also for what this process itself does.
-        Timer(WAKE_S, answered(), persist=True).register(self._root)
-        for _ in range(OPENING_PASSES):
+        # Without a timer the poller may block forever, although events of this process
+        # are pending.
+        Timer(WAKE_INTERVAL_S, answered(), persist=True).register(self._root)
+        for _ in range(STARTUP_TICKS):
             self._root.tick()
-        where = ("127.0.0.1", service.server.port)
-        self._client = HttpClient(where, timer_queue).register(self._root)
+        address = ("127.0.0.1", service.server.port)
+        self._client = HttpClient(address, timer_queue).register(self._root)
 
-    def ask(self, body: bytes) -> None:
-        """Make one request and see that it was answered well."""
+    def send_request(self, body: bytes) -> None:
+        """Send one request and raise unless it succeeds."""
         results: list[Result] = []
 
         def finish(result: Result) -> None:
@@ -78,7 +79,9 @@
             self._root.tick()
         reply = results[0].unwrap()
         if reply.status != OK:
-            raise RuntimeError(f"status {reply.status}: {reply.body[:200]!r}")
+            raise RuntimeError(
+                f"unexpected status {reply.status}: {reply.body[:200]!r}"
+            )
 
     def close(self) -> None:
         """Close all sockets."""
@@ -86,23 +89,23 @@
 
 
 def http_slopes() -> Iterator[Slope]:
-    """Yield what a request costs client and server together."""
-    title = "http: client and server of a job request, 32 B a task"
+    """Yield the cost of a request for client and server together."""
+    title = "http: client and server of a job request, 32 B per task"
     yield fit(title, "us", "task", (1, 24, 120, 360), _job_us)
     title = "http: client and server of a job request of one task"
     yield fit(title, "us", "byte of payload", (32, 4096, 65_536), _byte_us)
 
 
 def _request_us(body: bytes) -> float:
-    pair = _Pair()
+    client_and_server = _ClientAndServer()
     for _ in range(5):
-        pair.ask(body)
-    begun = time.process_time()
+        client_and_server.send_request(body)
+    started = time.process_time()
     for _ in range(REQUESTS):
-        pair.ask(body)
-    spent = time.process_time() - begun
-    pair.close()
-    return spent / REQUESTS * MICRO
+        client_and_server.send_request(body)
+    cpu_s = time.process_time() - started
+    client_and_server.close()
+    return cpu_s / REQUESTS * MICRO
 
 
 def _body(tasks: int, size: int) -> bytes:
--- a/jackdawspur/slopes/tests/__init__.py
+++ b/jackdawspur/slopes/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the slopes."""
+"""Tests of the slopes package."""
--- a/jackdawspur/slopes/tests/test_slopes.py
+++ b/jackdawspur/slopes/tests/test_slopes.py
@@ -1,26 +1,26 @@
-"""A slope is what was measured, and a run that went wrong gives none."""
+"""Slopes match the measured values, and failed runs give no measurement."""
 
 import pytest
 
 from jackdawspur.dispatch import Tick
 from jackdawspur.messages import Heartbeat, Pulse
 from jackdawspur.slopes import fit
-from jackdawspur.slopes._host import DrivenHost, Sizes, WrongRun
+from jackdawspur.slopes._host import DrivenHost, MeasurementError, Sizes
 from jackdawspur.slopes._mesh import Mesh
 from jackdawspur.slopes._messages import message_slopes
 
 
-def test_fit_finds_a_planted_line():
+def test_fit_recovers_a_given_line():
     slope = fit("x", "us", "task", (1, 10, 100), lambda size: 7.0 + 3.0 * size)
-    assert slope.base == pytest.approx(7.0)
-    assert (slope.low, slope.each, slope.high) == pytest.approx((3.0, 3.0, 3.0))
+    assert slope.intercept == pytest.approx(7.0)
+    assert (slope.low, slope.per_unit, slope.high) == pytest.approx((3.0, 3.0, 3.0))
     assert slope.points == pytest.approx((10.0, 37.0, 307.0))
 
 
 def test_range_covers_the_repeats():
-    figures = iter((0.0, 1.0, 0.0, 3.0, 0.0, 2.0))
-    slope = fit("x", "us", "task", (0, 1), lambda _size: next(figures), repeats=3)
-    assert (slope.low, slope.each, slope.high) == (1.0, 2.0, 3.0)
+    values = iter((0.0, 1.0, 0.0, 3.0, 0.0, 2.0))
+    slope = fit("x", "us", "task", (0, 1), lambda _size: next(values), repeats=3)
+    assert (slope.low, slope.per_unit, slope.high) == (1.0, 2.0, 3.0)
 
 
 def test_driven_host_completes_its_jobs():
@@ -31,8 +31,8 @@
     assert host.core.counters.starts == 96
 
 
-def test_job_that_finds_no_room_is_no_measurement():
-    with pytest.raises(WrongRun):
+def test_a_job_without_free_capacity_raises_an_error():
+    with pytest.raises(MeasurementError):
         DrivenHost(Sizes(upstreams=2)).run_job(24)
 
 
@@ -42,10 +42,10 @@
     mesh.join()
     mesh.run(10.0)
     assert len(host.core.state.view.peers()) == 11
-    assert host.handled[Tick] >= 200
-    assert host.handled[Pulse]
-    assert host.handled[Heartbeat]
+    assert host.event_counts[Tick] >= 200
+    assert host.event_counts[Pulse]
+    assert host.event_counts[Heartbeat]
 
 
-def test_bytes_repeat_exactly():
+def test_message_sizes_are_reproducible():
     assert list(message_slopes()) == list(message_slopes())
