--- a/jackdawspur/fuzz/__init__.py
+++ b/jackdawspur/fuzz/__init__.py
@@ -1,3 +1,3 @@
-"""Random input at every entrance: callers, operators, links, log and settings."""
+"""Fuzz tests of all inputs: callers, operators, links, the log and settings."""
 
 __all__: list[str] = []
--- a/jackdawspur/fuzz/tests/__init__.py
+++ b/jackdawspur/fuzz/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Fuzzing of each entrance, with fixed seeds unless more is asked for."""
+"""Fuzz tests of each input; reproducible unless FUZZ_EXAMPLES is set."""
--- a/jackdawspur/fuzz/tests/test_callers.py
+++ b/jackdawspur/fuzz/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Whatever callers send, each call gets one reply and the host goes on."""
+"""Each call gets one reply, whatever its content, and the host keeps running."""
 
 import json
 import math
@@ -20,7 +20,12 @@
 from jackdawspur.dispatch import AnswerCall, IssueIds, SendPeerMessage
 from jackdawspur.dispatch.tests.conftest import OWN, SIBLING, harness  # noqa: F401
 from jackdawspur.entry._routes import Routes
-from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
+from jackdawspur.fuzz.tests.mutations import (
+    DEEPLY_NESTED,
+    FUZZ,
+    mutated_bytes,
+    mutated_json,
+)
 from jackdawspur.links import Envelope, encode
 from jackdawspur.model import MAX_TASKS_PER_JOB
 
@@ -35,14 +40,18 @@
 IDS = (f"{OWN}.1", f"{SIBLING}.1", f"{OWN}.{2**64:x}", "a.b.-1.1", "x", "....")
 PATHS = st.sampled_from(
     ["/v1/jobs", "/v1/submissions", "/livez", "/", "//", "/v1/jobs/"]
-    + [f"/v1/submissions/{one}" for one in IDS]
+    + [f"/v1/submissions/{submission_id}" for submission_id in IDS]
 )
 METHODS = st.sampled_from(["GET", "POST", "PUT", "DELETE", "PATCH", ""])
-LATIN = st.text(st.characters(max_codepoint=255), max_size=30)
-KEYS = st.none() | LATIN | st.just("k" * 300)
-TOKENS = st.just(f"Bearer {TOKEN}") | LATIN | st.sampled_from(["Bearer", "bearer  x"])
+LATIN_1_TEXTS = st.text(st.characters(max_codepoint=255), max_size=30)
+KEYS = st.none() | LATIN_1_TEXTS | st.just("k" * 300)
+TOKENS = (
+    st.just(f"Bearer {TOKEN}")
+    | LATIN_1_TEXTS
+    | st.sampled_from(["Bearer", "bearer  x"])
+)
 QUERIES = st.sampled_from(["", "wait=true", "wait=true&wait=", "%ff=&&="])
-CUSTOMERS = (
+CUSTOMER_ENTRIES = (
     CustomerEntry(
         name="roster",
         token_sha256=(token_hash(TOKEN),),
@@ -52,16 +61,16 @@
 )
 
 
-class Face:
-    """Note what the routes do; post what they hand on to real decisions."""
+class RecordingHost:
+    """A host that records replies and passes events of the routes to a real core."""
 
-    def __init__(self, decide) -> None:
-        self.decide = decide
+    def __init__(self, handle_event) -> None:
+        self.handle_event = handle_event
         self.replies = []
         self.effects = []
 
     def post(self, event) -> None:
-        self.effects += self.decide(event)
+        self.effects += self.handle_event(event)
 
     def reply(self, call_id, reply) -> None:
         self.replies.append(reply)
@@ -72,7 +81,7 @@
 
 @FUZZ
 @given(BODIES)
-def test_a_body_is_read_within_its_bounds_or_refused(body):
+def test_a_job_body_is_decoded_within_bounds_or_refused(body):
     try:
         job = read_job_body(body)
     except BodyError as error:
@@ -85,7 +94,7 @@
 
 @FUZZ
 @given(mutated_json({"count": 3}) | st.binary(max_size=20))
-def test_a_wish_for_ids_is_read_or_refused(body):
+def test_a_request_for_ids_is_decoded_or_refused(body):
     try:
         assert 1 <= read_ids_body(body).count <= 1000
     except BodyError as error:
@@ -93,31 +102,33 @@
 
 
 @pytest.mark.parametrize("read", [read_job_body, read_ids_body])
-def test_deep_nesting_is_refused(read):
+def test_a_deeply_nested_body_is_refused(read):
     with pytest.raises(BodyError):
-        read(NESTED)
+        read(DEEPLY_NESTED)
 
 
 @FUZZ
 @given(METHODS, PATHS, QUERIES, KEYS, TOKENS, BODIES | st.just(b""))
 def test_each_call_gets_one_reply(harness, method, path, query, key, token, body):  # noqa: F811
-    """A caller waits for ever, or one odd request ends the whole host.
+    """Guards against calls that get no reply and requests that end the host.
 
-    A call is refused by the routes, or ends up at the decisions, whose messages to
-    other hosts must be such that a link can carry them.
+    The routes refuse a call or pass it to the core, whose messages to other hosts must
+    be encodable.
     """
-    face = Face(harness.send_event)
-    routes = Routes(face)
-    routes.set_configuration(Configuration(schema_version=1, customers=CUSTOMERS))
+    host = RecordingHost(harness.send_event)
+    routes = Routes(host)
+    routes.set_configuration(
+        Configuration(schema_version=1, customers=CUSTOMER_ENTRIES)
+    )
     headers = Headers([("Authorization", token)])
     if key is not None:
         headers["Idempotency-Key"] = key
-    number = len(harness.effects) + 100
-    routes.handle_call(Call(number, method, path, query, headers, body))
-    effects = face.effects + harness.wait(1.0)
+    call_id = len(harness.effects) + 100
+    routes.handle_call(Call(call_id, method, path, query, headers, body))
+    effects = host.effects + harness.wait(1.0)
     for effect in effects:
         if isinstance(effect, SendPeerMessage):
             encode(Envelope(OWN, effect.to, 0.0, effect.message))
     answers = [e for e in effects if isinstance(e, AnswerCall | IssueIds)]
-    assert len(face.replies) + sum(e.call == number for e in answers) <= 1
-    assert len(face.replies) == 1 or face.effects or harness.core.state.pending_forwards
+    assert len(host.replies) + sum(e.call == call_id for e in answers) <= 1
+    assert len(host.replies) == 1 or host.effects or harness.core.state.pending_forwards
--- a/jackdawspur/fuzz/tests/test_entries.py
+++ b/jackdawspur/fuzz/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Whatever stands in an entry, it is read or refused, and other entries hold."""
+"""Any entry of the store is decoded or refused, and other entries stay valid."""
 
 from types import SimpleNamespace
 
@@ -15,7 +15,7 @@
     with_changes,
 )
 
-OTHER = "i-2"
+VALID_NAME = "i-2"
 ENTRIES = (
     mutated_json(VALID_UPSTREAM_ENTRY)
     | mutated_json(VALID_HOST_ENTRY)
@@ -25,15 +25,17 @@
 
 @FUZZ
 @given(name=st.text(max_size=30), data=ENTRIES)
-def test_any_entry_leaves_the_others(name: str, data: bytes):
+def test_a_malformed_entry_does_not_affect_others(name: str, data: bytes):
     upstreams, hosts = [], []
     store = PlatformStore("127.0.0.1:1", Component(), SimpleNamespace(now=1.0))
     store._listener = SimpleNamespace(
         on_upstreams=upstreams.extend, on_hosts=hosts.extend
     )
-    store._servers_wrote({name: data, OTHER: with_changes(VALID_UPSTREAM_ENTRY)}, True)
-    store._hosts_wrote({name: data, OTHER: with_changes(VALID_HOST_ENTRY)}, True)
+    store._servers_wrote(
+        {name: data, VALID_NAME: with_changes(VALID_UPSTREAM_ENTRY)}, True
+    )
+    store._hosts_wrote({name: data, VALID_NAME: with_changes(VALID_HOST_ENTRY)}, True)
     assert all(isinstance(entry, UpstreamEntry) for entry in upstreams)
     assert all(isinstance(host, HostAddress) for host in hosts)
-    assert any(entry.id.name == OTHER for entry in upstreams)
+    assert any(entry.id.name == VALID_NAME for entry in upstreams)
     assert any(host.name == VALID_HOST_ENTRY["name"] for host in hosts)
--- a/jackdawspur/fuzz/tests/test_links.py
+++ b/jackdawspur/fuzz/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Whatever comes over a link, the host goes on and starts nothing twice."""
+"""Hosts survive any message over a link and start no task twice."""
 
 import random
 from collections import Counter
@@ -24,7 +24,7 @@
     CoreHarness,
     make_request,
 )
-from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes
+from jackdawspur.fuzz.tests.mutations import DEEPLY_NESTED, FUZZ, mutated_bytes
 from jackdawspur.links import Envelope, LinkError, decode, encode
 from jackdawspur.messages import Delegate, Forward, Heartbeat, Message
 from jackdawspur.model import (
@@ -41,12 +41,12 @@
 NAMES = st.sampled_from(["roster", "maps", "", "nobody"])
 NUMBERS = st.floats() | st.floats(0.0, 9000.0)
 COUNTS = st.integers(-2, 9) | st.sampled_from([2**31, 2**63 - 1, -(2**63)])
-SPECS = st.builds(TaskSpec, st.just("x"), NUMBERS, COUNTS, COUNTS, COUNTS)
+TASK_SPECS = st.builds(TaskSpec, st.just("x"), NUMBERS, COUNTS, COUNTS, COUNTS)
 REQUESTS = st.builds(
     JobRequest,
     NAMES,
     NAMES,
-    st.lists(SPECS | st.just(TaskSpec("y", 50.0)), max_size=3).map(tuple),
+    st.lists(TASK_SPECS | st.just(TaskSpec("y", 50.0)), max_size=3).map(tuple),
     NUMBERS,
     st.booleans(),
     st.none() | NAMES,
@@ -63,10 +63,10 @@
     st.floats(1.0, 4000.0),
 )
 MESSAGES = st.one_of(*(st.from_type(kind) for kind in get_args(Message))) | WELL_FORMED
-FRAME = encode(
+HEARTBEAT_FRAME = encode(
     Envelope(SIBLING, OWN, 3.0, Heartbeat(SIBLING, 1, True, True, 1, 2, 3, 4.0))
 )
-OTHER = encode(
+FORWARD_FRAME = encode(
     Envelope(
         SIBLING,
         OWN,
@@ -77,8 +77,8 @@
 
 
 @FUZZ
-@given(mutated_bytes(FRAME) | mutated_bytes(OTHER))
-def test_a_frame_is_read_or_refused(data):
+@given(mutated_bytes(HEARTBEAT_FRAME) | mutated_bytes(FORWARD_FRAME))
+def test_a_frame_is_decoded_or_refused(data):
     try:
         envelope = decode(data)
     except LinkError as error:
@@ -87,15 +87,15 @@
         assert isinstance(envelope.message, Message)
 
 
-@pytest.mark.parametrize("start", range(0, len(OTHER), 7))
-def test_deeply_nested_frame_is_refused(start):
-    """The link's reader stops at one frame, and no message comes in any more."""
+@pytest.mark.parametrize("start", range(0, len(FORWARD_FRAME), 7))
+def test_a_deeply_nested_frame_is_refused(start):
+    """Guards against a frame that stops the link's reader and all later messages."""
     with pytest.raises(LinkError):
-        decode(OTHER[:start] + b"\x91" * len(NESTED))
+        decode(FORWARD_FRAME[:start] + b"\x91" * len(DEEPLY_NESTED))
 
 
-def carried(message) -> Message | None:
-    """Return a message as a link brings it, or None when none can carry it."""
+def carry_over_link(message) -> Message | None:
+    """Return a message as decoded by the receiver, or None if it can't be encoded."""
     try:
         return decode(encode(Envelope(SIBLING, OWN, 0.0, message))).message
     except (LinkError, OverflowError, UnicodeEncodeError):
@@ -108,21 +108,22 @@
     st.integers(0, 8),
     st.booleans(),
 )
-def test_no_message_stops_a_host_or_starts_a_task_twice(sent, place, waits):
-    """One odd message ends a host's pass, or stops its clock for good.
+def test_no_message_stops_a_host_or_starts_a_task_twice(messages, submit_index, wait):
+    """Guards against a message that ends a host's pass or stops its clock for good.
 
-    A sound job is submitted in between, and must be sent to an upstream exactly once.
+    A valid job is submitted in between; its tasks must start at most once, and its
+    caller must get exactly one answer.
     """
     harness = CoreHarness(EntryCore(OWN, random.Random(1), 0.0))
     harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
     harness.send_event(SubmissionIdsRequested(1, "roster", 2))
     harness.wait(0.6)
-    for turn, (sender, message) in enumerate([*sent, (SIBLING, None)]):
-        if turn == min(place, len(sent)):
-            harness.send_event(Submitted(7, make_request(2), waits))
-        brought = carried(message) if message is not None else None
-        if brought is not None:
-            harness.send_event(PeerMessageReceived(sender, brought))
+    for index, (sender, message) in enumerate([*messages, (SIBLING, None)]):
+        if index == min(submit_index, len(messages)):
+            harness.send_event(Submitted(7, make_request(2), wait))
+        received = carry_over_link(message) if message is not None else None
+        if received is not None:
+            harness.send_event(PeerMessageReceived(sender, received))
         harness.send_event(Tick())
     harness.wait(7.0)
     counts = Counter(harness.started)
--- a/jackdawspur/fuzz/tests/test_log_records.py
+++ b/jackdawspur/fuzz/tests/test_log_records.py
@@ -1,4 +1,4 @@
-"""Whatever stands in the log, a host reads on, and all hosts read the same."""
+"""Hosts continue after any record in the log, and all reach the same state."""
 
 import json
 
@@ -26,7 +26,12 @@
 from jackdawspur.dispatch import Claim
 from jackdawspur.entry._claims import decode_claims
 from jackdawspur.external import LogRecord
-from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
+from jackdawspur.fuzz.tests.mutations import (
+    DEEPLY_NESTED,
+    FUZZ,
+    mutated_bytes,
+    mutated_json,
+)
 
 DOCUMENT = load_configuration((EXAMPLES / "ramdenee.json").read_bytes())
 CHANGES = changes_between(Configuration(), DOCUMENT)
@@ -46,30 +51,38 @@
 }
 
 
-def _folded(*bodies: str) -> ConfigurationStateMachine:
-    fold = ConfigurationStateMachine()
-    fold.apply_records([LogRecord(offset, body) for offset, body in enumerate(bodies)])
-    return fold
+def _state_after(*bodies: str) -> ConfigurationStateMachine:
+    state_machine = ConfigurationStateMachine()
+    state_machine.apply_records(
+        [LogRecord(offset, body) for offset, body in enumerate(bodies)]
+    )
+    return state_machine
 
 
-GOOD = [encode_record(PROPOSAL), encode_record(CONFIRM)]
-GOOD.append(encode_record(build_snapshot(_folded(*GOOD), 3.0)))
+VALID_RECORDS = [encode_record(PROPOSAL), encode_record(CONFIRM)]
+VALID_RECORDS.append(encode_record(build_snapshot(_state_after(*VALID_RECORDS), 3.0)))
 
 
-def _bodies(good: str):
-    """Return strategies of a record with something wrong in it."""
-    texts = mutated_json(json.loads(good)) | mutated_bytes(good.encode())
+def _mutated_records(record: str):
+    """Return a strategy of texts that are mutations of a record."""
+    texts = mutated_json(json.loads(record)) | mutated_bytes(record.encode())
     return texts.map(lambda data: data.decode(errors="replace"))
 
 
-BODIES = st.one_of(*(_bodies(good) for good in GOOD), *(st.just(g) for g in GOOD))
-DEEP = NESTED.decode()
-DEEP_RECORDS = (DEEP, '{"kind":"confirm","schema_version":1,"id":"x","more":' + DEEP)
+BODIES = st.one_of(
+    *(_mutated_records(record) for record in VALID_RECORDS),
+    *(st.just(g) for g in VALID_RECORDS),
+)
+DEEP_TEXT = DEEPLY_NESTED.decode()
+DEEP_RECORDS = (
+    DEEP_TEXT,
+    '{"kind":"confirm","schema_version":1,"id":"x","more":' + DEEP_TEXT,
+)
 
 
 @FUZZ
 @given(BODIES)
-def test_a_record_is_read_or_refused_with_a_reason(body):
+def test_a_record_is_decoded_or_refused_with_a_reason(body):
     for decode in (decode_envelope, decode_snapshot_header, decode_record):
         try:
             decode(body)
@@ -79,32 +92,35 @@
 
 @FUZZ
 @given(st.lists(BODIES, max_size=6))
-def test_hosts_fold_the_same_and_never_go_back(bodies):
-    """Two zones obey different versions after one odd record in the log."""
+def test_hosts_reach_the_same_version_and_never_go_back(bodies):
+    """Guards against zones that apply different versions after a malformed record."""
     records = [LogRecord(offset, body) for offset, body in enumerate(bodies)]
-    one, other = ConfigurationStateMachine(), ConfigurationStateMachine()
-    one.apply_records(records)
+    at_once, stepwise = ConfigurationStateMachine(), ConfigurationStateMachine()
+    at_once.apply_records(records)
     versions = []
     for record in records:
-        other.apply_records([record])
-        versions.append(other.version)
+        stepwise.apply_records([record])
+        versions.append(stepwise.version)
     assert versions == sorted(versions)
-    assert (one.version, one.configuration) == (other.version, other.configuration)
-    assert one.through == len(bodies) - 1
+    assert (at_once.version, at_once.configuration) == (
+        stepwise.version,
+        stepwise.configuration,
+    )
+    assert at_once.through == len(bodies) - 1
 
 
 @pytest.mark.parametrize("body", DEEP_RECORDS)
-def test_deeply_nested_record_is_skipped(body):
-    """No host reads on in the log, because one record in it ends each pass."""
-    fold = _folded(*GOOD[:2], body)
-    assert fold.version == 1
-    assert fold.through == 2
+def test_a_deeply_nested_record_is_skipped(body):
+    """Guards against a record that ends each pass, so that no host reads beyond it."""
+    state_machine = _state_after(*VALID_RECORDS[:2], body)
+    assert state_machine.version == 1
+    assert state_machine.through == 2
     assert decode_claims(LogRecord(0, body)) == []
 
 
 @FUZZ
-@given(_bodies(json.dumps(CLAIMS)))
-def test_claims_are_read_or_skipped(body):
+@given(_mutated_records(json.dumps(CLAIMS)))
+def test_claims_are_decoded_or_skipped(body):
     for claim in decode_claims(LogRecord(3, body)):
         assert isinstance(claim, Claim)
         assert isinstance(claim.key, str) and isinstance(claim.customer, str)
--- a/jackdawspur/fuzz/tests/test_operators.py
+++ b/jackdawspur/fuzz/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Whatever operators send, the desk replies once and nothing comes into force."""
+"""The operator API replies once to any input and puts nothing into force."""
 
 import json
 
@@ -20,16 +20,21 @@
     intent_of,
     quota_intent,
 )
-from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
+from jackdawspur.fuzz.tests.mutations import (
+    DEEPLY_NESTED,
+    FUZZ,
+    mutated_bytes,
+    mutated_json,
+)
 
-DOCUMENT = load_configuration((EXAMPLES / "ramdenee.json").read_bytes())
-INTENT = quota_intent(DOCUMENT, 100)
-FIRST = intent_of(changes_between(Configuration(), DOCUMENT), "first")
+CONFIGURATION = load_configuration((EXAMPLES / "ramdenee.json").read_bytes())
+INTENT = quota_intent(CONFIGURATION, 100)
+FIRST_INTENT = intent_of(changes_between(Configuration(), CONFIGURATION), "first")
 HOST = "north-a.e1"
 TOKENS = st.sampled_from(["example-ann-token", "", "x", "\x00é"])
 INTENTS = (
     mutated_json(INTENT)
-    | mutated_json(FIRST)
+    | mutated_json(FIRST_INTENT)
     | mutated_bytes(json.dumps(INTENT).encode())
 )
 
@@ -39,24 +44,24 @@
     """Return hosts with the example configuration in force."""
     cluster = Cluster([HOST, "north-b.e1"])
     cluster.run(0.5)
-    assert cluster.change(HOST, BOOTSTRAP, FIRST).status == 200
+    assert cluster.change(HOST, BOOTSTRAP, FIRST_INTENT).status == 200
     cluster.run(1.0)
     return cluster
 
 
 @FUZZ
 @given(intent=INTENTS)
-def test_an_intent_is_taken_whole_or_refused_by_field(intent):
+def test_an_intent_is_accepted_whole_or_refused_with_a_reason(intent):
     try:
-        assert load_intent(intent, DOCUMENT).changes
+        assert load_intent(intent, CONFIGURATION).changes
     except ConfigurationError as error:
         assert str(error)
 
 
 @FUZZ
 @given(intent=INTENTS, token=TOKENS)
-def test_the_desk_replies_once_and_changes_nothing(cluster, intent, token):
-    """An odd plan ends the pass, or comes into force though nobody confirmed it."""
+def test_the_operator_api_replies_once_and_changes_nothing(cluster, intent, token):
+    """Guards against plans that end the pass or come into force unconfirmed."""
     before = cluster.versions()
     text = intent.decode(errors="replace")
     reply = cluster.answered(HOST, PlanAsked, token, text, within=20.0)
@@ -65,9 +70,9 @@
     assert cluster.versions() == before
 
 
-@pytest.mark.parametrize("shape", ["%s", '{"reason":"x","changes":%s'])
-def test_deep_nesting_is_refused(cluster, shape):
-    text = shape % NESTED.decode()
+@pytest.mark.parametrize("template", ["%s", '{"reason":"x","changes":%s'])
+def test_a_deeply_nested_intent_is_refused(cluster, template):
+    text = template % DEEPLY_NESTED.decode()
     with pytest.raises(ConfigurationError):
-        load_intent(text, DOCUMENT)
+        load_intent(text, CONFIGURATION)
     assert cluster.answered(HOST, PlanAsked, "example-ann-token", text).status == 400
--- a/jackdawspur/fuzz/tests/test_runs.py
+++ b/jackdawspur/fuzz/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""A leading host with its upstreams in every order of orders and replies."""
+"""A dispatcher and its upstreams under random orders of calls and replies."""
 
 import random
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from jackdawspur.bench import JobDemand, RunCounters, SimulatedUpstream
-from jackdawspur.fuzz.tests.mutations import FUZZ, MORE
+from jackdawspur.fuzz.tests.mutations import FUZZ, REQUESTED_EXAMPLES
 from jackdawspur.leases import (
     FENCE_STEP,
     CallOutcome,
@@ -28,220 +28,241 @@
     StopRun,
 )
 
-PLACES = st.integers(0, 10**6)
-STEPS = 80
-FEWEST = 80
-TASK = Resources(14_000, 64, 0)
-ROOM = Resources(32_000, 131_072, 0)
+INDICES = st.integers(0, 10**6)
+STEPS_PER_EXAMPLE = 80
+MIN_EXAMPLES = 80
+TASK_RESOURCES = Resources(14_000, 64, 0)
+CAPACITY = Resources(32_000, 131_072, 0)
 ROUTE = Route("r", "h", "/q/", "roster", 6000.0, 3000.0, 1.6, 0, 4)
 TASK_S = 0.12
 DEADLINE_S = 6.0
-# A caller whose request broke off asks again after this.
-RESEND_S = 1.3
+# A caller whose request broke off sends it again after this delay.
+RESEND_DELAY_S = 1.3
 
-Order = StartRun | StopRun | PollUpstream
+UpstreamCall = StartRun | StopRun | PollUpstream
 
 
 @dataclass
-class Upstreams:
-    """Keep fenced upstreams, orders on their way to them and replies to these."""
+class SimulatedUpstreams:
+    """Fenced upstreams, the calls in transit to them and the replies to these."""
 
     now: float = 100.0
     counters: RunCounters = field(default_factory=RunCounters)
-    sent: list[Order] = field(default_factory=list)
-    forgotten: list[Order] = field(default_factory=list)
-    replies: list[tuple[Order, PollReport | CallOutcome]] = field(default_factory=list)
+    sent_calls: list[UpstreamCall] = field(default_factory=list)
+    abandoned_calls: list[UpstreamCall] = field(default_factory=list)
+    replies: list[tuple[UpstreamCall, PollReport | CallOutcome]] = field(
+        default_factory=list
+    )
 
     def __post_init__(self) -> None:
         rng = random.Random(1)
         self.entries = [
             UpstreamEntry(
-                UpstreamId("z1", f"u{n}"), "roster", "127.0.0.1:1", ROOM, (), False
+                UpstreamId("z1", f"u{n}"), "roster", "127.0.0.1:1", CAPACITY, (), False
             )
             for n in range(3)
         ]
-        self.all = {
+        self.by_id = {
             entry.id: SimulatedUpstream(entry, 1.0, self.counters, rng)
             for entry in self.entries
         }
 
-    def carry_out(self, order: Order) -> PollReport | CallOutcome:
-        """Let an upstream do what it is told, and return its reply."""
-        upstream = self.all[order.upstream]
+    def execute(self, call: UpstreamCall) -> PollReport | CallOutcome:
+        """Execute a call at its upstream and return the reply."""
+        upstream = self.by_id[call.upstream]
         upstream.advance(self.now)
-        if isinstance(order, StartRun):
-            work = JobDemand({order.run.task: TASK_S}, TASK)
+        if isinstance(call, StartRun):
+            demand = JobDemand({call.run.task: TASK_S}, TASK_RESOURCES)
             return upstream.start(
-                order.run, order.lease_until_ms, order.fence, work, self.now
+                call.run, call.lease_until_ms, call.fence, demand, self.now
             )
-        if isinstance(order, StopRun):
-            return upstream.stop(order.run, order.fence, self.now)
+        if isinstance(call, StopRun):
+            return upstream.stop(call.run, call.fence, self.now)
         outcome = upstream.hold(
-            order.fence, order.last_seen, order.lease_until_ms, self.now
+            call.fence, call.last_seen, call.lease_until_ms, self.now
         )
         return upstream.report(self.now) if outcome is CallOutcome.OK else outcome
 
 
-class RunsMachine(RuleBasedStateMachine):
-    """Choose what happens next; no task may run twice, nor an upstream be overfull."""
+class DispatcherMachine(RuleBasedStateMachine):
+    """State machine of random events; checks for duplicate runs and overload."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = Upstreams()
+        self.simulation = SimulatedUpstreams()
         self.fence = FENCE_STEP
-        self.dispatcher = Dispatcher(HostId("z1", "h1", 1), self.world.now)
+        self.dispatcher = Dispatcher(HostId("z1", "h1", 1), self.simulation.now)
         self.offers: dict[str, Offer] = {}
-        self.left: list[tuple[float, Offer]] = []
-        self.listed = {entry.id for entry in self.world.entries}
-        self._list()
-        self._lead()
-
-    def _list(self) -> None:
-        entries = [e for e in self.world.entries if e.id in self.listed]
-        self.dispatcher.set_upstreams(entries, self.world.now)
-
-    def _lead(self) -> None:
-        self.dispatcher.start_leading(self.fence, self.world.now)
-        self._act()
-
-    def _act(self) -> None:
-        for effect in self.dispatcher.flush(self.world.now):
-            if isinstance(effect, Order):
-                self.world.sent.append(effect)
-        counters = self.world.counters
-        assert not counters.two_at_once, "a task ran twice at one time"
-        assert not counters.over_capacity, "an upstream was driven over its capacity"
+        self.cancelled_offers: list[tuple[float, Offer]] = []
+        self.listed_ids = {entry.id for entry in self.simulation.entries}
+        self._update_list()
+        self._start_leading()
+
+    def _update_list(self) -> None:
+        entries = [e for e in self.simulation.entries if e.id in self.listed_ids]
+        self.dispatcher.set_upstreams(entries, self.simulation.now)
+
+    def _start_leading(self) -> None:
+        self.dispatcher.start_leading(self.fence, self.simulation.now)
+        self._collect_effects()
+
+    def _collect_effects(self) -> None:
+        for effect in self.dispatcher.flush(self.simulation.now):
+            if isinstance(effect, UpstreamCall):
+                self.simulation.sent_calls.append(effect)
+        counters = self.simulation.counters
+        assert not counters.two_at_once, "a task ran twice at the same time"
+        assert not counters.over_capacity, "an upstream ran more than its capacity"
 
     def _offer(self, offer: Offer) -> None:
         self.offers[offer.request.id] = offer
-        self.dispatcher.offer(offer, self.world.now)
-        self._act()
+        self.dispatcher.offer(offer, self.simulation.now)
+        self._collect_effects()
 
     @rule(tasks=st.integers(1, 4))
-    def job_comes(self, tasks):
-        number = len(self.offers)
+    def job_arrives(self, tasks):
+        job_number = len(self.offers)
         request = JobRequest(
-            f"{number:x}", "", (JobStep(tasks, TASK, TASK_S * 1000),), ROUTE
+            f"{job_number:x}",
+            "",
+            (JobStep(tasks, TASK_RESOURCES, TASK_S * 1000),),
+            ROUTE,
         )
-        now = self.world.now
-        self._offer(Offer(request, "h2", number, now, now + DEADLINE_S))
+        now = self.simulation.now
+        self._offer(Offer(request, "h2", job_number, now, now + DEADLINE_S))
 
     @precondition(lambda self: self.offers)
-    @rule(place=PLACES)
-    def caller_leaves(self, place):
-        offer = list(self.offers.values())[place % len(self.offers)]
+    @rule(index=INDICES)
+    def caller_cancels(self, index):
+        offer = list(self.offers.values())[index % len(self.offers)]
         job = offer.request.id
-        self.dispatcher.drop(offer.host, job, offer.call, self.world.now)
-        self.left.append((self.world.now, offer))
-        self._act()
+        self.dispatcher.drop(offer.host, job, offer.call, self.simulation.now)
+        self.cancelled_offers.append((self.simulation.now, offer))
+        self._collect_effects()
 
-    @precondition(lambda self: self.left)
+    @precondition(lambda self: self.cancelled_offers)
     @rule()
-    def caller_asks_again(self):
-        since, offer = self.left[0]
-        now = self.world.now
-        if now - since < RESEND_S:
+    def caller_resends(self):
+        cancelled_at, offer = self.cancelled_offers[0]
+        now = self.simulation.now
+        if now - cancelled_at < RESEND_DELAY_S:
             return
-        self.left.pop(0)
+        self.cancelled_offers.pop(0)
         self._offer(
             Offer(offer.request, "h3", offer.call + 1000, now, now + DEADLINE_S)
         )
 
-    @precondition(lambda self: self.world.sent)
-    @rule(place=PLACES, reply=st.booleans())
-    def order_arrives(self, place, reply):
-        order = self.world.sent.pop(place % len(self.world.sent))
-        result = self.world.carry_out(order)
+    @precondition(lambda self: self.simulation.sent_calls)
+    @rule(index=INDICES, reply=st.booleans())
+    def call_arrives(self, index, reply):
+        call = self.simulation.sent_calls.pop(index % len(self.simulation.sent_calls))
+        result = self.simulation.execute(call)
         if reply:
-            self.world.replies.append((order, result))
+            self.simulation.replies.append((call, result))
         else:
-            self._reply(order, CallOutcome.UNKNOWN)
+            self._deliver_reply(call, CallOutcome.UNKNOWN)
 
     @rule()
-    def all_arrive(self):
-        sent, self.world.sent = self.world.sent, []
-        for order in sent:
-            self.world.replies.append((order, self.world.carry_out(order)))
-
-    @precondition(lambda self: self.world.sent)
-    @rule(place=PLACES)
-    def order_is_given_up(self, place):
-        order = self.world.sent.pop(place % len(self.world.sent))
-        self.world.forgotten.append(order)
-        self._reply(order, CallOutcome.UNKNOWN)
-
-    @precondition(lambda self: self.world.forgotten)
-    @rule(place=PLACES)
-    def order_is_carried_out_late(self, place):
-        order = self.world.forgotten.pop(place % len(self.world.forgotten))
-        self.world.carry_out(order)
-        self._act()
-
-    @precondition(lambda self: self.world.replies)
-    @rule(place=PLACES)
-    def reply_comes(self, place):
-        self._reply(*self.world.replies.pop(place % len(self.world.replies)))
+    def all_calls_arrive(self):
+        sent_calls, self.simulation.sent_calls = self.simulation.sent_calls, []
+        for call in sent_calls:
+            self.simulation.replies.append((call, self.simulation.execute(call)))
+
+    @precondition(lambda self: self.simulation.sent_calls)
+    @rule(index=INDICES)
+    def call_is_abandoned(self, index):
+        call = self.simulation.sent_calls.pop(index % len(self.simulation.sent_calls))
+        self.simulation.abandoned_calls.append(call)
+        self._deliver_reply(call, CallOutcome.UNKNOWN)
+
+    @precondition(lambda self: self.simulation.abandoned_calls)
+    @rule(index=INDICES)
+    def abandoned_call_is_executed_late(self, index):
+        call = self.simulation.abandoned_calls.pop(
+            index % len(self.simulation.abandoned_calls)
+        )
+        self.simulation.execute(call)
+        self._collect_effects()
+
+    @precondition(lambda self: self.simulation.replies)
+    @rule(index=INDICES)
+    def reply_arrives(self, index):
+        self._deliver_reply(
+            *self.simulation.replies.pop(index % len(self.simulation.replies))
+        )
 
     @rule()
-    def all_replies_come(self):
-        replies, self.world.replies = self.world.replies, []
-        for order, result in replies:
-            self._reply(order, result)
+    def all_replies_arrive(self):
+        replies, self.simulation.replies = self.simulation.replies, []
+        for call, result in replies:
+            self._deliver_reply(call, result)
 
     @rule(seconds=st.sampled_from([0.001, 0.01, 0.04, 0.15, 0.4]))
     def time_passes(self, seconds):
-        self.world.now += seconds
-        for upstream in self.world.all.values():
-            upstream.advance(self.world.now)
-        self.dispatcher.tick(self.world.now)
-        self._act()
-
-    @rule(place=PLACES)
-    def list_changes(self, place):
-        self.listed ^= {self.world.entries[place % len(self.world.entries)].id}
-        self._list()
-        self._act()
-
-    @rule(place=PLACES)
-    def another_host_claims(self, place):
-        upstream = list(self.world.all.values())[place % len(self.world.all)]
-        upstream.hold(self.fence + FENCE_STEP // 2, 0, None, self.world.now)
+        self.simulation.now += seconds
+        for upstream in self.simulation.by_id.values():
+            upstream.advance(self.simulation.now)
+        self.dispatcher.tick(self.simulation.now)
+        self._collect_effects()
+
+    @rule(index=INDICES)
+    def list_changes(self, index):
+        self.listed_ids ^= {
+            self.simulation.entries[index % len(self.simulation.entries)].id
+        }
+        self._update_list()
+        self._collect_effects()
+
+    @rule(index=INDICES)
+    def another_host_acquires_an_upstream(self, index):
+        upstream = list(self.simulation.by_id.values())[
+            index % len(self.simulation.by_id)
+        ]
+        upstream.hold(self.fence + FENCE_STEP // 2, 0, None, self.simulation.now)
 
     @rule()
-    def lead_begins_anew(self):
+    def leadership_restarts(self):
         crashes = self.dispatcher.upstream_pool.crashes
-        told = self.dispatcher.open_jobs.progress_by_host(crashes)
-        progress = {job: one for jobs in told.values() for job, one in jobs.items()}
+        progress_by_host = self.dispatcher.open_jobs.progress_by_host(crashes)
+        progress = {
+            job: reported
+            for jobs in progress_by_host.values()
+            for job, reported in jobs.items()
+        }
         jobs = [job.offer for job in self.dispatcher.open_jobs.values()]
         self.fence += FENCE_STEP
-        self._lead()
+        self._start_leading()
         for offer in jobs:
-            new = progress.get(offer.request.id, Progress())
-            done = offer.progress.done + new.done
-            known = Progress(done, offer.progress.troubles + new.troubles)
-            again = Offer(
+            reported = progress.get(offer.request.id, Progress())
+            done = offer.progress.done + reported.done
+            merged = Progress(done, offer.progress.troubles + reported.troubles)
+            new_offer = Offer(
                 offer.request,
                 offer.host,
                 offer.call,
                 offer.arrived,
                 offer.deadline,
                 offer.handovers + 1,
-                known,
+                merged,
             )
-            self._offer(again)
-
-    def _reply(self, order: Order, result: PollReport | CallOutcome) -> None:
-        now = self.world.now
-        if isinstance(order, StartRun):
-            self.dispatcher.start_replied(order, result, now)
-        elif isinstance(order, StopRun):
-            self.dispatcher.stop_replied(order, result, now)
+            self._offer(new_offer)
+
+    def _deliver_reply(
+        self, call: UpstreamCall, result: PollReport | CallOutcome
+    ) -> None:
+        now = self.simulation.now
+        if isinstance(call, StartRun):
+            self.dispatcher.start_replied(call, result, now)
+        elif isinstance(call, StopRun):
+            self.dispatcher.stop_replied(call, result, now)
         else:
-            self.dispatcher.poll_replied(order, result, now)
-        self._act()
+            self.dispatcher.poll_replied(call, result, now)
+        self._collect_effects()
 
 
-TestRuns = RunsMachine.TestCase
+TestRuns = DispatcherMachine.TestCase
 TestRuns.settings = settings(
-    FUZZ, stateful_step_count=STEPS, max_examples=MORE or FEWEST
+    FUZZ,
+    stateful_step_count=STEPS_PER_EXAMPLE,
+    max_examples=REQUESTED_EXAMPLES or MIN_EXAMPLES,
 )
--- a/jackdawspur/fuzz/tests/test_settings.py
+++ b/jackdawspur/fuzz/tests/test_settings.py
@@ -1,15 +1,20 @@
-"""Whatever a settings file holds, it is used whole or refused by field."""
+"""A settings file is accepted as a whole or refused with the field in error."""
 
 import json
 
 import pytest
 from hypothesis import given
 
-from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
+from jackdawspur.fuzz.tests.mutations import (
+    DEEPLY_NESTED,
+    FUZZ,
+    mutated_bytes,
+    mutated_json,
+)
 from jackdawspur.settings import EntrySettings, SettingsError, load_settings
-from jackdawspur.settings.tests.test_settings import VALID_SETTINGS as PLAIN
+from jackdawspur.settings.tests.test_settings import VALID_SETTINGS
 
-GOOD = PLAIN | {
+VALID_DOCUMENT = VALID_SETTINGS | {
     "siblings": [
         {"zone": "n", "name": "e", "http": "127.0.0.1:1", "link": "127.0.0.1:2"}
     ],
@@ -20,7 +25,7 @@
 
 @pytest.fixture
 def load(tmp_path):
-    """Read settings from the bytes of a file."""
+    """Return a function that loads settings from the bytes of a file."""
 
     def load(data: bytes) -> EntrySettings | None:
         path = tmp_path / "settings.json"
@@ -35,8 +40,11 @@
 
 
 @FUZZ
-@given(data=mutated_json(GOOD) | mutated_bytes(json.dumps(GOOD).encode()))
-def test_settings_are_used_whole_or_refused(load, data):
+@given(
+    data=mutated_json(VALID_DOCUMENT)
+    | mutated_bytes(json.dumps(VALID_DOCUMENT).encode())
+)
+def test_settings_are_accepted_whole_or_refused(load, data):
     settings = load(data)
     if settings is not None:
         assert settings.zone and settings.name
@@ -45,5 +53,5 @@
             assert 0 <= int(address.rpartition(":")[2]) <= 65_535
 
 
-def test_deep_nesting_is_refused(load):
-    assert load(NESTED) is None
+def test_deeply_nested_settings_are_refused(load):
+    assert load(DEEPLY_NESTED) is None
--- a/jackdawspur/fuzz/tests/test_two_hosts.py
+++ b/jackdawspur/fuzz/tests/test_two_hosts.py
@@ -1,4 +1,7 @@
-"""Two hosts in every order of events: no second start, no false "not run"."""
+"""Two hosts under random orders of events start no task twice.
+
+Nor do they report a job as not run if any of its tasks started.
+"""
 
 from dataclasses import replace
 
@@ -15,193 +18,209 @@
     Submitted,
 )
 from jackdawspur.external import UpstreamReply
-from jackdawspur.fuzz.tests.mutations import FUZZ, MORE
+from jackdawspur.fuzz.tests.mutations import FUZZ, REQUESTED_EXAMPLES
 from jackdawspur.fuzz.tests.two_hosts import TwoHosts
 from jackdawspur.model import JobRequest, TaskOutcome, TaskSpec, TaskState
 
 NAMES = st.sampled_from(["e1", "e2"])
-PLACES = st.integers(0, 10**6)
-# Most often none, or a host would hardly ever do its work.
+INDICES = st.integers(0, 10**6)
+# Mostly "resume", because hosts would otherwise hardly ever complete a job.
 FAULTS = st.sampled_from(["resume"] * 5 + ["pause", "pause", "drain", "kill"])
 KEYS = st.sampled_from(["k0", "k1", "k2"])
 DEADLINE_MS = 3000.0
-SETTLED_S = 8.0
-STEPS = 60
-FEWEST = 60
+SETTLING_S = 8.0
+STEPS_PER_EXAMPLE = 60
+MIN_EXAMPLES = 60
 
 
-def request_of(name: str, tasks: int, **identity) -> JobRequest:
-    """Return a request whose payloads tell which work it is."""
+def make_request(name: str, tasks: int, **identity) -> JobRequest:
+    """Return a request whose payloads start with the name of the work."""
     specs = tuple(TaskSpec(f"{name}/{index}", 100.0) for index in range(tasks))
     return JobRequest("roster", "confirm", specs, DEADLINE_MS, False, **identity)
 
 
 class TwoHostsMachine(RuleBasedStateMachine):
-    """Choose what happens next; `TwoHosts` judges it."""
+    """State machine of random events; `TwoHosts` checks the invariants."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = TwoHosts()
-        self.plain = 0
+        self.cluster = TwoHosts()
+        self.plain_count = 0
 
     @rule(name=NAMES, tasks=st.integers(1, 24))
-    def submit_plain(self, name, tasks):
-        self.plain += 1
-        self._submit(name, f"plain{self.plain}", tasks)
+    def submit_without_identity(self, name, tasks):
+        self.plain_count += 1
+        self._submit(name, f"plain{self.plain_count}", tasks)
 
     @rule(name=NAMES, key=KEYS)
-    def submit_key(self, name, key):
+    def submit_with_key(self, name, key):
         self._submit(name, key, 1, key=key)
 
     @rule(name=NAMES)
-    def issue(self, name):
-        self.world.call(
+    def issue_id(self, name):
+        self.cluster.make_call(
             name, lambda call: SubmissionIdsRequested(call, "roster", 1), None
         )
 
-    @precondition(lambda self: self.world.ids)
-    @rule(name=NAMES, place=PLACES)
-    def submit_id(self, name, place):
-        one = self.world.ids[place % len(self.world.ids)]
-        self._submit(name, str(one), 1, submission=one)
-
-    @precondition(lambda self: self.world.ids)
-    @rule(name=NAMES, place=PLACES)
-    def cancel(self, name, place):
-        one = self.world.ids[place % len(self.world.ids)]
-        make = lambda call: CancelRequested(call, "roster", one)  # noqa: E731
-        self.world.call(name, make, str(one))
-
-    @precondition(lambda self: self.world.sent)
-    @rule(place=PLACES, reply=st.booleans())
-    def upstream_takes(self, place, reply):
-        self.world.start(place % len(self.world.sent), reply)
-
-    @precondition(lambda self: self.world.sent)
-    @rule(place=PLACES)
-    def upstream_refuses(self, place):
-        self.world.refuse(place % len(self.world.sent))
-
-    @precondition(lambda self: self.world.sent)
-    @rule(place=PLACES, left=st.booleans())
-    def starts_never_arrive(self, place, left):
-        host, effect = self.world.sent.pop(place % len(self.world.sent))
-        self.world.lose(host, effect, left)
-
-    @precondition(lambda self: self.world.asked)
-    @rule(place=PLACES)
-    def upstream_tells(self, place):
-        self.world.tell_status(place % len(self.world.asked))
-
-    @precondition(lambda self: self.world.asked)
-    @rule(place=PLACES)
-    def status_is_lost(self, place):
-        host, effect = self.world.asked.pop(place % len(self.world.asked))
-        self.world.give(host, StatusQueryFailed(effect.upstream, effect.tasks))
-
-    @rule(place=PLACES, failed=st.booleans(), twice=st.booleans())
-    def task_ends(self, place, failed, twice):
-        racks = self.world.racks.values()
-        running = [(r, t) for r in racks for t in r.tasks]
+    @precondition(lambda self: self.cluster.issued_ids)
+    @rule(name=NAMES, index=INDICES)
+    def submit_with_id(self, name, index):
+        submission_id = self.cluster.issued_ids[index % len(self.cluster.issued_ids)]
+        self._submit(name, str(submission_id), 1, submission=submission_id)
+
+    @precondition(lambda self: self.cluster.issued_ids)
+    @rule(name=NAMES, index=INDICES)
+    def cancel(self, name, index):
+        submission_id = self.cluster.issued_ids[index % len(self.cluster.issued_ids)]
+        make_event = lambda call: CancelRequested(call, "roster", submission_id)  # noqa: E731
+        self.cluster.make_call(name, make_event, str(submission_id))
+
+    @precondition(lambda self: self.cluster.sent_batches)
+    @rule(index=INDICES, reply=st.booleans())
+    def upstream_accepts(self, index, reply):
+        self.cluster.accept_batch(index % len(self.cluster.sent_batches), reply)
+
+    @precondition(lambda self: self.cluster.sent_batches)
+    @rule(index=INDICES)
+    def upstream_refuses(self, index):
+        self.cluster.refuse_batch(index % len(self.cluster.sent_batches))
+
+    @precondition(lambda self: self.cluster.sent_batches)
+    @rule(index=INDICES, maybe_sent=st.booleans())
+    def start_request_fails(self, index, maybe_sent):
+        host, effect = self.cluster.sent_batches.pop(
+            index % len(self.cluster.sent_batches)
+        )
+        self.cluster.fail_batch(host, effect, maybe_sent)
+
+    @precondition(lambda self: self.cluster.status_queries)
+    @rule(index=INDICES)
+    def upstream_answers_status_query(self, index):
+        self.cluster.answer_status_query(index % len(self.cluster.status_queries))
+
+    @precondition(lambda self: self.cluster.status_queries)
+    @rule(index=INDICES)
+    def status_query_fails(self, index):
+        host, effect = self.cluster.status_queries.pop(
+            index % len(self.cluster.status_queries)
+        )
+        self.cluster.deliver_event(
+            host, StatusQueryFailed(effect.upstream, effect.tasks)
+        )
+
+    @rule(index=INDICES, failed=st.booleans(), repeated=st.booleans())
+    def task_ends(self, index, failed, repeated):
+        upstreams = self.cluster.upstreams.values()
+        running = [(u, t) for u in upstreams for t in u.tasks]
         if not running:
             return
-        rack, task = running[place % len(running)]
-        for _ in range(1 + twice):
-            self._end(rack, task, TaskState.FAILED if failed else TaskState.DONE)
-
-    @rule(place=PLACES)
-    def upstream_restarts(self, place):
-        racks = list(self.world.racks.values())
-        racks[place % len(racks)].restart()
-
-    @precondition(lambda self: self.world.claims)
-    @rule(place=PLACES, known=st.booleans(), up=st.booleans())
-    def log_appends(self, place, known, up):
-        host, claim = self.world.claims.pop(place % len(self.world.claims))
-        if up:
-            self.world.log.append(claim)
-        self.world.give(host, ClaimAppendCompleted(claim, up if known else None))
+        upstream, task = running[index % len(running)]
+        for _ in range(1 + repeated):
+            self._end_task(
+                upstream, task, TaskState.FAILED if failed else TaskState.DONE
+            )
+
+    @rule(index=INDICES)
+    def upstream_restarts(self, index):
+        upstreams = list(self.cluster.upstreams.values())
+        upstreams[index % len(upstreams)].restart()
+
+    @precondition(lambda self: self.cluster.pending_claims)
+    @rule(index=INDICES, outcome_known=st.booleans(), appended=st.booleans())
+    def claim_append_ends(self, index, outcome_known, appended):
+        host, claim = self.cluster.pending_claims.pop(
+            index % len(self.cluster.pending_claims)
+        )
+        if appended:
+            self.cluster.log.append(claim)
+        self.cluster.deliver_event(
+            host, ClaimAppendCompleted(claim, appended if outcome_known else None)
+        )
 
     @rule(name=NAMES)
     def read_claims(self, name):
-        if name not in self.world.paused:
-            self.world.read_claims(name)
+        if name not in self.cluster.paused:
+            self.cluster.read_claims(name)
 
-    @precondition(lambda self: self.world.links)
-    @rule(place=PLACES, keep=st.booleans())
-    def link_brings(self, place, keep):
-        self.world.deliver(place % len(self.world.links), keep)
+    @precondition(lambda self: self.cluster.pending_messages)
+    @rule(index=INDICES, keep=st.booleans())
+    def link_delivers(self, index, keep):
+        self.cluster.deliver_message(index % len(self.cluster.pending_messages), keep)
 
-    @precondition(lambda self: self.world.links)
-    @rule(place=PLACES)
-    def link_loses(self, place):
-        del self.world.links[place % len(self.world.links)]
+    @precondition(lambda self: self.cluster.pending_messages)
+    @rule(index=INDICES)
+    def link_drops(self, index):
+        del self.cluster.pending_messages[index % len(self.cluster.pending_messages)]
 
     @rule(seconds=st.sampled_from([0.05, 0.3, 1.2, 4.0]))
     def time_passes(self, seconds):
-        self.world.tick(seconds)
+        self.cluster.tick(seconds)
 
     @rule(name=NAMES, fault=FAULTS)
-    def host_fails(self, name, fault):
-        old = self.world.cores[name].host
+    def host_fault_occurs(self, name, fault):
+        host_id = self.cluster.cores[name].host
         match fault:
             case "pause":
-                self.world.paused.add(name)
+                self.cluster.paused.add(name)
             case "drain":
-                self.world.give(old, DrainRequested(1000.0))
+                self.cluster.deliver_event(host_id, DrainRequested(1000.0))
             case "kill":
-                self.world.boot(replace(old, incarnation=old.incarnation + 1))
+                self.cluster.start_host(
+                    replace(host_id, incarnation=host_id.incarnation + 1)
+                )
             case "resume":
-                self.world.paused.clear()
+                self.cluster.paused.clear()
 
     @rule(tasks_end=st.booleans())
-    def all_goes_well(self, tasks_end):
-        """Let links, log and upstreams do all that waits for them."""
-        world = self.world
-        world.paused.clear()
-        world.log += [claim for _, claim in world.claims]
-        world.claims.clear()
-        for name in world.cores:
-            world.read_claims(name)
-        while world.links:
-            world.deliver(0)
-        while world.sent:
-            world.start(0, reply=True)
-        running = [(r, t) for r in world.racks.values() for t in r.tasks]
-        for rack, task in running if tasks_end else ():
-            self._end(rack, task, TaskState.DONE)
+    def everything_succeeds(self, tasks_end):
+        """Complete all pending work of links, the log and upstreams."""
+        cluster = self.cluster
+        cluster.paused.clear()
+        cluster.log += [claim for _, claim in cluster.pending_claims]
+        cluster.pending_claims.clear()
+        for name in cluster.cores:
+            cluster.read_claims(name)
+        while cluster.pending_messages:
+            cluster.deliver_message(0)
+        while cluster.sent_batches:
+            cluster.accept_batch(0, reply=True)
+        running = [(u, t) for u in cluster.upstreams.values() for t in u.tasks]
+        for upstream, task in running if tasks_end else ():
+            self._end_task(upstream, task, TaskState.DONE)
 
     def teardown(self):
-        """Let links and upstreams work again; then every live call has its answer."""
-        world = self.world
-        world.paused.clear()
-        for _ in range(round(SETTLED_S / 0.5)):
-            world.tick(0.5)
-            while world.links:
-                world.deliver(0)
-        for late in (True, False):
-            while world.sent:
-                world.start(0, reply=late)
-            world.tick(0.5)
-        alive = {core.host for core in world.cores.values()}
-        calls = {n for n, (host, request) in world.calls.items() if host in alive}
-        waiting = {n for n in calls if world.calls[n][1] and n not in world.answers}
-        waiting -= world.unheard
+        """Let links and upstreams recover; check that every live call is answered."""
+        cluster = self.cluster
+        cluster.paused.clear()
+        for _ in range(round(SETTLING_S / 0.5)):
+            cluster.tick(0.5)
+            while cluster.pending_messages:
+                cluster.deliver_message(0)
+        for reply in (True, False):
+            while cluster.sent_batches:
+                cluster.accept_batch(0, reply=reply)
+            cluster.tick(0.5)
+        alive = {core.host for core in cluster.cores.values()}
+        calls = {n for n, (host, request) in cluster.calls.items() if host in alive}
+        waiting = {n for n in calls if cluster.calls[n][1] and n not in cluster.answers}
+        waiting -= cluster.unreceived_calls
         assert not waiting, f"calls {waiting} never answered"
 
-    def _end(self, rack, task, state):
-        if rack.tasks[task] is TaskState.RUNNING:
-            rack.tasks[task] = state
-        outcome = TaskOutcome(task, rack.tasks[task], "out", "broken")
-        reply = UpstreamReply(rack.id, rack.run, outcomes=(outcome,))
-        self.world.give(rack.holders[task], ResultsReplied(reply))
+    def _end_task(self, upstream, task, state):
+        if upstream.tasks[task] is TaskState.RUNNING:
+            upstream.tasks[task] = state
+        outcome = TaskOutcome(task, upstream.tasks[task], "out", "broken")
+        reply = UpstreamReply(upstream.id, upstream.incarnation, outcomes=(outcome,))
+        self.cluster.deliver_event(upstream.holders[task], ResultsReplied(reply))
 
     def _submit(self, name, work, tasks, **identity):
-        request = request_of(work, tasks, **identity)
-        self.world.call(name, lambda call: Submitted(call, request), work)
+        request = make_request(work, tasks, **identity)
+        self.cluster.make_call(name, lambda call: Submitted(call, request), work)
 
 
 TestTwoHosts = TwoHostsMachine.TestCase
 TestTwoHosts.settings = settings(
-    FUZZ, max_examples=MORE or FEWEST, stateful_step_count=STEPS
+    FUZZ,
+    max_examples=REQUESTED_EXAMPLES or MIN_EXAMPLES,
+    stateful_step_count=STEPS_PER_EXAMPLE,
 )
--- a/jackdawspur/fuzz/tests/two_hosts.py
+++ b/jackdawspur/fuzz/tests/two_hosts.py
@@ -1,4 +1,4 @@
-"""Two entry hosts, two upstreams, a log and links, all at the mercy of a test."""
+"""Two entry hosts, two upstreams, a log and links, all controlled by a test."""
 
 import random
 from collections import Counter
@@ -28,192 +28,201 @@
 from jackdawspur.messages import Heartbeat, Pulse
 from jackdawspur.model import Answer, HostId, TaskId, TaskOutcome, TaskState, UpstreamId
 
-__all__ = ["Rack", "TwoHosts"]
+__all__ = ["FuzzUpstream", "TwoHosts"]
 
 STEP_S = 0.05
-LINK_AGE_S = 2.0
+MAX_MESSAGE_AGE_S = 2.0
 
 
 @dataclass
-class Rack:
-    """Keep what one upstream truly did."""
+class FuzzUpstream:
+    """The actual state of one upstream, whether hosts know of it or not."""
 
     id: UpstreamId
-    run: int = 1
+    incarnation: int = 1
     tasks: dict[TaskId, TaskState] = field(default_factory=dict)
     holders: dict[TaskId, HostId] = field(default_factory=dict)
-    barred: set[TaskId] = field(default_factory=set)
+    sealed: set[TaskId] = field(default_factory=set)
 
     def restart(self) -> None:
-        """Forget all under a new run."""
-        self.run += 1
+        """Lose all state and start a new incarnation."""
+        self.incarnation += 1
         self.tasks.clear()
-        self.barred.clear()
+        self.sealed.clear()
 
     def status(self, tasks) -> tuple[TaskOutcome, ...]:
-        """Tell how far tasks are, and bar the ones that are not there."""
-        self.barred.update(task for task in tasks if task not in self.tasks)
-        proof = TaskState.SEALED if self.run == 1 else TaskState.UNKNOWN
-        return tuple(TaskOutcome(t, self.tasks.get(t, proof), "out") for t in tasks)
+        """Return the states of tasks and seal those that never arrived."""
+        self.sealed.update(task for task in tasks if task not in self.tasks)
+        absent = TaskState.SEALED if self.incarnation == 1 else TaskState.UNKNOWN
+        return tuple(TaskOutcome(t, self.tasks.get(t, absent), "out") for t in tasks)
 
 
 class TwoHosts:
-    """Carry out effects only when told to, and judge what happens."""
+    """Execute effects only on request, and check invariants of starts and answers."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.cores: dict[str, EntryCore] = {}
-        self.racks = {u.id: Rack(u.id) for u in UPSTREAMS}
+        self.upstreams = {u.id: FuzzUpstream(u.id) for u in UPSTREAMS}
         self.paused: set[str] = set()
         self.log: list[Claim] = []
-        self.cursors: dict[str, int] = {}
-        self.sent: list[tuple[HostId, StartTasks]] = []
-        self.asked: list[tuple[HostId, QueryTaskStatus]] = []
-        self.claims: list[tuple[HostId, Claim]] = []
-        self.links: list[tuple[float, HostId, SendPeerMessage]] = []
+        self.log_cursors: dict[str, int] = {}
+        self.sent_batches: list[tuple[HostId, StartTasks]] = []
+        self.status_queries: list[tuple[HostId, QueryTaskStatus]] = []
+        self.pending_claims: list[tuple[HostId, Claim]] = []
+        self.pending_messages: list[tuple[float, HostId, SendPeerMessage]] = []
         self.events: list[tuple[HostId, Event]] = []
-        self.ids = []
+        self.issued_ids = []
         self.calls: dict[int, tuple[HostId, str | None]] = {}
-        self.unheard: set[int] = set()
+        self.unreceived_calls: set[int] = set()
         self.answers: dict[int, Answer] = {}
         self.started: Counter[str] = Counter()
-        self.not_run: set[str] = set()
+        self.declared_not_run: set[str] = set()
         for host in (OWN, SIBLING):
-            self.boot(host)
+            self.start_host(host)
         self.tick(1.0)
 
-    def boot(self, host: HostId) -> None:
-        """Start a run of a host that remembers nothing."""
+    def start_host(self, host: HostId) -> None:
+        """Start a new incarnation of a host, without any state."""
         rng = random.Random(str(host))
         self.cores[host.name] = EntryCore(host, rng, self.now)
         self.paused.discard(host.name)
-        self.cursors[host.name] = 0
-        self.give(host, ClusterSpecUpdated(CLUSTER_SPEC))
+        self.log_cursors[host.name] = 0
+        self.deliver_event(host, ClusterSpecUpdated(CLUSTER_SPEC))
 
-    def give(self, host: HostId, event: Event) -> None:
-        """Let an event happen at a run of a host, if that still is there."""
+    def deliver_event(self, host: HostId, event: Event) -> None:
+        """Pass an event to an incarnation of a host, if it is still running."""
         core = self.cores[host.name]
         if core.host == host and host.name not in self.paused:
             for effect in core.handle(event, self.now):
-                self._take(host, effect)
+                self._execute(host, effect)
 
-    def call(self, name: str, make, request: str | None) -> None:
-        """Let a caller ask a host something; `request` names the work."""
-        number = len(self.calls) + 1
+    def make_call(self, name: str, make_event, work: str | None) -> None:
+        """Send a caller's request to a host; `work` names the work that it asks for."""
+        call_id = len(self.calls) + 1
         host = self.cores[name].host
-        self.calls[number] = (host, request)
+        self.calls[call_id] = (host, work)
         if name in self.paused:
-            self.unheard.add(number)
-        self.give(host, make(number))
+            self.unreceived_calls.add(call_id)
+        self.deliver_event(host, make_event(call_id))
 
     def tick(self, seconds: float) -> None:
-        """Let time pass at the hosts that are awake."""
+        """Advance time in steps, at the hosts that are not paused."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             for core in list(self.cores.values()):
-                self.give(core.host, Tick())
-            self._beat()
+                self.deliver_event(core.host, Tick())
+            self._deliver_heartbeats()
 
-    def deliver(self, place: int, keep: bool = False) -> None:
-        """Let a link bring a message, as long as it is not too old."""
-        at, sender, effect = self.links[place]
+    def deliver_message(self, index: int, keep: bool = False) -> None:
+        """Deliver a message of a link, unless it is too old."""
+        sent_at, sender, effect = self.pending_messages[index]
         if not keep:
-            del self.links[place]
-        if self.now - at <= LINK_AGE_S:
-            self.give(effect.to, PeerMessageReceived(sender, effect.message))
-
-    def start(self, place: int, reply: bool) -> None:
-        """Let an upstream take a batch; its reply may get lost."""
-        host, effect = self.sent.pop(place)
-        rack = self.racks[effect.upstream]
-        verdicts = tuple(self._verdict(rack, host, one) for one in effect.starts)
+            del self.pending_messages[index]
+        if self.now - sent_at <= MAX_MESSAGE_AGE_S:
+            self.deliver_event(effect.to, PeerMessageReceived(sender, effect.message))
+
+    def accept_batch(self, index: int, reply: bool) -> None:
+        """Let an upstream accept a batch of starts; its reply may get lost."""
+        host, effect = self.sent_batches.pop(index)
+        upstream = self.upstreams[effect.upstream]
+        verdicts = tuple(
+            self._verdict(upstream, host, start) for start in effect.starts
+        )
         if reply:
-            answer = UpstreamReply(rack.id, rack.run, verdicts)
-            self.give(host, StartsReplied(answer))
+            answer = UpstreamReply(upstream.id, upstream.incarnation, verdicts)
+            self.deliver_event(host, StartsReplied(answer))
         else:
-            self.lose(host, effect, left=True)
-
-    def refuse(self, place: int) -> None:
-        """Let an upstream refuse a batch."""
-        host, effect = self.sent.pop(place)
-        rack = self.racks[effect.upstream]
-        full = RefusalReason.FULL
-        verdicts = tuple(StartVerdict(one.task, full) for one in effect.starts)
-        self.give(host, StartsReplied(UpstreamReply(rack.id, rack.run, verdicts)))
-
-    def lose(self, host: HostId, effect: StartTasks, left: bool) -> None:
-        """Let a host notice that no reply came for its batch."""
-        tasks = tuple(one.task for one in effect.starts)
-        self.give(host, StartRequestFailed(effect.upstream, tasks, left))
-
-    def tell_status(self, place: int) -> None:
+            self.fail_batch(host, effect, maybe_sent=True)
+
+    def refuse_batch(self, index: int) -> None:
+        """Let an upstream refuse a batch of starts."""
+        host, effect = self.sent_batches.pop(index)
+        upstream = self.upstreams[effect.upstream]
+        refusal = RefusalReason.FULL
+        verdicts = tuple(StartVerdict(start.task, refusal) for start in effect.starts)
+        self.deliver_event(
+            host,
+            StartsReplied(UpstreamReply(upstream.id, upstream.incarnation, verdicts)),
+        )
+
+    def fail_batch(self, host: HostId, effect: StartTasks, maybe_sent: bool) -> None:
+        """Report to a host that its batch of starts got no reply."""
+        tasks = tuple(start.task for start in effect.starts)
+        self.deliver_event(host, StartRequestFailed(effect.upstream, tasks, maybe_sent))
+
+    def answer_status_query(self, index: int) -> None:
         """Let an upstream answer a status query."""
-        host, effect = self.asked.pop(place)
-        rack = self.racks[effect.upstream]
-        outcomes = rack.status(effect.tasks)
-        reply = UpstreamReply(rack.id, rack.run, outcomes=outcomes)
-        self.give(host, StatusReplied(reply))
+        host, effect = self.status_queries.pop(index)
+        upstream = self.upstreams[effect.upstream]
+        outcomes = upstream.status(effect.tasks)
+        reply = UpstreamReply(upstream.id, upstream.incarnation, outcomes=outcomes)
+        self.deliver_event(host, StatusReplied(reply))
 
     def read_claims(self, name: str) -> None:
         """Let a host read the log to its end."""
-        cursor, self.cursors[name] = self.cursors[name], len(self.log)
-        self.give(self.cores[name].host, ClaimsRead(tuple(self.log[cursor:])))
-
-    def _verdict(self, rack: Rack, host: HostId, one) -> StartVerdict:
-        if one.task in rack.barred:
-            return StartVerdict(one.task, RefusalReason.SEALED)
-        if one.task in rack.tasks:
-            return StartVerdict(one.task, RefusalReason.DUPLICATE)
-        rack.tasks[one.task] = TaskState.RUNNING
-        rack.holders[one.task] = host
-        self.started[one.payload] += 1
-        assert self.started[one.payload] == 1, f"{one.payload} started twice"
-        request = one.payload.split("/")[0]
-        assert request not in self.not_run, f"{request} was called not run"
-        return StartVerdict(one.task)
-
-    def _take(self, host: HostId, effect) -> None:
+        cursor, self.log_cursors[name] = self.log_cursors[name], len(self.log)
+        self.deliver_event(self.cores[name].host, ClaimsRead(tuple(self.log[cursor:])))
+
+    def _verdict(self, upstream: FuzzUpstream, host: HostId, start) -> StartVerdict:
+        if start.task in upstream.sealed:
+            return StartVerdict(start.task, RefusalReason.SEALED)
+        if start.task in upstream.tasks:
+            return StartVerdict(start.task, RefusalReason.DUPLICATE)
+        upstream.tasks[start.task] = TaskState.RUNNING
+        upstream.holders[start.task] = host
+        self.started[start.payload] += 1
+        assert self.started[start.payload] == 1, f"{start.payload} started twice"
+        work = start.payload.split("/")[0]
+        assert work not in self.declared_not_run, f"{work} was reported as not run"
+        return StartVerdict(start.task)
+
+    def _execute(self, host: HostId, effect) -> None:
         match effect:
             case StartTasks():
-                self.sent.append((host, effect))
+                self.sent_batches.append((host, effect))
             case QueryTaskStatus():
-                self.asked.append((host, effect))
+                self.status_queries.append((host, effect))
             case StopTasks(upstream=upstream, tasks=tasks):
-                self._stop(self.racks[upstream], tasks)
+                self._stop_tasks(self.upstreams[upstream], tasks)
             case AppendClaim(claim=claim):
-                self.claims.append((host, claim))
+                self.pending_claims.append((host, claim))
             case SendPeerMessage():
-                self.links.append((self.now, host, effect))
+                self.pending_messages.append((self.now, host, effect))
             case IssueIds(ids=ids):
-                self.ids += ids
+                self.issued_ids += ids
             case AnswerCall(call=call, answer=answer):
-                self._judge(call, answer)
+                self._check_answer(call, answer)
 
-    def _stop(self, rack: Rack, tasks) -> None:
+    def _stop_tasks(self, upstream: FuzzUpstream, tasks) -> None:
         for task in tasks:
-            if rack.tasks.get(task) is TaskState.RUNNING:
-                rack.tasks[task] = TaskState.STOPPED
-        rack.status(tasks)
+            if upstream.tasks.get(task) is TaskState.RUNNING:
+                upstream.tasks[task] = TaskState.STOPPED
+        upstream.status(tasks)
 
-    def _judge(self, call: int, answer: Answer) -> None:
+    def _check_answer(self, call: int, answer: Answer) -> None:
         assert call not in self.answers, f"call {call} answered twice"
         self.answers[call] = answer
-        request = self.calls[call][1]
-        if not answer.not_run or request is None:
+        work = self.calls[call][1]
+        if not answer.not_run or work is None:
             return
-        ran = [p for p in self.started if p.split("/")[0] == request]
-        assert not ran, f"{request} is called not run: {answer}"
-        self.not_run.add(request)
-
-    def _beat(self) -> None:
-        """Bring heartbeats at once, so that hosts know each other."""
-        beats = [one for one in self.links if _is_beat(one[2])]
-        self.links = [one for one in self.links if not _is_beat(one[2])]
-        for _, sender, effect in beats:
+        started_payloads = [p for p in self.started if p.split("/")[0] == work]
+        assert not started_payloads, f"{work} is reported as not run: {answer}"
+        self.declared_not_run.add(work)
+
+    def _deliver_heartbeats(self) -> None:
+        """Deliver heartbeats at once, so that the hosts consider each other alive."""
+        heartbeats = [sent for sent in self.pending_messages if _is_heartbeat(sent[2])]
+        self.pending_messages = [
+            sent for sent in self.pending_messages if not _is_heartbeat(sent[2])
+        ]
+        for _, sender, effect in heartbeats:
             peer = self.cores.get(effect.to.name)
             if peer is not None and effect.to.zone == OWN.zone:
-                self.give(peer.host, PeerMessageReceived(sender, effect.message))
+                self.deliver_event(
+                    peer.host, PeerMessageReceived(sender, effect.message)
+                )
 
 
-def _is_beat(effect: SendPeerMessage) -> bool:
+def _is_heartbeat(effect: SendPeerMessage) -> bool:
     return isinstance(effect.message, Heartbeat | Pulse)
