--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
-# Every target installs what it needs into $(VENV).
+# Every target installs its dependencies into $(VENV).
 VENV ?= .venv
 PYTHON ?= python3
 DEPLOYMENT ?= ramdenee
 BIN = $(VENV)/bin
-# In RAM: hosts have no disk. SHIV_ROOT overrides it when the binary starts.
+# In RAM, because hosts have no disk; SHIV_ROOT overrides it when the binary starts.
 BINARY_ROOT = /dev/shm/jackdawspur
 STAMP = $(VENV)/.installed
 
@@ -28,11 +28,12 @@
 test: lint
 	$(BIN)/python -m pytest
 
-# The decisions in virtual time against their bounds, then real processes: one host's
-# speed, and configuration. About half an hour; bench-decisions takes DEPLOYMENT=...
+# Checks the core logic in virtual time against its bounds, then measures real processes:
+# one host's speed, and configuration. Takes about half an hour; bench-decisions accepts
+# DEPLOYMENT=...
 bench: bench-decisions bench-front speed bench-configuration
 
-# The leading host's decisions on the customers' platform, about half a minute.
+# The leader's core logic on the customers' platform; takes about half a minute.
 bench-front: install
 	$(BIN)/python -m jackdawspur.bench.front
 
@@ -45,24 +46,24 @@
 # Draws docs/pictures from the steady runs of all policies.
 bench-report: install
 	$(BIN)/python -m jackdawspur.bench --scenario=steady | $(BIN)/python -m jackdawspur.pictures
-# FUZZ_EXAMPLES is the number of examples a test; each run draws new ones.
+# FUZZ_EXAMPLES is the number of examples per test; each run generates new ones.
 fuzz: install
 	FUZZ_EXAMPLES=$(or $(FUZZ_EXAMPLES),2000) $(BIN)/python -m pytest jackdawspur/fuzz
 
-# Real processes under faults, about 15 minutes, first the seeds that have shown a fault;
-# SOAK_FLAGS="--nokept --first=51 --seeds=10".
+# Real processes under injected faults, starting with the seeds that once exposed a bug;
+# takes about 15 minutes. Example: SOAK_FLAGS="--nokept --first=51 --seeds=10".
 soak: install
 	$(BIN)/python -m jackdawspur.soak --kept $(SOAK_FLAGS)
 
 demo: install
 	PYTHON=$(BIN)/python scripts/demo $(DEPLOYMENT)
 
-# Three hosts on the stand-in of the customers' platform, with jobs from each.
+# Jobs on three hosts with the stand-in of the customers' platform.
 demo-front: install
 	PYTHONPATH=. $(BIN)/python scripts/demo_front
 
-# One file that needs Python 3.11 on its host and nothing else: docs/design/binary.md.
-# Without --compile-pyc: shiv would compile in child processes at the first start.
+# One file that needs only Python 3.11 on its host; see docs/design/binary.md.
+# Without --compile-pyc, because shiv would compile in child processes at first start.
 binary: install
 	rm -rf build dist/jackdawspur
 	mkdir -p dist
@@ -82,6 +83,6 @@
 shares: install
 	$(BIN)/python -m jackdawspur.shares
 
-# One entry host as a process, at saturation and at half of it: docs/design/speed.md.
+# One entry host process, at saturation and at half of it; see docs/design/speed.md.
 speed: install
 	$(BIN)/python -m jackdawspur.load.speed
--- a/scripts/check_binary.py
+++ b/scripts/check_binary.py
@@ -1,6 +1,7 @@
-"""Check the binary away from the repository: one process, every subcommand, figures.
+"""Check the binary outside the repository: one process per host, all subcommands.
 
-Usage: check_binary.py FILE; the last line is one JSON object, in ms, MB and counts.
+Usage: check_binary.py FILE; the last line is a JSON object with times in ms, sizes in
+MB and counts.
 """
 
 import json
@@ -29,25 +30,25 @@
     "check-settings",
     "standin",
 )
-START_LIMIT_S = 30.0
-END_LIMIT_S = 30.0
-PAUSE_S = 0.01
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.01
 MB = 1_000_000
-# Place of cminflt among the fields after the command's name in /proc/PID/stat.
-FAULTS_OF_ENDED_CHILDREN = 8
+# Index of cminflt among the fields after the command name in /proc/PID/stat.
+CHILD_FAULTS_INDEX = 8
 
 
-class BinaryFault(Exception):
-    """Raise when the binary does not do what is promised of it."""
+class BinaryCheckError(Exception):
+    """Raised when the binary fails a check."""
 
 
 def _free_address() -> str:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{free.getsockname()[1]}"
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def _settings(folder: Path) -> tuple[Path, str]:
+def _write_settings(folder: Path) -> tuple[Path, str]:
     http = _free_address()
     path = folder / "entry.json"
     settings = {"zone": "z1", "name": "e1", "http": http, "log": _free_address()}
@@ -55,10 +56,11 @@
     return path, http
 
 
-def _environment(folder: Path) -> dict[str, str]:
-    """Return what a host's environment has: nothing of the repository.
+def _host_environment(folder: Path) -> dict[str, str]:
+    """Return the environment of a host, without anything from the repository.
 
-    A version manager's shim in front of python3.11 would start processes itself.
+    PATH starts with the real interpreter's folder, because a version manager's shim for
+    python3.11 would start processes itself.
     """
     python = Path(sys.executable).resolve().parent
     path = f"{python}{os.pathsep}{os.defpath}"
@@ -66,53 +68,53 @@
 
 
 def _wait_for(http: str, host: subprocess.Popen) -> None:
-    limit = time.monotonic() + START_LIMIT_S
-    while time.monotonic() < limit:
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline:
         if host.poll() is not None:
-            raise BinaryFault(f"the host ended with status {host.returncode}")
+            raise BinaryCheckError(f"the host exited with status {host.returncode}")
         try:
             urllib.request.urlopen(f"http://{http}/livez", timeout=1).close()
             return
         except (urllib.error.URLError, ConnectionError):
-            time.sleep(PAUSE_S)
-    raise BinaryFault("the host did not answer in time")
+            time.sleep(POLL_INTERVAL_S)
+    raise BinaryCheckError("the host did not answer in time")
 
 
 def _run_host(binary: Path, folder: Path) -> dict[str, float]:
-    """Start a host, look for other processes from its start on, and stop it."""
-    path, http = _settings(folder)
-    began = time.monotonic()
+    """Start a host, check that it is a single process, and stop it."""
+    path, http = _write_settings(folder)
+    started_at = time.monotonic()
     host = subprocess.Popen(
         [binary, "entry", f"--settings={path}"],
         cwd=folder,
-        env=_environment(folder),
+        env=_host_environment(folder),
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
     )
     try:
         _wait_for(http, host)
-        start_ms = (time.monotonic() - began) * 1000
+        start_ms = (time.monotonic() - started_at) * 1000
         process = psutil.Process(host.pid)
-        _refuse_children(process, path)
+        _check_single_process(process, path)
         return {"start_ms": start_ms, "rss_mb": process.memory_info().rss / MB}
     finally:
         host.terminate()
-        host.wait(END_LIMIT_S)
+        host.wait(STOP_TIMEOUT_S)
 
 
-def _refuse_children(process: psutil.Process, path: Path) -> None:
-    """Refuse a host with a second process, be it live, detached or already ended."""
+def _check_single_process(process: psutil.Process, path: Path) -> None:
+    """Raise if the host has another process, whether live, detached or exited."""
     children = process.children(recursive=True)
-    named = [p.pid for p in psutil.process_iter(["cmdline"]) if _is(p, path)]
-    if children or named != [process.pid]:
-        raise BinaryFault(f"more than one process: {named}, {children}")
-    # A child that ended left its page faults in its parent's account.
+    pids = [p.pid for p in psutil.process_iter(["cmdline"]) if _has_settings(p, path)]
+    if children or pids != [process.pid]:
+        raise BinaryCheckError(f"more than one process: {pids}, {children}")
+    # The page faults of exited children are added to those of their parent.
     stat = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-    if int(stat[FAULTS_OF_ENDED_CHILDREN]):
-        raise BinaryFault("the host started a process that has ended by now")
+    if int(stat[CHILD_FAULTS_INDEX]):
+        raise BinaryCheckError("the host started a process that has already exited")
 
 
-def _is(process: psutil.Process, path: Path) -> bool:
+def _has_settings(process: psutil.Process, path: Path) -> bool:
     return f"--settings={path}" in (process.info["cmdline"] or [])
 
 
@@ -120,27 +122,27 @@
     return sum(f.stat().st_size for f in folder.rglob("*") if f.is_file()) / MB
 
 
-def main(built: str) -> None:
-    """Check a built file; raise `BinaryFault`."""
+def main(built_file: str) -> None:
+    """Check a built file; raise `BinaryCheckError` if a check fails."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        binary = Path(shutil.copy(built, folder / "jackdawspur"))
+        binary = Path(shutil.copy(built_file, folder / "jackdawspur"))
         first = _run_host(binary, folder)
-        again = _run_host(binary, folder)
+        second = _run_host(binary, folder)
         for command in COMMANDS:
             subprocess.run(
                 [binary, command, "--help"],
                 check=True,
                 cwd=folder,
-                env=_environment(folder),
+                env=_host_environment(folder),
                 stdout=subprocess.DEVNULL,
             )
         report = {
             "size_mb": binary.stat().st_size / MB,
             "unpacked_mb": _size_mb(folder / "unpacked"),
             "first_start_ms": first["start_ms"],
-            "next_start_ms": again["start_ms"],
-            "rss_mb": again["rss_mb"],
+            "next_start_ms": second["start_ms"],
+            "rss_mb": second["rss_mb"],
             "processes_per_host": 1,
         }
     sys.stdout.write(json.dumps({k: round(v, 1) for k, v in report.items()}) + "\n")
