--- a/jackdawspur/leases/_leased_upstream.py
+++ b/jackdawspur/leases/_leased_upstream.py
@@ -81,7 +81,7 @@
         self.last_missed_poll = 0
         # Last poll sent before the upstream became unresponsive, and until when it is
         # likely to become unresponsive again.
-        self.last_poll_before_silence = 0
+        self.last_poll_while_responsive = 0
         self.flapping_until = now
         self.last_answered_poll = 0
         self.confirming_poll = 0
--- a/jackdawspur/runs/_admission.py
+++ b/jackdawspur/runs/_admission.py
@@ -59,24 +59,26 @@
         `capacities` are the upstreams' capacities, in thousandths of a core.
         """
         open_jobs = list(jobs)
-        new = [job for job in open_jobs if job.has_waiting and not job.started]
-        if not new:
+        new_jobs = [job for job in open_jobs if job.has_waiting and not job.started]
+        if not new_jobs:
             return []
         started_jobs = [job for job in open_jobs if job.started]
         self._work_ahead = sum(
             _waiting_work(job) for job in started_jobs if job.has_waiting
         )
         runs = [run for job in started_jobs for run in self._running_tasks(job, now)]
-        self._forecast = CapacityForecast(self._usable_capacity(capacities, new), runs)
-        deferred_jobs = self._defer_late(new, now)
+        self._forecast = CapacityForecast(
+            self._usable_capacity(capacities, new_jobs), runs
+        )
+        deferred_jobs = self._defer_late(new_jobs, now)
         return self._find_unservable(deferred_jobs, now)
 
     def _usable_capacity(
-        self, capacities: Mapping[UpstreamId, int], new: list[Job]
+        self, capacities: Mapping[UpstreamId, int], new_jobs: list[Job]
     ) -> float:
         """Return the work per second that all upstreams can do for new jobs."""
         leftover = LEFTOVER_FRACTION * fmean(
-            step.resources.cpu_millis for job in new for step in job.request.steps
+            step.resources.cpu_millis for job in new_jobs for step in job.request.steps
         )
         return sum(
             max(0.0, cpu_millis - leftover) / self._slowdown(upstream)
@@ -93,17 +95,17 @@
             run_s = _run_s(job, task) * slowdown - (now - task.placed_at)
             yield max(0.0, run_s), task.spec.resources.cpu_millis / slowdown
 
-    def _defer_late(self, new: list[Job], now: float) -> list[Job]:
+    def _defer_late(self, new_jobs: list[Job], now: float) -> list[Job]:
         """Return the jobs that are deferred so that all others are on time."""
         deferred_jobs: list[Job] = []
         on_time_jobs: list[tuple[float, str, Job]] = []
-        for job in sorted(new, key=_latest_on_time):
+        for job in sorted(new_jobs, key=_latest_on_time_start):
             job.deferred = False
             work = _job_work(job)
             heapq.heappush(on_time_jobs, (-work, job.id, job))
-            starts_at = now + self._last_start_s(job, work)
+            last_start_at = now + self._last_start_s(job, work)
             self._work_ahead += work
-            if starts_at > _latest_on_time(job) + WAIT_ERROR_S:
+            if last_start_at > _latest_on_time_start(job) + WAIT_ERROR_S:
                 largest_work, _, largest = heapq.heappop(on_time_jobs)
                 self._work_ahead += largest_work
                 largest.deferred = True
@@ -117,9 +119,9 @@
         unservable: list[UnservableJob] = []
         for job in sorted(deferred_jobs, key=latest_start):
             work = _job_work(job)
-            starts_s = self._last_start_s(job, work)
-            if now + starts_s > latest_start(job):
-                unservable.append(UnservableJob(job, starts_s))
+            last_start_s = self._last_start_s(job, work)
+            if now + last_start_s > latest_start(job):
+                unservable.append(UnservableJob(job, last_start_s))
             else:
                 self._work_ahead += work
         return unservable
@@ -129,7 +131,7 @@
         first_s = self._forecast.start_delay_s(self._work_ahead)
         last_s = (
             self._forecast.start_delay_s(self._work_ahead + work)
-            - job.left_ms() / MS_PER_S
+            - job.remaining_ms() / MS_PER_S
         )
         return max(first_s, last_s)
 
@@ -145,7 +147,7 @@
 
 
 def _waiting_work(job: Job) -> float:
-    """Return the work of a job's waiting tasks, in thousandths of a core times s."""
+    """Return the work of a job's waiting tasks, in thousandths of a core-second."""
     return sum(
         _run_s(job, task) * task.spec.resources.cpu_millis
         for task in job.tasks
@@ -165,5 +167,5 @@
     )
 
 
-def _latest_on_time(job: Job) -> float:
-    return objective(job) - job.left_ms() / MS_PER_S
+def _latest_on_time_start(job: Job) -> float:
+    return objective(job) - job.remaining_ms() / MS_PER_S
--- a/jackdawspur/runs/_capacity_forecast.py
+++ b/jackdawspur/runs/_capacity_forecast.py
@@ -10,8 +10,8 @@
     """Forecast when waiting work has started, from the ends of the current runs.
 
     Capacity is in thousandths of a core, work is capacity times seconds, and times
-    count from now. A current run delays waiting work only until that finds other
-    capacity, so only work that waits counts as work ahead.
+    count from now. A current run delays waiting work only until other capacity
+    becomes free, so only waiting work counts as work ahead.
     """
 
     def __init__(self, capacity: float, runs: Iterable[tuple[float, float]]) -> None:
@@ -25,15 +25,15 @@
             self._add(left_s, millis)
 
     def start_delay_s(self, work_ahead: float) -> float:
-        """Return when this much waiting work has found capacity."""
-        number = max(0, bisect_left(self._work_done, work_ahead) - 1)
-        remaining = work_ahead - self._work_done[number]
+        """Return in how many seconds this much waiting work has started."""
+        index = max(0, bisect_left(self._work_done, work_ahead) - 1)
+        remaining = work_ahead - self._work_done[index]
         if remaining <= 0.0:
             return self._first_free_s()
-        return self._times_s[number] + remaining / max(1.0, self._free_millis[number])
+        return self._times_s[index] + remaining / max(1.0, self._free_millis[index])
 
     def _first_free_s(self) -> float:
-        """Return when any capacity is free."""
+        """Return in how many seconds any capacity is free."""
         return next(
             (
                 at
--- a/jackdawspur/runs/_crashes.py
+++ b/jackdawspur/runs/_crashes.py
@@ -13,8 +13,8 @@
 # of its tasks together: a healthy job may lose two upstreams by chance.
 MAX_CRASHES = 2
 MAX_CRASHES_PER_JOB = 3
-# This many upstreams lost within this time are a rack or a zone. A task caused that
-# only if one job had tasks on each of them.
+# If this many upstreams are lost within this time, a rack or a zone probably failed. A
+# task caused that only if one job had tasks on each of the upstreams.
 MASS_LOSS_COUNT = 3
 MASS_LOSS_S = 1.0
 # Callers retry a failed job within seconds.
@@ -32,8 +32,8 @@
     tasks: frozenset[str]
     jobs: frozenset[str]
     crashed: bool = False
-    # This loss and the others of about the same time.
-    near: list["_Loss"] = field(default_factory=list)
+    # This loss and those within MASS_LOSS_S of it.
+    concurrent: list["_Loss"] = field(default_factory=list)
 
 
 class Crashes:
@@ -66,7 +66,7 @@
         jobs = frozenset(map(_job_of, all_tasks))
         loss = _Loss(next(self._numbers), upstream, at, all_tasks, jobs)
         self._unresolved[upstream] = loss
-        self._keep(loss)
+        self._add_loss(loss)
 
     def may_have_crashed(self, upstream: UpstreamId) -> bool:
         """Return whether an upstream was lost and may have crashed."""
@@ -85,12 +85,12 @@
         self.record_loss(upstream, tasks, now)
         self._unresolved.pop(upstream).crashed = True
 
-    def record_reported(self, troubles: Iterable[TaskFailureCounts]) -> None:
+    def record_reported(self, all_failure_counts: Iterable[TaskFailureCounts]) -> None:
         """Record reported crashes of tasks, which include those counted here."""
-        for trouble in troubles:
-            others = trouble.crashes - self._count_local(trouble.task)
-            if others > self._reported.get(trouble.task, 0):
-                self._reported[trouble.task] = others
+        for failure_counts in all_failure_counts:
+            others = failure_counts.crashes - self._count_local(failure_counts.task)
+            if others > self._reported.get(failure_counts.task, 0):
+                self._reported[failure_counts.task] = others
 
     def count(self, task: str) -> int:
         """Return how many upstream crashes are attributed to a task."""
@@ -130,10 +130,11 @@
             return True
         return len(self._attributed_to_job(_job_of(task))) >= MAX_CRASHES_PER_JOB
 
-    def runs_alone(self, task: str) -> bool:
+    def must_run_alone(self, task: str) -> bool:
         """Return whether only one suspect task of the task's job may run at a time.
 
-        The loss of one upstream says little: all of its tasks start again at once.
+        The loss of one upstream does not show which task caused it, so all of its tasks
+        start again at once.
         """
         return len(self._attributed_to_job(_job_of(task))) >= MAX_CRASHES
 
@@ -147,16 +148,16 @@
         while len(self._reported) > MAX_ENTRIES:
             del self._reported[next(iter(self._reported))]
 
-    def _keep(self, loss: _Loss) -> None:
+    def _add_loss(self, loss: _Loss) -> None:
         self._losses[loss.number] = loss
-        loss.near += [
+        loss.concurrent += [
             other
             for other in self._losses.values()
             if abs(other.at - loss.at) <= MASS_LOSS_S
         ]
-        for other in loss.near:
+        for other in loss.concurrent:
             if other is not loss:
-                other.near.append(loss)
+                other.concurrent.append(loss)
         for index, names in ((self._by_task, loss.tasks), (self._by_job, loss.jobs)):
             for name in names:
                 index.setdefault(name, []).append(loss)
@@ -165,9 +166,9 @@
         del self._losses[loss.number]
         if self._unresolved.get(loss.upstream) is loss:
             del self._unresolved[loss.upstream]
-        for other in loss.near:
+        for other in loss.concurrent:
             if other is not loss:
-                other.near.remove(loss)
+                other.concurrent.remove(loss)
         for index, names in ((self._by_task, loss.tasks), (self._by_job, loss.jobs)):
             for name in names:
                 index[name].remove(loss)
@@ -188,9 +189,9 @@
 
 def _may_be_fault_of(job: str, loss: _Loss) -> bool:
     """Return whether a job may have caused a loss, unlike that of a rack or zone."""
-    if len(loss.near) < MASS_LOSS_COUNT:
+    if len(loss.concurrent) < MASS_LOSS_COUNT:
         return True
-    return all(job in other.jobs for other in loss.near)
+    return all(job in other.jobs for other in loss.concurrent)
 
 
 def _job_of(task: str) -> str:
--- a/jackdawspur/runs/_decision_log.py
+++ b/jackdawspur/runs/_decision_log.py
@@ -32,9 +32,9 @@
     def job_lost(
         self, decision: Decision, job: Job, lost: JobLost, tasks: str, now: float
     ) -> None:
-        """Record the end of a job that nobody waits for or that would be too late.
+        """Record a job that was dropped by its caller or would end too late.
 
-        `tasks` describes those that end last.
+        `tasks` describes its tasks that end last.
         """
         self._effects.append(lost)
         self.add(
@@ -65,7 +65,7 @@
             waited_ms=_ms(now - job.offer.arrived),
             left_ms=_ms(job.offer.deadline - now),
             useful_ms=_ms(useful_until(job) - now),
-            needs_ms=round(job.left_ms()),
+            needs_ms=round(job.remaining_ms()),
             ahead_ms=_ms(ahead_s),
             jobs=jobs,
         )
@@ -76,12 +76,15 @@
         self.add(Decision.JOB_FAILED, job.id, "", reason=reason)
 
     def started(self, job: Job, task: Task, now: float) -> None:
-        """Report when the last initial task of a job starts, whatever its result.
+        """Report the start of a job's last initial task.
 
-        Jobs that were handed over may have started under another leader.
+        Jobs that were handed over are left out: they may have started under another
+        leader.
         """
         last = (
-            not job.not_begun and task.first_started_at == now and not task.spec.after
+            not job.unstarted_initial_tasks
+            and task.first_started_at == now
+            and not task.spec.after
         )
         if last and not job.offer.handovers:
             waited_ms = (now - job.offer.arrived) * MS_PER_S
@@ -91,9 +94,11 @@
 
     def _record_loss(self, job: Job, cause: LossCause) -> None:
         route = job.request.route.name
-        self._effects.append(JobLost(job.id, route, cause, not_begun=job.not_begun))
+        self._effects.append(
+            JobLost(job.id, route, cause, not_begun=job.unstarted_initial_tasks)
+        )
 
-    def passed_on(self, job: Job, leader: str, now: float) -> None:
+    def redirected(self, job: Job, leader: str, now: float) -> None:
         """Record that a job is redirected to another group."""
         waited_ms = _ms(now - job.offer.arrived)
         self.add(Decision.JOB_PASSED_ON, job.id, "", leader=leader, waited_ms=waited_ms)
@@ -116,7 +121,7 @@
 
 
 def _refusal_cause(job: Job, ahead_s: float) -> LossCause:
-    """Return why a job is refused of which no task has started."""
+    """Return why a job without started tasks is refused."""
     if ahead_s > 0.0:
         return LossCause.REFUSED_FOR_OTHERS
     if job.offer.arrived > latest_start(job):
--- a/jackdawspur/runs/_dispatcher.py
+++ b/jackdawspur/runs/_dispatcher.py
@@ -29,7 +29,7 @@
 from jackdawspur.runs._job import Job, Task, TaskState
 from jackdawspur.runs._offered_capacity import RemoteLeader, SpareCapacity, may_redirect
 from jackdawspur.runs._open_jobs import OpenJobs
-from jackdawspur.runs._order import Standing, latest_start, standing
+from jackdawspur.runs._order import Timeliness, latest_start, timeliness
 from jackdawspur.runs._placer import Placer
 from jackdawspur.runs._polls import Polls
 from jackdawspur.runs._pool import UpstreamPool
@@ -51,7 +51,7 @@
     """Run the jobs of all hosts on all upstreams; a task has one run at a time.
 
     A task starts only while no run of it uses capacity anywhere. A run uses capacity
-    from before its start is sent until its end is listed or it can't exist any more.
+    from before its start is sent until its end is reported or it can't exist any more.
     """
 
     def __init__(self, local_id: HostId, now: float) -> None:
@@ -87,7 +87,7 @@
 
     @property
     def estimates(self) -> Estimates:
-        """Return what was learned of routes and upstreams."""
+        """Return the learned run times of routes and slowdowns of upstreams."""
         return self._estimates
 
     @property
@@ -113,7 +113,7 @@
         self._redirector.offered_capacity.update(leader, capacity, now)
 
     def start_leading(self, fence: Fence, now: float) -> None:
-        """Start to lead: nothing starts on an upstream before it was polled."""
+        """Start a term as leader; no task starts on an upstream before a poll of it."""
         self._jobs.clear()
         self._answers.clear()
         self.is_leader = True
@@ -136,7 +136,7 @@
         listed: Iterable[UpstreamEntry] | None = None,
         by_zone: bool = False,
     ) -> None:
-        """Set the group's upstreams, all listed ones, and whether it is one zone."""
+        """Set the upstreams of the group and of all groups, and if it is one zone."""
         group = tuple(entries)
         if by_zone != self._pool.listing.by_zone:
             # Hosts that left the group are about to report which jobs stay here.
@@ -146,20 +146,20 @@
         self._estimates.set_upstreams(group)
 
     def update_peer_lists(
-        self, longest: int, all_read_at: float, behind: bool = False
+        self, max_length: int, all_read_at: float, behind: bool = False
     ) -> None:
-        """Record the longest list of other hosts, and when they had all read one.
+        """Record the length of other hosts' longest list, and when all had read one.
 
         `behind` tells whether another host has read a newer list than this one.
         """
-        self._pool.listing.update_peers(longest, all_read_at, behind)
+        self._pool.listing.update_peers(max_length, all_read_at, behind)
 
     def offer(self, offer: Offer, now: float) -> None:
         """Accept a job, or answer at once that it can't be done in time.
 
         A job that is open already keeps its runs: its caller retried, or its host got
-        no answer. One that was answered is answered again: what was sent on a
-        connection between hosts is lost when the connection stops responding.
+        no answer. One that was answered is answered again: an answer is lost when the
+        connection between the hosts stops responding.
         """
         self._pool.crashes.record_reported(offer.progress.troubles)
         known = self._jobs.get(offer.request.id)
@@ -228,7 +228,7 @@
         if self.is_leader:
             all_read = self._replies.check_all_read(now)
             if all_read:
-                self._starts.settle_overdue(now)
+                self._starts.resolve_overdue(now)
             self._placer.place_if_due(self._jobs.values(), now)
             if all_read:
                 self._polls.count_overdue(now)
@@ -243,7 +243,7 @@
         return self._starts.overdue_at if self.is_leader else None
 
     def tick(self, now: float) -> None:
-        """Give up jobs that can't be answered in time and unresponsive upstreams."""
+        """Give up unresponsive upstreams, and jobs that can't be answered in time."""
         if not self.is_leader:
             return
         # A job that arrived since the last pass is placed before it is judged.
@@ -286,8 +286,8 @@
     def found_done(self, task_name: str, now: float) -> None:
         """Record that a task which an earlier leader had started is done.
 
-        Its end is acknowledged with the next poll, so no other host would learn of it,
-        and its job, which its host is about to offer, would do the work again.
+        The next poll acknowledges its end, after which the upstream no longer reports
+        it. Its job, which its host is about to offer again, would repeat the task.
         """
         job = self.job_of(task_name)
         if job is None:
@@ -303,7 +303,7 @@
             self._complete(job)
 
     def run_reported(self, task_name: str) -> None:
-        """Review the job with the next tick: its runs' progress shows when it ends."""
+        """Mark the job for review in the next tick, by the progress of its runs."""
         job = self.job_of(task_name)
         if job is not None:
             job.reported = True
@@ -369,7 +369,7 @@
                 self._refuse(job, now)
         elif job.placed() or self._placer.awaits_runs(job, now):
             return
-        elif standing(job, start) is Standing.HOPELESS:
+        elif timeliness(job, start) is Timeliness.HOPELESS:
             self._give_up(job, Decision.JOB_HOPELESS, now)
 
     def _give_up(self, job: Job, decision: Decision, now: float) -> None:
@@ -386,8 +386,8 @@
         """Refuse, or redirect at once, jobs that are too late for the work ahead."""
         jobs, capacities = self._jobs.values(), self._pool.capacities
         for unservable in self._admission.review(jobs, capacities, now):
-            goes = may_redirect(unservable.job, now, wait_limit_s=0.0)
-            if not (goes and self._redirector.send(unservable.job, now)):
+            redirectable = may_redirect(unservable.job, now, wait_limit_s=0.0)
+            if not (redirectable and self._redirector.send(unservable.job, now)):
                 self._refuse(unservable.job, now, unservable.ahead_s)
 
     def _refuse(self, job: Job, now: float, ahead_s: float = 0.0) -> None:
--- a/jackdawspur/runs/_effects.py
+++ b/jackdawspur/runs/_effects.py
@@ -1,4 +1,4 @@
-"""Effects that the leader's decisions request."""
+"""Effects that the dispatcher requests, and records of its decisions."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -29,7 +29,7 @@
     """Start a run; `lease_until_ms` is the lease's end on the upstream's clock.
 
     Here and below, `lease_id` identifies the lease of the upstream, and a call without
-    a reply ends after `timeout_s` seconds.
+    a reply times out after `timeout_s` seconds.
     """
 
     upstream: UpstreamId
@@ -58,8 +58,8 @@
 class PollUpstream:
     """Poll all runs, and extend the lease unless `lease_until_ms` is None.
 
-    `number` orders the polls of an upstream; ended runs up to `last_seen` are
-    acknowledged.
+    `number` orders the polls of an upstream; ended runs up to the number `last_seen`
+    are acknowledged. The upstream waits up to `wait_ms` for a run to end.
     """
 
     upstream: UpstreamId
@@ -121,11 +121,18 @@
 
 
 class LossCause(Enum):
-    """Cause of a lost job, as known at that time; a usual upstream has a slowdown of 1.
-
-    Judged by its progress, the job was too long for any usual upstream, would have
-    ended on a usual one, would have ended if started at once, had a run that was
-    restarted or one that reported hardly any progress, or was in time.
+    """Cause of a lost job, as known when it was lost.
+
+    By its progress, the job was too long even for typical upstreams, which have a
+    slowdown of 1 (TOO_LONG). Or it would have been in time on them (SLOW_UPSTREAM) or
+    if started at once (LATE_START), had a run that was restarted (RESTARTED) or that
+    reported hardly any progress (STALLED), or would have been in time (IN_TIME). With
+    NO_PROGRESS no run reported any, and with NEVER_BEGUN no task was started.
+
+    A job was refused because it was too long from its arrival on (REFUSED_TOO_LONG),
+    had waited too long (REFUSED_WAITED), or had too much work of other jobs ahead of it
+    (REFUSED_FOR_OTHERS). FAILED jobs had a task that was
+    invalid, failed repeatedly or crashed upstreams.
     """
 
     TOO_LONG = "too_long"
@@ -162,7 +169,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InitialTasksStarted:
-    """Report that all tasks of a job without predecessors have started."""
+    """Report that all of a job's tasks without predecessors have started.
+
+    `last_start_ms` is the time from the job's arrival to the last of these starts.
+    """
 
     job: str
     route: str
--- a/jackdawspur/runs/_estimates.py
+++ b/jackdawspur/runs/_estimates.py
@@ -66,7 +66,7 @@
         self._health.set_upstreams(upstreams)
 
     def start_leading(self, now: float) -> None:
-        """Start from what earlier leaders have sent about routes."""
+        """Start a term with the run times of routes that earlier leaders sent."""
         if self._leading_since is not None:
             return
         self._sender.clear()
@@ -81,7 +81,7 @@
                 self._run_times.seed_history(service, route, moments, round(tasks))
 
     def stop_leading(self, now: float) -> None:
-        """Record from now on what the next leader learns."""
+        """End the term; from now on, updates of the next leader are recorded."""
         self._received.clear()
         self._leading_since = None
         self._led_until = now
@@ -101,7 +101,7 @@
             self._slowdowns.seed_history(upstream, level, round(tasks))
 
     def merge_update(self, learned: LearnedStats, now: float) -> None:
-        """Record what the leader sent, for when this host leads."""
+        """Record an update of the leader, for later terms of this host."""
         if self._leading_since is None:
             self._received.record(learned, now)
 
@@ -111,10 +111,10 @@
             return None
         slowdowns = [
             LearnedSlowdown(
-                key, self._slowdowns.level(upstream), min(MAX_SLOWDOWN_TASKS, seen)
+                key, self._slowdowns.level(upstream), min(MAX_SLOWDOWN_TASKS, samples)
             )
             for upstream, key in self._incarnation_keys.items()
-            if (seen := self._slowdowns.sample_count(upstream))
+            if (samples := self._slowdowns.sample_count(upstream))
         ]
         route_moments = islice(self._run_times.moments(), MAX_ROUTES)
         routes = [pack_route(*key, moments) for key, moments in route_moments]
--- a/jackdawspur/runs/_expiring_set.py
+++ b/jackdawspur/runs/_expiring_set.py
@@ -7,7 +7,7 @@
 
 
 class ExpiringSet:
-    """Set of names, each of which expires at a time of its own."""
+    """Set of names, each with its own expiry time."""
 
     def __init__(self) -> None:
         self._expires_at: dict[str, float] = {}
@@ -17,7 +17,7 @@
         return name in self._expires_at
 
     def add(self, name: str, until: float) -> None:
-        """Add a name until a time, or until a later one that was given before."""
+        """Add a name until a time; an earlier time than before changes nothing."""
         if until > self._expires_at.get(name, -math.inf):
             self._expires_at[name] = until
             heapq.heappush(self._expirations, (until, name))
--- a/jackdawspur/runs/_job.py
+++ b/jackdawspur/runs/_job.py
@@ -79,7 +79,7 @@
 
 
 def task_name(job: str, step: int, index: int) -> str:
-    """Return a task's name on upstreams; 0 is the number of its only occurrence."""
+    """Return a task's name on upstreams; 0 is its repetition, as it has only one."""
     return f"{job}.0.{step}.{index}"
 
 
@@ -91,7 +91,7 @@
     ) -> None:
         self.offer = offer
         self.offered_at = now
-        # When its host last offered the job, and when that counts as refreshed.
+        # When its host last offered the job, and since when the refresh timeout counts.
         self.last_offered_at = self.refreshed_at = now
         self.request = offer.request
         self.initial_expected_ms = expected_ms
@@ -101,17 +101,19 @@
         self.reported = False
         # Whether other jobs go first, since not all can be on time.
         self.deferred = False
-        first_run = offer.handovers * RUNS_PER_HANDOVER
+        base_run_number = offer.handovers * RUNS_PER_HANDOVER
         self.tasks = [
-            Task(task_name(self.request.id, number, index), number, step, first_run)
+            Task(
+                task_name(self.request.id, number, index), number, step, base_run_number
+            )
             for number, step in enumerate(self.request.steps)
             for index in range(step.count)
         ]
         self.by_name = {task.name: task for task in self.tasks}
-        self._open_by_step = [step.count for step in self.request.steps]
+        self._open_task_counts = [step.count for step in self.request.steps]
         self._waiting = list(self.tasks)
-        # Number of tasks without predecessors that have not started.
-        self.not_begun = sum(not task.spec.after for task in self.tasks)
+        # Initial tasks are those without predecessors.
+        self.unstarted_initial_tasks = sum(not task.spec.after for task in self.tasks)
         self.critical_path_ms = self._critical_path_ms(expected_ms)
         for name in offer.progress.done:
             if name in self.by_name:
@@ -126,11 +128,11 @@
     @property
     def complete(self) -> bool:
         """Return whether all tasks are done."""
-        return not any(self._open_by_step)
+        return not any(self._open_task_counts)
 
     @property
     def has_waiting(self) -> bool:
-        """Return whether any task waits, even if only for other steps."""
+        """Return whether any task waits, for capacity or for other steps."""
         return bool(self._waiting)
 
     def waiting(self) -> list[Task]:
@@ -142,8 +144,8 @@
 
         An offer with more handovers shows that another leader had the job in the
         meantime and may have started it: a job that still counts as not started could
-        be refused as not run. An offer with fewer handovers, from the same call, was
-        overtaken.
+        be refused as not run. An offer with fewer handovers, from the same call, is
+        outdated: a later one overtook it.
         """
         self.last_offered_at = self.refreshed_at = now
         same_call = (offer.host, offer.call) == (self.offer.host, self.offer.call)
@@ -160,10 +162,10 @@
 
     def _count_failures(self, offer: Offer) -> None:
         """Include the task failures that earlier leaders counted."""
-        for trouble in offer.progress.troubles:
-            task = self.by_name.get(trouble.task)
+        for failure_counts in offer.progress.troubles:
+            task = self.by_name.get(failure_counts.task)
             if task is not None:
-                task.failures = max(task.failures, trouble.failures)
+                task.failures = max(task.failures, failure_counts.failures)
 
     def set_expected_ms(self, step: int, work_ms: float) -> None:
         """Set the expected run time of a step's tasks."""
@@ -179,7 +181,7 @@
         task.placed_at = now
         if task.first_started_at is None:
             task.first_started_at, task.first_run_number = now, task.run
-            self.not_begun -= not task.spec.after
+            self.unstarted_initial_tasks -= not task.spec.after
 
     def requeue(self, task: Task) -> None:
         """Put a task back among the waiting ones."""
@@ -195,21 +197,21 @@
         if task.state is TaskState.WAITING:
             self._waiting.remove(task)
             if task.first_started_at is None:
-                self.not_begun -= not task.spec.after
+                self.unstarted_initial_tasks -= not task.spec.after
         task.state = TaskState.DONE
-        self._open_by_step[task.step] -= 1
+        self._open_task_counts[task.step] -= 1
 
     def placed(self) -> list[Task]:
         """Return the tasks that use capacity."""
         return [task for task in self.tasks if task.state is TaskState.PLACED]
 
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Return the expected time from a start now to the end of the last step."""
         return self._critical_path_ms(
             [
                 ms if still_open else 0.0
                 for ms, still_open in zip(
-                    self.expected_ms, self._open_by_step, strict=True
+                    self.expected_ms, self._open_task_counts, strict=True
                 )
             ]
         )
@@ -222,7 +224,7 @@
         return max(end_ms)
 
     def _is_ready(self, task: Task) -> bool:
-        return not any(self._open_by_step[number] for number in task.spec.after)
+        return not any(self._open_task_counts[number] for number in task.spec.after)
 
 
 def run_time_spec(step: JobStep) -> TaskSpec:
--- a/jackdawspur/runs/_label_stats.py
+++ b/jackdawspur/runs/_label_stats.py
@@ -1,4 +1,4 @@
-"""What upstreams with the same label have in common."""
+"""Mean slowdowns of upstreams with the same label."""
 
 from collections.abc import Iterable, Mapping
 
@@ -8,12 +8,12 @@
 
 # A label is used once this many tasks have ended on upstreams that have it.
 MIN_TASKS = 4
-# Each update goes through all upstreams, which takes time: at first every job adds
-# much, after this many jobs only one in JOB_INTERVAL causes an update.
-EVERY_JOB_UNTIL = 50
+# Each update goes through all upstreams, which takes time. Each of the first jobs adds
+# much and causes an update; after INITIAL_JOBS, only one job in JOB_INTERVAL does.
+INITIAL_JOBS = 50
 JOB_INTERVAL = 10
-# Squared deviation of one task's log run time, and the smallest variance of a label's
-# upstreams.
+# Variance of one task's log run time, and the smallest variance among the upstreams of
+# a label.
 TASK_VARIANCE = 0.04
 MIN_VARIANCE = 0.0004
 
@@ -47,7 +47,7 @@
     ) -> None:
         """Update the means from upstreams' own log slowdowns and task counts."""
         self._jobs += 1
-        if self._jobs > EVERY_JOB_UNTIL and self._jobs % JOB_INTERVAL:
+        if self._jobs > INITIAL_JOBS and self._jobs % JOB_INTERVAL:
             return
         samples: dict[str, list[tuple[float, int]]] = {}
         for upstream, count in tasks.items():
--- a/jackdawspur/runs/_learned.py
+++ b/jackdawspur/runs/_learned.py
@@ -32,7 +32,7 @@
 MAX_LOG_MS = math.log(60_000.0) + 0.01
 MAX_VARIANCE = 128.0
 MAX_NOISE = 4.0
-# Longer names of routes would use the bytes of all others.
+# Longer names of routes would leave no bytes for other routes.
 MAX_NAMES_BYTES = 80
 HEADERS_BYTES = 8
 
@@ -53,7 +53,7 @@
 
 
 class LearnedStats(msgspec.Struct, frozen=True, array_like=True):
-    """Slowdowns of upstreams and run times of routes, some of them at a time."""
+    """Some of the learned slowdowns of upstreams and run times of routes."""
 
     paces: bytes = b""
     routes: tuple[LearnedRoute, ...] = ()
@@ -85,8 +85,10 @@
     """Return the slowdowns encoded in bytes, none if the bytes are invalid."""
     if len(data) % SLOWDOWN_BYTES:
         return []
-    read = (LearnedSlowdown(*values) for values in _SLOWDOWN.iter_unpack(data))
-    return [slowdown for slowdown in read if 0 < slowdown.tasks <= MAX_SLOWDOWN_TASKS]
+    decoded = (LearnedSlowdown(*values) for values in _SLOWDOWN.iter_unpack(data))
+    return [
+        slowdown for slowdown in decoded if 0 < slowdown.tasks <= MAX_SLOWDOWN_TASKS
+    ]
 
 
 def pack_route(service: str, route: str, moments: Moments) -> LearnedRoute | None:
@@ -106,14 +108,14 @@
 
 def route_bytes(learned: LearnedRoute) -> int:
     """Return how many bytes a route takes at most."""
-    names = len(learned.service.encode()) + len(learned.route.encode())
-    return names + len(learned.moments) + HEADERS_BYTES
+    names_bytes = len(learned.service.encode()) + len(learned.route.encode())
+    return names_bytes + len(learned.moments) + HEADERS_BYTES
 
 
 def unpack_route(learned: LearnedRoute) -> Moments | None:
     """Return the moments of a received route, None if they are invalid."""
-    names = len(learned.service.encode()) + len(learned.route.encode())
-    if len(learned.moments) != _MOMENTS.size or not 0 < names <= MAX_NAMES_BYTES:
+    names_bytes = len(learned.service.encode()) + len(learned.route.encode())
+    if len(learned.moments) != _MOMENTS.size or not 0 < names_bytes <= MAX_NAMES_BYTES:
         return None
     run, declared, spread, covariance, noise = _MOMENTS.unpack(learned.moments)
     is_valid = (
--- a/jackdawspur/runs/_listing.py
+++ b/jackdawspur/runs/_listing.py
@@ -6,7 +6,7 @@
 
 __all__ = ["Listing"]
 
-ALWAYS = float("-inf")
+DISTANT_PAST = float("-inf")
 # The first list that a host reads may be short: upstreams whose entries expired while
 # the store was down are back within two seconds of its return.
 STABLE_AFTER_S = 2.5
@@ -14,7 +14,7 @@
 # nothing for 0.4 s counts the leader as lost.
 ANNOUNCE_S = 0.5
 # An upstream that vanished without draining may be partitioned for about this long, and
-# work for the hosts on its side of the partition.
+# run tasks for the hosts on its side of the partition.
 VANISHED_TTL_S = 120.0
 
 
@@ -22,9 +22,10 @@
     """Track since when upstreams are listed, which vanished, and the group's zones."""
 
     def __init__(self) -> None:
-        # Longest list of the other hosts, and when they had all read one.
-        self._longest_peer_list = 0
-        self._peers_read_at = ALWAYS
+        # Length of the longest list that another host has read, and when all of them
+        # had read one.
+        self._max_peer_list_length = 0
+        self._peers_read_at = DISTANT_PAST
         # Whether another host has read a newer list than this one.
         self._is_behind = False
         self._listed: tuple[UpstreamEntry, ...] = ()
@@ -34,7 +35,7 @@
         # Zone of the group, None for all zones; and its last single zone.
         self._zone: str | None = None
         self._last_single_zone: str | None = None
-        self._zone_changed_at = ALWAYS
+        self._zone_changed_at = DISTANT_PAST
 
     @property
     def by_zone(self) -> bool:
@@ -56,7 +57,7 @@
         for upstream, since in list(self._vanished.items()):
             if upstream in present or now - since > VANISHED_TTL_S:
                 del self._vanished[upstream]
-        first_at = ALWAYS if self._since is None else now
+        first_at = DISTANT_PAST if self._since is None else now
         self._first_listed = {
             upstream: self._first_listed.get(upstream, first_at)
             for upstream in (*present, *self._vanished)
@@ -65,9 +66,9 @@
             self._since = now
         self._listed = listed
 
-    def update_peers(self, longest: int, all_read_at: float, behind: bool) -> None:
+    def update_peers(self, max_length: int, all_read_at: float, behind: bool) -> None:
         """Record what the other hosts report about their lists."""
-        self._longest_peer_list = longest
+        self._max_peer_list_length = max_length
         self._is_behind = behind
         self._peers_read_at = all_read_at
 
@@ -75,12 +76,12 @@
         """Return whether no upstream of the group is likely to be missing.
 
         One that vanished may obey another leader, as it may be partitioned from the
-        store and from this host. So may one that a host which has just started has not
-        found on its list yet, or that another host has on a longer or newer list.
+        store and from this host. So may one that is not on the list yet because this
+        host has just started, or that is on another host's longer or newer list.
         """
         if self._since is None or now - self._since < STABLE_AFTER_S:
             return False
-        if self._is_behind or len(self._listed) < self._longest_peer_list:
+        if self._is_behind or len(self._listed) < self._max_peer_list_length:
             return False
         return not any(
             self._zone in (None, vanished.zone) for vanished in self._vanished
@@ -101,13 +102,13 @@
     def is_known_to_all(self, upstream: UpstreamId, now: float) -> bool:
         """Return whether any host that leads next will know of an upstream.
 
-        A run that was told to stop continues under its lease if the next leader does
-        not poll its upstream: that leader would start the task again at once, as all
-        upstreams on its own older list reply. A host that was not notified yet that its
-        leader's group has more zones would report that its jobs ran in its own zone
-        alone.
+        A next leader with an older list would not poll the upstream. A run there that
+        must stop would continue under its lease, and that leader would start its task
+        again at once, as all upstreams on its own list reply. A host that does not
+        know yet that the group has more zones would report that its jobs ran only in
+        its own zone.
         """
         joined = upstream.zone not in (self._last_single_zone, self._zone)
         if joined and now - self._zone_changed_at < ANNOUNCE_S:
             return False
-        return self._first_listed.get(upstream, ALWAYS) <= self._peers_read_at
+        return self._first_listed.get(upstream, DISTANT_PAST) <= self._peers_read_at
--- a/jackdawspur/runs/_losses.py
+++ b/jackdawspur/runs/_losses.py
@@ -56,7 +56,7 @@
         return TaskTiming(total_ms, started_s, run.reported_at, stalled)
 
     def analyze(self, job: Job, now: float) -> JobLost:
-        """Return why a job is lost that nobody waits for or that would be too late."""
+        """Return why a job was dropped by its caller or would end too late."""
         timings = {task.name: self.timing(job, task) for task in job.tasks}
         known = [timing for timing in timings.values() if timing and not timing.stalled]
         longest = max(known, key=lambda timing: timing.total_ms, default=None)
@@ -81,7 +81,7 @@
         after_ms = _after_ms(job, step_ms)
         if max(map(add, step_ms, after_ms)) > limit_ms:
             return LossCause.TOO_LONG
-        late, late_anywhere = False, False
+        late, late_on_typical = False, False
         for task in job.tasks:
             if task.is_done:
                 continue
@@ -95,8 +95,10 @@
                 return LossCause.RESTARTED
             late = True
             start_ms = _start_ms(job, task, timing, now)
-            late_anywhere |= start_ms + _duration_ms(job, task, timing) > step_limit_ms
-        if late_anywhere:
+            late_on_typical |= (
+                start_ms + _duration_ms(job, task, timing) > step_limit_ms
+            )
+        if late_on_typical:
             return LossCause.LATE_START
         return LossCause.SLOW_UPSTREAM if late else LossCause.IN_TIME
 
@@ -143,7 +145,7 @@
 
 
 def start_times_ms(job: Job) -> tuple[int | None, int | None, int]:
-    """Return when the first and last task first started, and how many did not."""
+    """Return when the first and the last initial task started, and how many did not."""
     started_at = [
         task.first_started_at
         for task in job.tasks
@@ -152,13 +154,13 @@
         and not task.adopted
     ]
     if not started_at:
-        return None, None, job.not_begun
+        return None, None, job.unstarted_initial_tasks
     arrived = job.offer.arrived
     first_ms, last_ms = (
         round((start - arrived) * MS_PER_S)
         for start in (min(started_at), max(started_at))
     )
-    return first_ms, last_ms, job.not_begun
+    return first_ms, last_ms, job.unstarted_initial_tasks
 
 
 def _start_ms(job: Job, task: Task, timing: TaskTiming | None, now: float) -> float:
--- a/jackdawspur/runs/_offered_capacity.py
+++ b/jackdawspur/runs/_offered_capacity.py
@@ -20,7 +20,7 @@
 # Offers are sent every 0.2 s; the capacity of an older one has been used by others.
 OFFER_VALID_S = 0.5
 # A job that finds no capacity waits this long for a run to end before it is redirected,
-# which costs bytes between zones and time each way.
+# which costs traffic and a round trip between zones.
 MAX_WAIT_S = 0.02
 # It also waits no longer than this fraction of its estimated spare time.
 MAX_WAIT_FRACTION = 0.05
@@ -63,7 +63,7 @@
 
     def __init__(self) -> None:
         self._offers: dict[str, _CapacityOffer] = {}
-        self._redirected = 0
+        self._redirect_count = 0
 
     @property
     def has_offers(self) -> bool:
@@ -95,8 +95,9 @@
     ) -> RemoteLeader | None:
         """Reserve capacity to start all tasks of a job at once, and return its leader.
 
-        With `anywhere`, a job that fits nowhere is sent to each group in turn, as the
-        offers may be outdated. With `only_fast`, slow upstreams do not count.
+        With `anywhere`, jobs that fit in no offered capacity are sent to the groups in
+        turn, as the offers may be outdated. With `only_fast`, slow upstreams do not
+        count.
         """
         service = job.request.route.service
         offers = self._current_offers(now)
@@ -109,8 +110,8 @@
                 return offer.remote_leader
         if not (anywhere and offers):
             return None
-        self._redirected += 1
-        return offers[self._redirected % len(offers)].remote_leader
+        self._redirect_count += 1
+        return offers[self._redirect_count % len(offers)].remote_leader
 
     def _current_offers(self, now: float) -> list[_CapacityOffer]:
         return [o for o in self._offers.values() if now - o.at <= OFFER_VALID_S]
@@ -169,7 +170,7 @@
     for step in steps:
         needed = step.resources.cpu_millis
         for _ in range(step.count):
-            number = next(
+            index = next(
                 (
                     n
                     for n, free_capacity in enumerate(remaining)
@@ -177,8 +178,8 @@
                 ),
                 None,
             )
-            if number is None:
+            if index is None:
                 return None
-            remaining[number] -= needed
+            remaining[index] -= needed
             remaining.sort()
     return remaining
--- a/jackdawspur/runs/_open_jobs.py
+++ b/jackdawspur/runs/_open_jobs.py
@@ -37,7 +37,11 @@
         return reported
 
     def reset_refresh_times(self, now: float) -> None:
-        """Count all offers as refreshed now; expiring ones gain time only once."""
+        """Restart the refresh timeouts of all jobs.
+
+        They restart at most OTHER_GROUP_TIMEOUT_S after a job's last offer, so repeated
+        calls don't extend the time of a job that is no longer offered.
+        """
         for job in self.values():
             job.refreshed_at = min(now, job.last_offered_at + OTHER_GROUP_TIMEOUT_S)
 
@@ -55,7 +59,7 @@
         ]
 
     def progress_by_host(self, crashes: Crashes) -> dict[str, dict[str, Progress]]:
-        """Return what the next leader must know of each job, by host and job."""
+        """Return the progress of each job for the next leader, by host and job."""
         progress_by_host: dict[str, dict[str, Progress]] = {}
         for job in self.values():
             progress = _progress(job, crashes)
@@ -75,6 +79,6 @@
 
 
 def _refresh_timeout_s(job: Job, other_group_hosts: set[str]) -> float:
-    """Return how long a job is kept that its host no longer refreshes."""
+    """Return how long a job stays open without a new offer of its host."""
     in_other_group = job.offer.from_other_group or job.offer.host in other_group_hosts
     return OTHER_GROUP_TIMEOUT_S if in_other_group else OWN_GROUP_TIMEOUT_S
--- a/jackdawspur/runs/_order.py
+++ b/jackdawspur/runs/_order.py
@@ -5,12 +5,12 @@
 from jackdawspur.runs._job import Job
 
 __all__ = [
-    "Standing",
+    "Timeliness",
     "latest_start",
     "objective",
     "order_key",
     "spare_s",
-    "standing",
+    "timeliness",
     "useful_until",
 ]
 
@@ -18,14 +18,14 @@
 # Time that answers take from here to their callers, as do requests on their way here: a
 # few milliseconds each way, and a pass of the loop on two hosts.
 NETWORK_LATENCY_S = 0.014
-# The contract: an answer later than this many times its objective is worth nothing.
+# By the contract, an answer later than this many times its objective is worthless.
 LATE_FACTOR = 3.0
 # Tasks may well take this many times as long as expected: a job that has plenty of time
 # to its objective but little to its caller's limit must not wait until the last moment.
 REMAINING_SAFETY_FACTOR = 1.6
-# A job that would not end in time if it took this many times as long as expected goes
-# after the others: if it is started and then misses its limit, it has used their
-# capacity for nothing.
+# A new job that would not end in time if it took this many times as long as expected is
+# placed after the others: if it misses its deadline, it has used their capacity for
+# nothing.
 START_SAFETY_FACTOR = 1.15
 # A job that found no capacity is refused once it would be too late even if it took only
 # this fraction of the expected time: estimates are off by a third, and the progress of
@@ -33,8 +33,8 @@
 MIN_DURATION_FACTOR = 0.7
 
 
-class Standing(IntEnum):
-    """Best outcome that a job can still reach; lower ones are served first."""
+class Timeliness(IntEnum):
+    """Best outcome that a job can still reach; lower values are served first."""
 
     ON_TIME = 0
     LATE = 1
@@ -52,22 +52,26 @@
     return min(late, job.offer.deadline)
 
 
-def standing(job: Job, now: float) -> Standing:
+def timeliness(job: Job, now: float) -> Timeliness:
     """Return the best outcome that a job can reach if its tasks start now."""
-    left_s = job.left_ms() / MS_PER_S
+    left_s = job.remaining_ms() / MS_PER_S
     if now + left_s * (1.0 if job.started else START_SAFETY_FACTOR) > useful_until(job):
-        return Standing.HOPELESS
-    return Standing.ON_TIME if now + left_s <= objective(job) else Standing.LATE
+        return Timeliness.HOPELESS
+    return Timeliness.ON_TIME if now + left_s <= objective(job) else Timeliness.LATE
 
 
 def latest_start(job: Job) -> float:
     """Return when a new job must have started to have a chance to be in time."""
-    return useful_until(job) - MIN_DURATION_FACTOR * job.left_ms() / MS_PER_S
+    return useful_until(job) - MIN_DURATION_FACTOR * job.remaining_ms() / MS_PER_S
 
 
 def spare_s(job: Job, now: float) -> float:
     """Return how long a job can wait, even if it takes longer than expected."""
-    return useful_until(job) - now - REMAINING_SAFETY_FACTOR * job.left_ms() / MS_PER_S
+    return (
+        useful_until(job)
+        - now
+        - REMAINING_SAFETY_FACTOR * job.remaining_ms() / MS_PER_S
+    )
 
 
 def order_key(job: Job, now: float) -> tuple[bool, bool, int, float]:
@@ -77,11 +81,11 @@
     used. Then jobs that can still meet their objective go before those that can't, and
     among them the one with the least spare time.
     """
-    left_s = job.left_ms() / MS_PER_S
+    left_s = job.remaining_ms() / MS_PER_S
     spare = min(
         objective(job) - left_s, useful_until(job) - REMAINING_SAFETY_FACTOR * left_s
     )
-    return (not job.started, job.deferred, standing(job, now), spare)
+    return (not job.started, job.deferred, timeliness(job, now), spare)
 
 
 def _objective_s(job: Job) -> float:
--- a/jackdawspur/runs/_placer.py
+++ b/jackdawspur/runs/_placer.py
@@ -37,7 +37,7 @@
 FIRST_REPLY_S = 0.3
 # Slowdowns change over many tasks, so all of them are examined only this often.
 FAST_CACHE_S = 0.1
-# A group needs the other groups' capacity for this long after a job found none in it.
+# A group counts as needing capacity of others for this long after a job found none.
 CAPACITY_NEED_S = 0.5
 
 
@@ -70,8 +70,8 @@
     def place_if_due(self, jobs: Iterable[Job], now: float) -> None:
         """Place jobs when one arrived, capacity may be free, or a tick has passed.
 
-        A pass for each reply would go through all waiting jobs without effect: when all
-        capacity is used, that is most of the leader's processor time.
+        A pass after each reply would examine all waiting jobs without effect, which
+        takes most of the leader's processor time when all capacity is used.
         """
         if self.due or self._pool.capacity_freed:
             self.due = self._pool.capacity_freed = False
@@ -118,7 +118,7 @@
         return now - self._no_capacity_at <= CAPACITY_NEED_S
 
     def _place(self, jobs: Iterable[Job], now: float) -> None:
-        """Place jobs in order; a job that finds no capacity lets others pass."""
+        """Place jobs in order, and skip those that find no capacity."""
         waiting = [job for job in jobs if job.has_waiting]
         upstreams = self._pool.with_free_capacity(now) if waiting else {}
         self._waiting_for_fast.clear()
@@ -189,8 +189,8 @@
     ) -> None:
         """Start a job's tasks; `no_capacity_for` is what did not fit in this pass.
 
-        Capacity only shrinks within a pass, so tasks that need as much are not tried
-        again.
+        Capacity only shrinks within a pass, so tasks that need at least as much are not
+        tried.
         """
         service = job.request.route.service
         crashes = self._pool.crashes
@@ -207,7 +207,7 @@
             upstream = choose(task, job, candidates, self._estimates, now)
             if upstream is None:
                 self._no_capacity_at = now
-                if _fits_anywhere(task) and not suspect:
+                if _is_limited_by_size_only(task) and not suspect:
                     no_capacity_for[service] = needed
                 return
             if self._should_wait_for_fast(job, task, upstream, now):
@@ -239,7 +239,7 @@
     """Return whether a suspect task may not start before more is known."""
     if crashes.must_wait(task.name):
         return True
-    if not crashes.runs_alone(task.name):
+    if not crashes.must_run_alone(task.name):
         return False
     return any(crashes.is_suspect(other.name) for other in job.placed())
 
@@ -247,9 +247,9 @@
 def _without_suspects(
     upstreams: Sequence[LeasedUpstream], crashes: Crashes
 ) -> list[LeasedUpstream]:
-    """Return the upstreams without a task that an upstream may have crashed under.
+    """Return the upstreams that run no suspect task.
 
-    The next crash then shows which of the tasks caused it.
+    If suspects run apart, the next crash shows which of them causes crashes.
     """
     return [
         upstream
@@ -258,7 +258,7 @@
     ]
 
 
-def _fits_anywhere(task: Task) -> bool:
-    """Return whether only its size can keep a task off an upstream."""
+def _is_limited_by_size_only(task: Task) -> bool:
+    """Return whether a task has no constraint but the resources that it needs."""
     spec = task.spec
     return not (spec.label or spec.most_per_upstream or task.avoid)
--- a/jackdawspur/runs/_polls.py
+++ b/jackdawspur/runs/_polls.py
@@ -27,13 +27,13 @@
 RETRY_S = 0.02
 # Overdue polls use a connection each until their calls end.
 MAX_OPEN_POLLS = 6
-# An upstream that became unresponsive does so again within this time if it is flapping.
+# An upstream counts as flapping for this long after it became unresponsive.
 FLAPPING_S = 5.0
 MS_PER_S = 1000.0
 
 
 class Polls:
-    """Poll all upstreams continuously, and process what their replies prove."""
+    """Poll all upstreams continuously, and process their replies."""
 
     def __init__(self, pool: UpstreamPool, replies: Replies) -> None:
         self._pool = pool
@@ -48,8 +48,8 @@
     def send_due(self, now: float) -> None:
         """Send the polls that are due, in addition to those that are overdue.
 
-        A lost reply must cost one reply: if the next poll waited for the end of the
-        call, leases of healthy upstreams would expire.
+        If the next poll waited until the call of a poll with a lost reply timed out,
+        leases of healthy upstreams would expire.
         """
         lossy = self._replies.lossy
         for upstream in self._pool.upstreams:
@@ -90,8 +90,8 @@
         if not upstream.pending_polls and not upstream.overdue_polls:
             upstream.polled_since = now
         stable = upstream.acquired and upstream.responsive and not upstream.unconfirmed
-        long_ms = LOSSY_POLL_WAIT_MS if self._replies.lossy else POLL_WAIT_MS
-        wait_ms = long_ms if stable and upstream.runs else 0
+        long_wait_ms = LOSSY_POLL_WAIT_MS if self._replies.lossy else POLL_WAIT_MS
+        wait_ms = long_wait_ms if stable and upstream.runs else 0
         overdue_at = now + wait_ms / MS_PER_S + self._replies.overdue_s
         number = upstream.register_poll(overdue_at)
         lease_until_ms = (
@@ -184,7 +184,7 @@
     def _count_missed(
         self, upstream: LeasedUpstream, number: int, outcome: CallOutcome, now: float
     ) -> None:
-        """Count a poll without a reply; several in a row mean unresponsive.
+        """Count a poll without a reply; after several, the upstream is unresponsive.
 
         Polls that were sent side by side count once.
         """
@@ -200,7 +200,7 @@
         upstream.next_poll_at = now + UNRESPONSIVE_RETRY_S
         if upstream.responsive:
             self._log_unresponsive(Decision.UPSTREAM_SILENT, upstream, outcome)
-            upstream.last_poll_before_silence = upstream.polls_sent
+            upstream.last_poll_while_responsive = upstream.polls_sent
             upstream.flapping_until = now + FLAPPING_S
         upstream.responsive = False
 
@@ -230,10 +230,10 @@
     def _record_report(
         self, upstream: LeasedUpstream, number: int, report: PollReport, now: float
     ) -> None:
-        if not upstream.responsive and number <= upstream.last_poll_before_silence:
+        if not upstream.responsive and number <= upstream.last_poll_while_responsive:
             # The report shows that the upstream replied before it became unresponsive,
             # not that it does now.
-            self._process_ends(upstream, report, in_time=False, now=now)
+            self._process_ends(upstream, report, is_prompt=False, now=now)
             return
         if not upstream.acquired or not upstream.responsive:
             self._pool.capacity_freed = True
@@ -244,30 +244,30 @@
                 str(upstream.entry.id),
                 runs=len(report.running),
             )
-        elif self._pool.watch.is_watching(now) and not self._pool.watch.is_current(
-            upstream, now
-        ):
+        elif self._pool.poll_schedule.is_watching(
+            now
+        ) and not self._pool.poll_schedule.is_current(upstream, now):
             # A job that was handed over may have waited for this reply.
             self._pool.capacity_freed = True
-        # A missing reply may have reported these ends some time ago.
-        in_time = upstream.consecutive_misses == 0
+        # After a missed poll these ends may be old: its reply may have reported them.
+        is_prompt = upstream.consecutive_misses == 0
         upstream.record_report(number, report, now)
-        self._pool.watch.schedule_idle_poll(upstream, now)
-        self._process_ends(upstream, report, in_time, now)
+        self._pool.poll_schedule.schedule_idle_poll(upstream, now)
+        self._process_ends(upstream, report, is_prompt, now)
         listed = set()
-        for row in report.running:
-            listed.add(row.run)
-            self._process_running(upstream, row, now)
+        for running_run in report.running:
+            listed.add(running_run.run)
+            self._process_running(upstream, running_run, now)
         self._remove_absent(upstream, number, listed, now)
 
     def _process_ends(
-        self, upstream: LeasedUpstream, report: PollReport, in_time: bool, now: float
+        self, upstream: LeasedUpstream, report: PollReport, is_prompt: bool, now: float
     ) -> None:
         for ended in report.ended:
-            self._process_end(upstream, ended, in_time, now)
+            self._process_end(upstream, ended, is_prompt, now)
 
     def _process_end(
-        self, upstream: LeasedUpstream, ended: EndedRun, in_time: bool, now: float
+        self, upstream: LeasedUpstream, ended: EndedRun, is_prompt: bool, now: float
     ) -> None:
         if ended.number <= upstream.last_seen:
             return
@@ -275,33 +275,40 @@
         run = upstream.runs.get(ended.run)
         if run is not None:
             self._pool.release(upstream, run)
-            since = run.since if in_time else None
+            since = run.since if is_prompt else None
             self._pool.owner.run_ended(upstream.entry.id, ended, since, now)
         elif ended.result is RunResult.DONE:
             self._pool.owner.found_done(ended.run.task, now)
 
     def _process_running(
-        self, upstream: LeasedUpstream, row: RunningRun, now: float
+        self, upstream: LeasedUpstream, running_run: RunningRun, now: float
     ) -> None:
-        run = upstream.runs.get(row.run)
+        run = upstream.runs.get(running_run.run)
         if run is not None:
-            run.percent = row.percent
+            run.percent = running_run.percent
             run.reported_at = now
-            self._pool.owner.run_reported(row.run.task)
+            self._pool.owner.run_reported(running_run.run.task)
             if run.phase is RunPhase.UNSURE:
                 run.phase = RunPhase.RUNNING
                 if not run.claimed:
                     self._pool.send_stop(upstream, run, now)
             return
         found_run = Run(
-            row.run, None, RunPhase.RUNNING, now, row.percent, claimed=False
+            running_run.run,
+            None,
+            RunPhase.RUNNING,
+            now,
+            running_run.percent,
+            claimed=False,
         )
         found_run.first_listing_poll = upstream.polls_sent + 1
-        found_run.initial_percent = row.percent
+        found_run.initial_percent = running_run.percent
         self._pool.add(upstream, found_run)
-        job = self._pool.owner.job_of(row.run.task)
-        if job is not None and row.run.task in job.by_name:
-            self._pool.adopt(upstream, found_run, job, job.by_name[row.run.task], now)
+        job = self._pool.owner.job_of(running_run.run.task)
+        if job is not None and running_run.run.task in job.by_name:
+            self._pool.adopt(
+                upstream, found_run, job, job.by_name[running_run.run.task], now
+            )
 
     def _remove_absent(
         self, upstream: LeasedUpstream, number: int, listed: set[RunId], now: float
--- a/jackdawspur/runs/_pool.py
+++ b/jackdawspur/runs/_pool.py
@@ -25,13 +25,13 @@
 __all__ = ["UpstreamPool"]
 
 # A new leader waits this long for the jobs of the runs it finds: it notifies the other
-# hosts at once, and they offer their jobs again within a pass or two.
+# hosts at once, and they offer their jobs again within a pass or two of their loops.
 UNCLAIMED_S = 0.15
-# A run on an upstream that obeys another host may continue until that host stops it.
+# A run on an upstream that obeys another host is stopped by that host within this time.
 FENCED_TIMEOUT_S = 1.5
-MIN_FREE_MILLIS = 1
+MIN_FREE_CPU_MILLIS = 1
 # Polls of all upstreams are answered within some milliseconds; calls that are refused
-# in the meantime were sent before.
+# in the meantime were sent before these polls.
 CONFIRMATION_INTERVAL_S = 0.05
 
 
@@ -46,12 +46,12 @@
         self.log = log
         self.replies = replies
         self.listing = Listing()
-        self.watch = PollSchedule(replies)
+        self.poll_schedule = PollSchedule(replies)
         self.crashes = Crashes()
         self._entries: dict[UpstreamId, UpstreamEntry] = {}
         self._upstreams: dict[UpstreamId, LeasedUpstream] = {}
         self._lease_ids = itertools.count()
-        self._locations: dict[str, list[LeasedUpstream]] = {}
+        self._upstreams_by_task: dict[str, list[LeasedUpstream]] = {}
         self._fence: Fence = 0
         self._is_leader = False
         # Last fences of upstreams that left the list and may come back.
@@ -88,18 +88,18 @@
 
         An unresponsive upstream may obey another leader. So may one that vanished from
         the list, as it may be partitioned from the store and from this host, and one
-        that a host which has just started has not found on its list yet.
+        that is not on the list yet because this host has just started.
         """
         if not self.listing.is_complete(now):
             return False
         return all(
-            u.acquired and u.responsive and self.watch.is_current(u, now)
+            u.acquired and u.responsive and self.poll_schedule.is_current(u, now)
             for u in self._upstreams.values()
         )
 
     def watch_closely(self, now: float) -> None:
         """Poll all upstreams often for a moment, even those without runs."""
-        self.watch.start_watch(self._upstreams.values(), now)
+        self.poll_schedule.start_watch(self._upstreams.values(), now)
 
     @property
     def fenced_since(self) -> float | None:
@@ -125,7 +125,7 @@
         self._is_leader = True
         self._upstreams = {}
         self._fences.clear()
-        self._locations.clear()
+        self._upstreams_by_task.clear()
         for entry in self._entries.values():
             self._lease(entry, now)
 
@@ -133,7 +133,7 @@
         """Release all upstreams."""
         self._is_leader = False
         self._upstreams = {}
-        self._locations.clear()
+        self._upstreams_by_task.clear()
 
     def set_entries(
         self,
@@ -165,9 +165,9 @@
     def require_confirmations(self, now: float) -> None:
         """Prevent all starts until polls show which host is obeyed.
 
-        One refusal as fenced shows that another host leads, which has taken other
-        upstreams too: after a partition had ended, each task of a job was refused by
-        one upstream after the other, dozens of starts in 40 ms.
+        A call that is refused as fenced shows that another host leads, which probably
+        leases other upstreams too. Without this, after a partition had ended, each task
+        of a job was refused by one upstream after the other: dozens of starts in 40 ms.
         """
         if now - self._confirmation_required_at < CONFIRMATION_INTERVAL_S:
             return
@@ -187,7 +187,7 @@
 
     def may_have_run(self, task_name: str) -> bool:
         """Return whether a run of the task may exist."""
-        return task_name in self._locations
+        return task_name in self._upstreams_by_task
 
     def run_of(self, task: Task) -> Run | None:
         """Return the run of a task that uses capacity, if there is one."""
@@ -211,21 +211,21 @@
             and upstream.entry.id in self._entries
             and now >= upstream.backoff_until
             and self.listing.is_known_to_all(upstream.entry.id, now)
-            and upstream.free.cpu_millis >= MIN_FREE_MILLIS
+            and upstream.free.cpu_millis >= MIN_FREE_CPU_MILLIS
         )
 
     def _is_unconfirmed(self, upstream: LeasedUpstream) -> bool:
         """Return whether a start there would probably be lost.
 
         Where replies are often lost, a single loss says little about its upstream:
-        closing it until a poll is answered would close half the capacity.
+        to exclude it until a poll is answered would exclude half the capacity.
         """
         if self.replies.lossy:
             return upstream.consecutive_misses > 1
         return upstream.unconfirmed
 
     def stop(self, task_name: str, now: float) -> None:
-        """Stop the run of a task, once its start is answered if that is still open."""
+        """Stop the runs of a task; one that is starting is stopped after the reply."""
         for upstream, run in self._runs_of(task_name):
             run.claimed = False
             if run.phase in (RunPhase.RUNNING, RunPhase.UNSURE):
@@ -248,7 +248,7 @@
         )
 
     def claim(self, job: Job, now: float) -> None:
-        """Assign to a job the runs of it that an earlier leader started."""
+        """Assign to a job those of its runs that an earlier leader started."""
         for task in job.tasks:
             for upstream, run in self._runs_of(task.name):
                 if not run.claimed:
@@ -273,7 +273,7 @@
         self.log.add(Decision.JOB_ADOPTED, job.id, str(upstream.entry.id))
 
     def stop_replied(self, effect: StopRun, outcome: CallOutcome, now: float) -> None:
-        """Process the outcome of a stop; capacity is free once the end is listed."""
+        """Process the outcome of a stop; the reported end of the run frees capacity."""
         upstream = self.target(effect)
         run = upstream.runs.get(effect.run) if upstream else None
         if run is not None and outcome is CallOutcome.OK:
@@ -329,7 +329,7 @@
     def on_restart(
         self, upstream: LeasedUpstream, incarnation: int, now: float
     ) -> None:
-        """Record that an upstream restarted under its name."""
+        """Record that an upstream restarted under the same name."""
         self.log.add(
             Decision.UPSTREAM_RESTARTED,
             "",
@@ -360,7 +360,7 @@
     def _record_crash(
         self, upstream: LeasedUpstream, now: float, replaced_by: float = math.inf
     ) -> None:
-        """Record the runs of an incarnation that ended; the list may still name it."""
+        """Record the crash of an incarnation, which may still be listed."""
         key = upstream.entry.id
         known = upstream.incarnation is not None or self.crashes.may_have_crashed(key)
         if known and not upstream.entry.draining:
@@ -381,20 +381,20 @@
 
     def add(self, upstream: LeasedUpstream, run: Run) -> None:
         upstream.add_run(run)
-        self._locations.setdefault(run.id.task, []).append(upstream)
+        self._upstreams_by_task.setdefault(run.id.task, []).append(upstream)
 
     def release(self, upstream: LeasedUpstream, run: Run) -> None:
         upstream.remove_run(run)
         self.capacity_freed = True
-        locations = self._locations[run.id.task]
+        locations = self._upstreams_by_task[run.id.task]
         locations.remove(upstream)
         if not locations:
-            del self._locations[run.id.task]
+            del self._upstreams_by_task[run.id.task]
 
     def _runs_of(self, task_name: str) -> list[tuple[LeasedUpstream, Run]]:
         return [
             (upstream, run)
-            for upstream in dict.fromkeys(self._locations.get(task_name, ()))
+            for upstream in dict.fromkeys(self._upstreams_by_task.get(task_name, ()))
             for run in list(upstream.runs.values())
             if run.id.task == task_name
         ]
--- a/jackdawspur/runs/_progress.py
+++ b/jackdawspur/runs/_progress.py
@@ -20,9 +20,9 @@
 MS_PER_S = 1000.0
 # Progress is reported in whole percent: below this it is too little to project from.
 MIN_PERCENT = 8.0
-# After this fraction of its expected time, a run with less progress counts as well.
+# After this fraction of its expected time, a run with less progress is projected too.
 STALLED_FRACTION = 0.5
-# Whole percent are truncated, by half of one on average.
+# Reported progress is truncated to whole percent, by half of one on average.
 ROUNDING_PERCENT = 0.5
 # A projected end counts as late when it exceeds the limit by this fraction plus the
 # fraction that one percent is of the progress so far.
@@ -66,7 +66,7 @@
 
 
 def may_be_late(run: Run, job: Job, expected_ms: float) -> bool:
-    """Return whether a run ends too late if its progress is taken as it is."""
+    """Return whether the projected end of a run, without a margin, is too late."""
     projected = project(run, expected_ms)
     return projected is not None and projected.end > useful_until(job)
 
@@ -85,10 +85,10 @@
 
 
 def judge(run: Run, job: Job, expected_ms: float, restarts: int, now: float) -> Verdict:
-    """Return whether a run should continue, restart elsewhere, or end its job.
+    """Return whether a run should continue, restart elsewhere, or be given up.
 
-    A job that can't end in time is given up at once: its caller can go elsewhere, and
-    its capacity goes to jobs that can.
+    A job that can't end in time is given up at once: its caller can retry elsewhere,
+    and its capacity is used for jobs that can.
     """
     projected = project(run, expected_ms)
     if projected is None:
--- a/jackdawspur/runs/_received_updates.py
+++ b/jackdawspur/runs/_received_updates.py
@@ -14,7 +14,7 @@
 
 # A value that nobody has confirmed for this long counts for half as many tasks.
 HALF_LIFE_S = 60.0
-# Number of upstream incarnations, and of routes, that are kept: the latest ones.
+# Maximum number of upstream incarnations, and of routes; the oldest are evicted.
 MAX_ENTRIES = 1024
 
 
@@ -53,14 +53,14 @@
                 )
 
     def pop_slowdown(self, key: int, now: float) -> tuple[int, float] | None:
-        """Remove and return an incarnation's level, and its number of tasks."""
+        """Remove and return an incarnation's slowdown level and weighted task count."""
         received = self._slowdowns.pop(key, None)
         if received is None:
             return None
         return received.value.level, received.value.tasks * weight(now - received.at)
 
     def routes(self, now: float) -> list[tuple[tuple[str, str], Moments, float]]:
-        """Return the moments of all routes, and how many tasks they count for."""
+        """Return the moments of all routes, and their weighted task counts."""
         return [
             (key, received.value, received.value.count * weight(now - received.at))
             for key, received in self._routes.items()
--- a/jackdawspur/runs/_redirector.py
+++ b/jackdawspur/runs/_redirector.py
@@ -35,7 +35,7 @@
         if remote_leader is None:
             return False
         offer = job.offer
-        self._pool.log.passed_on(job, remote_leader.leader, now)
+        self._pool.log.redirected(job, remote_leader.leader, now)
         self._effects.append(
             RedirectJob(offer.host, offer.call, offer.attempt, job.id, remote_leader)
         )
--- a/jackdawspur/runs/_replies.py
+++ b/jackdawspur/runs/_replies.py
@@ -1,9 +1,10 @@
-"""Reply times of upstreams, and the fraction of replies that are lost."""
+"""Statistics of reply times of upstreams, and of lost replies."""
 
 __all__ = ["Replies"]
 
-# As TCP estimates round trips (RFC 6298): weights of one reply in the smoothed time and
-# in its deviation, and how many deviations above the smoothed time are usual.
+# As TCP estimates round-trip times (RFC 6298): the weights of one reply in the smoothed
+# time and in its deviation, and how many deviations a usual time may exceed the
+# smoothed one by.
 TIME_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
 DEVIATIONS = 4.0
@@ -13,11 +14,12 @@
 # Where replies are often lost, an unnecessary poll costs less than waiting.
 MIN_LOSSY_OVERDUE_S = 0.01
 MAX_TIMEOUT_S = 0.25
-# A call ends after this many times the time that makes its reply overdue: until then it
-# uses a connection, which new calls may need.
+# A call times out after this many times the time after which its reply is overdue.
+# Until then it uses a connection, which new calls may need.
 TIMEOUT_FACTOR = 4.0
-# The lost fraction covers about a hundred replies, which arrive within a second; from
-# LOSSY_FRACTION on, replies are lost on the way and not by single upstreams that fail.
+# The lost fraction is averaged over about a hundred replies, which arrive within a
+# second. From LOSSY_FRACTION on, the network loses replies; single upstreams that fail
+# cause a smaller fraction.
 LOSS_WEIGHT = 1 / 64
 LOSSY_FRACTION = 0.02
 # After a longer gap between two passes this process was paused, and replies that
--- a/jackdawspur/runs/_review.py
+++ b/jackdawspur/runs/_review.py
@@ -18,9 +18,10 @@
 __all__ = ["Review"]
 
 MS_PER_S = 1000.0
-# A single task may well take this many times what its caller declared.
-DECLARED_SAFETY_FACTOR = 1.6
-MAX_DECLARED_FACTOR = 3.0
+# A single task may well take this many times as long as initially expected.
+INITIAL_SAFETY_FACTOR = 1.6
+# What a single task's progress shows counts up to this multiple of that estimate.
+MAX_INITIAL_FACTOR = 3.0
 # Slowdowns are learned to within a tenth or so: a smaller difference is no reason to
 # restart a run.
 MAX_SLOWDOWN_RATIO = 0.87
@@ -50,7 +51,9 @@
                 continue
             healthy_run_ms = self._healthy_run_ms(job, task)
             verdict = judge(run, job, healthy_run_ms, task.restarts, now)
-            if verdict is Verdict.RESTART and self._awaits_peer_reports(job, task, now):
+            if verdict is Verdict.RESTART and self._awaits_other_reports(
+                job, task, now
+            ):
                 continue
             if verdict is Verdict.RESTART or self._should_move(job, task, run, now):
                 self._restart(task, run, healthy_run_ms, now)
@@ -83,7 +86,7 @@
         return restart_meets_deadline(run, job, expected_ms, time_ratio, now)
 
     def log_loss(self, decision: Decision, job: Job, now: float) -> None:
-        """Log the end of a job that nobody waits for or that would be too late."""
+        """Log a job that was dropped by its caller or would end too late."""
         lost = self._losses.analyze(job, now)
         self._log.job_lost(
             decision, job, lost, self._losses.describe_tasks(job, now), now
@@ -103,8 +106,8 @@
         work_ms = known[len(known) // 2]
         if len(known) == 1:
             # Its upstream may be slow instead.
-            declared_ms = job.initial_expected_ms[step]
-            work_ms = min(work_ms, declared_ms * MAX_DECLARED_FACTOR)
+            initial_ms = job.initial_expected_ms[step]
+            work_ms = min(work_ms, initial_ms * MAX_INITIAL_FACTOR)
         job.set_expected_ms(step, work_ms)
 
     def _healthy_run_ms(self, job: Job, task: Task) -> float:
@@ -117,14 +120,14 @@
         known = sorted(filter(None, (self._total_ms(job, t) for t in others)))
         if known:
             return known[len(known) // 2]
-        return job.initial_expected_ms[task.step] * DECLARED_SAFETY_FACTOR
+        return job.initial_expected_ms[task.step] * INITIAL_SAFETY_FACTOR
 
     def _total_ms(self, job: Job, task: Task) -> float | None:
         """Return how long a task takes at a slowdown of 1, None while unknown."""
         known = self._losses.timing(job, task)
         return known and known.total_ms
 
-    def _awaits_peer_reports(self, job: Job, task: Task, now: float) -> bool:
+    def _awaits_other_reports(self, job: Job, task: Task, now: float) -> bool:
         """Return whether other tasks' reports will soon correct the expected time.
 
         All tasks of a job that is longer than declared look slow until others report.
--- a/jackdawspur/runs/_run_owner.py
+++ b/jackdawspur/runs/_run_owner.py
@@ -1,4 +1,4 @@
-"""Interface for what the upstream pool reports about runs."""
+"""Interface to which the upstream pool reports events of runs."""
 
 from typing import Protocol
 
@@ -10,7 +10,7 @@
 
 
 class RunOwner(Protocol):
-    """Receive reports about runs."""
+    """Handle events of runs and upstreams."""
 
     def job_of(self, task_name: str) -> Job | None:
         """Return the open job of a task."""
--- a/jackdawspur/runs/_slowdowns.py
+++ b/jackdawspur/runs/_slowdowns.py
@@ -9,16 +9,18 @@
 
 __all__ = ["Slowdowns"]
 
-# Tasks of one job differ by about 15 %, so about ten of them reveal speeds 25 % apart.
-STEP = 0.1
-# What upstreams with the same labels have in common counts as this many own tasks.
+# Weight of one task in an upstream's log slowdown. Tasks of one job differ by about
+# 15 %, so about ten of them distinguish speeds that are 25 % apart.
+LEARNING_RATE = 0.1
+# The mean of upstreams with the same labels counts as much as this many tasks of the
+# upstream itself.
 PRIOR_TASKS = 2
-# More tasks than this reveal nothing more of an upstream: its latest ones decide.
+# More tasks than this show nothing more of an upstream: its latest ones decide.
 MAX_TASKS = 20
 # An upstream that suddenly takes twice as long counts as slow at once: it has become
 # slow, and each further job that it gets would be late.
 SUDDEN_CHANGE = math.log(2.0)
-SUDDEN_CHANGE_STEP = 0.6
+SUDDEN_CHANGE_RATE = 0.6
 MAX_LOG_SLOWDOWN = math.log(20.0)
 MIN_LOG_SLOWDOWN = math.log(0.5)
 # A log slowdown in one byte: 1.5 % per level.
@@ -37,10 +39,10 @@
         # By upstream: its own log slowdown, and the number of tasks behind it.
         self._measured: dict[UpstreamId, float] = {}
         self._samples: dict[UpstreamId, int] = {}
-        # Those of these tasks that ran under the current incarnation.
+        # The number of these tasks that ran under the current incarnation.
         self._current_samples: dict[UpstreamId, int] = {}
-        # Log slowdowns that an earlier leader sent; it knew more than the labels
-        # reveal.
+        # Log slowdowns that an earlier leader sent. They replace those that labels
+        # predict, since that leader had more data.
         self._reported: dict[UpstreamId, float] = {}
         self._label_stats = LabelStats()
 
@@ -108,8 +110,8 @@
             (upstream, math.log(max(1.0, ms)), self._log_slowdown(upstream))
             for upstream, ms in times_ms
         ]
-        work = sorted(log - log_slowdown for _, log, log_slowdown in logs)
-        median_log = work[(len(work) - 1) // 2]
+        log_work = sorted(log - log_slowdown for _, log, log_slowdown in logs)
+        median_log = log_work[(len(log_work) - 1) // 2]
         for upstream, log, log_slowdown in logs:
             if upstream in self._measured:
                 self._update(upstream, log - median_log, log_slowdown)
@@ -134,17 +136,17 @@
         self, upstream: UpstreamId, observed: float, log_slowdown: float
     ) -> None:
         sample_count = self._samples[upstream]
-        step = max(STEP, 1.0 / (sample_count + 1))
+        rate = max(LEARNING_RATE, 1.0 / (sample_count + 1))
         if abs(observed - log_slowdown) > SUDDEN_CHANGE:
-            # As the first sample, a single doubtful task would otherwise count in full.
-            step = max(STEP, SUDDEN_CHANGE_STEP)
+            # An outlier that is the first sample would otherwise count in full.
+            rate = max(LEARNING_RATE, SUDDEN_CHANGE_RATE)
             self._samples[upstream] = MAX_TASKS
         else:
             self._samples[upstream] = min(MAX_TASKS, sample_count + 1)
         self._current_samples[upstream] = min(
             MAX_TASKS, self._current_samples[upstream] + 1
         )
-        self._measured[upstream] += step * (observed - self._measured[upstream])
+        self._measured[upstream] += rate * (observed - self._measured[upstream])
 
     def _centre(self) -> None:
         """Keep the median slowdown at one.
--- a/jackdawspur/runs/_started_jobs.py
+++ b/jackdawspur/runs/_started_jobs.py
@@ -10,7 +10,7 @@
 
 
 class StartedJobs:
-    """Remember started jobs while a caller may wait for them or send them again.
+    """Track started jobs while a caller may wait for them or send them again.
 
     A started job is never refused as not run, even after a change of leader.
     """
--- a/jackdawspur/runs/_starts.py
+++ b/jackdawspur/runs/_starts.py
@@ -67,11 +67,11 @@
             else None
         )
 
-    def settle_overdue(self, now: float) -> None:
+    def resolve_overdue(self, now: float) -> None:
         """Resolve the starts whose replies are overdue.
 
-        Waiting for the call's own timeout would make each lost reply a late job: a poll
-        shows within milliseconds whether the run exists.
+        A poll shows within milliseconds whether the run exists. With a wait for the
+        call's own timeout, each lost reply would make a job late.
         """
         overdue_s = self._replies.overdue_s
         while self._open_starts and self._open_starts[0].at + overdue_s <= now:
--- a/jackdawspur/runs/_types.py
+++ b/jackdawspur/runs/_types.py
@@ -1,4 +1,4 @@
-"""Jobs as hosts hand them to each other."""
+"""Jobs, offers and outcomes that hosts send to each other."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -23,9 +23,9 @@
 class Route:
     """How the jobs of one queue are run; times in milliseconds.
 
-    A job is on time within `stretch` times its longest chain of work plus `margin_ms`.
-    A task that failed `max_attempts` times fails its job. `timeout_ms`, None if not
-    given, is how long callers wait that state no time themselves.
+    A job is on time if it ends within `stretch` times its critical path plus
+    `margin_ms` after its arrival. A task that failed `max_attempts` times fails its
+    job. `timeout_ms`, None if not given, is the timeout of callers that state none.
     """
 
     name: str
@@ -48,8 +48,9 @@
 class JobStep:
     """A number of equal tasks; `after` lists the steps that must be done first.
 
-    `label` must be one of the upstream's labels, `near` is a preferred one. If
-    `most_per_upstream` is zero, there is no limit.
+    Upstreams must have the label `label`, and those with the label `near` are
+    preferred. `most_per_upstream` limits the tasks of the step that one upstream runs
+    at the same time; zero means no limit.
     """
 
     count: int
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskFailureCounts:
-    """How often a task failed, and how many upstreams crashed under it."""
+    """How often a task failed, and how many upstreams crashed while they ran it."""
 
     task: str
     failures: int
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """What the next leader must know of a job's tasks."""
+    """State of a job's tasks for the next leader: done tasks, and failure counts."""
 
     done: tuple[str, ...] = ()
     troubles: tuple[TaskFailureCounts, ...] = ()
@@ -128,7 +129,7 @@
 class JobOutcome:
     """Outcome of a job for its caller; `not_run` is true if no task was started.
 
-    `retry_after_s` is when to retry, zero where a retry makes no sense.
+    `retry_after_s` is the wait before a retry, zero if a retry makes no sense.
     """
 
     end: JobEnd
--- a/jackdawspur/runs/_update_sender.py
+++ b/jackdawspur/runs/_update_sender.py
@@ -30,7 +30,7 @@
 
 
 class UpdateSender:
-    """Choose what changed or was sent long ago, the oldest first."""
+    """Choose the values that changed or were sent long ago, the oldest first."""
 
     def __init__(self) -> None:
         self._sent: dict[int | tuple[str, str], tuple[_Value, float]] = {}
@@ -80,7 +80,7 @@
         return [value for _, value in due]
 
     def _forget_old(self, now: float) -> None:
-        """Remove what was not sent for long, since it is no longer known or of use."""
+        """Remove values that were not sent for long: they are not known any more."""
         old = [key for key, (_, at) in self._sent.items() if now - at > 6 * RESEND_S]
         for key in old:
             del self._sent[key]
@@ -101,5 +101,5 @@
 
 
 def _has_enough_new_tasks(last: int, tasks: int, max_tasks: int) -> bool:
-    """Return whether a value has twice as many tasks, or the first time enough."""
+    """Return whether a value's task count doubled, or newly reached the maximum."""
     return tasks > last and (tasks >= 2 * last or tasks >= max_tasks)
--- a/jackdawspur/runs/_upstream_choice.py
+++ b/jackdawspur/runs/_upstream_choice.py
@@ -8,7 +8,7 @@
 from jackdawspur.leases import LeasedUpstream, Resources
 from jackdawspur.runs._estimates import Estimates
 from jackdawspur.runs._job import Job, Task
-from jackdawspur.runs._order import Standing, objective, standing, useful_until
+from jackdawspur.runs._order import Timeliness, objective, timeliness, useful_until
 
 __all__ = [
     "FastUpstreams",
@@ -21,21 +21,21 @@
 
 # A task takes about this many times as long away from the rack that it prefers.
 REMOTE_FACTOR = 2.0
-# Tasks take up to this many times as long as expected, one in a hundred: a task that
-# would still end within its caller's time then is safe. Being late by a little costs
-# less, so a smaller factor is enough for the objective.
+# One task in a hundred takes this many times as long as expected: a task that would
+# still meet its caller's deadline then is safe. An answer that misses the objective by
+# a little costs less, so a smaller factor is enough there.
 DEADLINE_SAFETY_FACTOR = 3.0
 OBJECTIVE_SAFETY_FACTOR = 1.2
-# A job that misses its caller's time has run for nothing, and estimates are off by
+# A job that misses its caller's deadline has run for nothing, and estimates are off by
 # half: it uses a slow upstream only if it would be in time even when it took this many
-# times as long.
+# times as long as expected.
 LIMIT_SAFETY_FACTOR = 1.5
-# One upstream in this many counts as fast: enough of them that capacity on one becomes
-# free soon.
+# One upstream in this many counts as fast, so that capacity on one of them becomes free
+# soon.
 FAST_DIVISOR = 4
-# Placement is tried again after this at the latest. A job that would be given up at
-# that point uses what capacity there is: estimates are off by half, and it may well be
-# shorter.
+# Placement is tried again after this time at the latest. A job that would be given up
+# at that point starts on a slow upstream instead: estimates are off by half, and it may
+# well be shorter.
 PLACEMENT_RETRY_S = 0.05
 # Slowdowns within this factor count as the same, so that packing decides.
 SAME_LOG_SLOWDOWN = 0.15
@@ -53,7 +53,7 @@
     estimates: Estimates,
     now: float,
 ) -> LeasedUpstream | None:
-    """Return the upstream that suits the task best, the fullest among equals.
+    """Return the best upstream for the task, the fullest among equal ones.
 
     A task that has time gets the slowest upstream that is safe for it, which leaves the
     fast ones to tasks that would be late elsewhere. Upstreams that were unresponsive
@@ -91,14 +91,14 @@
     by_service: dict[str, list[tuple[float, Resources]]] = {}
     for upstream in upstreams:
         if upstream.responsive and not upstream.entry.draining:
-            entry = (estimates.slowdown(upstream.entry.id), upstream.entry.capacity)
-            by_service.setdefault(upstream.entry.service, []).append(entry)
-    return {service: _fastest(known) for service, known in by_service.items()}
+            candidate = (estimates.slowdown(upstream.entry.id), upstream.entry.capacity)
+            by_service.setdefault(upstream.entry.service, []).append(candidate)
+    return {service: _fastest(candidates) for service, candidates in by_service.items()}
 
 
-def _fastest(known: list[tuple[float, Resources]]) -> FastUpstreams:
-    known.sort(key=itemgetter(0))
-    fast = known[: len(known) // FAST_DIVISOR + 1]
+def _fastest(candidates: list[tuple[float, Resources]]) -> FastUpstreams:
+    candidates.sort(key=itemgetter(0))
+    fast = candidates[: len(candidates) // FAST_DIVISOR + 1]
     capacities = [capacity for _, capacity in fast]
     smallest = Resources(
         min(capacity.cpu_millis for capacity in capacities),
@@ -118,12 +118,12 @@
     At times all capacity of fast upstreams is used, and a long task that then starts on
     a slow one is given up when its progress shows that it will be too late. Capacity of
     a fast one mostly becomes free within milliseconds. The wait ends when the task
-    would no longer be in time on a fast one either, and before its job would be refused
-    for the wait.
+    would be too late even on a fast one, and before its job would be refused because of
+    the wait.
     """
     if not is_slow(slowdown, fast) or not _fits_any_fast(task, fast):
         return False
-    if standing(job, now + PLACEMENT_RETRY_S) is Standing.HOPELESS:
+    if timeliness(job, now + PLACEMENT_RETRY_S) is Timeliness.HOPELESS:
         return False
     expected_s = job.expected_ms[task.step] / MS_PER_S
     limits = ((objective(job), 1.0), (useful_until(job), LIMIT_SAFETY_FACTOR))
@@ -144,7 +144,7 @@
     """Return whether a job may well be too late on slow upstreams."""
     if fast is None:
         return False
-    slow_s = job.left_ms() / MS_PER_S * fast.slowdown * SLOW_FACTOR
+    slow_s = job.remaining_ms() / MS_PER_S * fast.slowdown * SLOW_FACTOR
     return now + slow_s * LIMIT_SAFETY_FACTOR > useful_until(job)
 
 
@@ -197,8 +197,8 @@
     left = upstream.free.cpu_millis - task.spec.resources.cpu_millis
     rank = round(math.log(slowdown) / SAME_LOG_SLOWDOWN)
     safe = slowdown * (REMOTE_FACTOR if remote else 1.0) <= max_slowdown
-    # Away from its data a task uses capacity for longer, even if it has the time. A
-    # task without spare time avoids upstreams with few samples.
+    # Away from the rack that it prefers, a task uses capacity for longer, even if it is
+    # safe. A task that is not safe anywhere avoids upstreams with few samples.
     if safe:
         return (False, remote, -rank, 0, left)
     return (True, remote, rank, -samples, left)
--- a/jackdawspur/runs/tests/test_overdue_starts.py
+++ b/jackdawspur/runs/tests/test_overdue_starts.py
@@ -17,5 +17,5 @@
     run = Run(RunId("t", 1), None, RunPhase.STARTING, STARTED_AT)
     upstream = SimpleNamespace(runs={run.id: run})
     starts._open_starts.append(_OpenStart(STARTED_AT, upstream, run))
-    starts.settle_overdue(starts.overdue_at)
+    starts.resolve_overdue(starts.overdue_at)
     assert settled == [run]
