--- a/jackdawspur/leases/_fence.py
+++ b/jackdawspur/leases/_fence.py
@@ -4,8 +4,9 @@
 
 __all__ = ["FENCE_STEP", "Fence", "next_fence"]
 
-# A token holds milliseconds since 2020 (40 bits), a hash of the host (10 bits) and the
-# holder's own increments (12 bits): 62 bits in all, which upstreams store exactly.
+# A token consists of milliseconds since 2020 (40 bits), a hash of the host (10 bits),
+# and the host's own increments, by `raise_fence` (12 bits). Upstreams store its 62 bits
+# exactly.
 EPOCH_MS = 1_577_836_800_000
 HOST_BITS = 10
 STEP_BITS = 12
--- a/jackdawspur/leases/_leased_upstream.py
+++ b/jackdawspur/leases/_leased_upstream.py
@@ -33,7 +33,8 @@
 class Run:
     """A run that uses capacity; `resources` is None when unknown.
 
-    `first_listing_poll` is the number of the first poll whose reply must list the run.
+    `first_listing_poll` is the number of the first poll whose reply must list the run,
+    0 if unknown. `claimed` tells whether an open job of this leader owns the run.
     """
 
     id: RunId
@@ -57,22 +58,24 @@
     """
 
     def __init__(
-        self, entry: UpstreamEntry, fence: Fence, number: int, now: float
+        self, entry: UpstreamEntry, fence: Fence, lease_id: int, now: float
     ) -> None:
         self._entry = entry
         self.fence = fence
-        self.lease_id = number
-        # None until a report names it; `_incarnation_poll` is the last poll that was
-        # sent before that.
+        self.lease_id = lease_id
+        # None until a report states it; `_incarnation_poll` is the last poll that was
+        # sent before that report.
         self.incarnation: int | None = None
         self._incarnation_poll = 0
         self.runs: dict[RunId, Run] = {}
+        # Number of the last ended run that was reported.
         self.last_seen = 0
         self.last_reply_at = now
+        # Since when at least one poll has been open without interruption.
         self.polled_since = now
         self.polls_sent = 0
-        # Maps the number of each pending poll to when it is overdue; then the overdue
-        # polls whose calls are still open.
+        # Pending polls by number, with the times from which they are overdue, and the
+        # overdue polls whose calls are still open.
         self.pending_polls: dict[int, float] = {}
         self.overdue_polls: set[int] = set()
         # No poll is overdue before this time.
@@ -84,6 +87,8 @@
         self.last_poll_while_responsive = 0
         self.flapping_until = now
         self.last_answered_poll = 0
+        # First poll whose reply shows that the upstream obeys this host's fence, and
+        # whether it, or a later one, was answered.
         self.confirming_poll = 0
         self.acquired = False
         self.responsive = True
@@ -127,7 +132,7 @@
     def unconfirmed(self) -> bool:
         """Return whether a poll is overdue or a confirming poll is pending.
 
-        A call sent now may be lost as well.
+        A call sent in the meantime may be lost as well.
         """
         return (
             self.consecutive_misses > 0
@@ -198,8 +203,9 @@
     def is_from_earlier_incarnation(self, poll: int, incarnation: int) -> bool:
         """Return whether a report is from an earlier incarnation of the upstream.
 
-        A poll sent after the incarnation was known can't reach an earlier one, whatever
-        the time of day was when that one started.
+        Incarnations are start times on the upstream's wall clock, so a lower one alone
+        is no proof. A poll sent after the incarnation was known can't reach an earlier
+        one.
         """
         return poll <= self._incarnation_poll and incarnation < (self.incarnation or 0)
 
@@ -254,7 +260,8 @@
         self.fenced_since = None
         self.last_reply_at = now
         if self._lease_unknown:
-            # A start sent to the earlier incarnation gave a time on that one's clock.
+            # A start that reached this incarnation may state its lease on the clock of
+            # the earlier one; upstreams shorten it to MAX_LEASE_S.
             self._lease_unknown = False
             self._lease_until_ms = report.clock_ms + int(MAX_LEASE_S * MS_PER_S)
         if self._clock_ms is None or report.clock_ms >= self._clock_ms:
@@ -264,7 +271,7 @@
             self.acquired = True
 
     def leases_expired(self, now: float) -> bool:
-        """Return whether all leases must have expired, with or without replies."""
+        """Return whether all leases must have expired, even if no poll was answered."""
         if self._clock_ms is None:
             max_lease_s = LEASE_S * (1.0 + CLOCK_DRIFT) + LEASE_S
             return now - self.polled_since > max_lease_s
--- a/jackdawspur/leases/_resources.py
+++ b/jackdawspur/leases/_resources.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """Processor time in thousandths of a core, memory in MB, and accelerators."""
+    """Processor capacity in thousandths of a core, memory in MB, and accelerators."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
--- a/jackdawspur/leases/_types.py
+++ b/jackdawspur/leases/_types.py
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """A run that ended; `number` counts ended runs of one incarnation."""
+    """A run that ended; `number` is its position among those of one incarnation."""
 
     number: int
     run: RunId
@@ -75,7 +75,8 @@
 class PollReport:
     """Report of all runs of an upstream; `clock_ms` is its monotonic clock.
 
-    `incarnation` identifies the start of the upstream that reports, 0 if unknown.
+    `incarnation` is the time when the upstream started, in milliseconds since 1970, 0
+    if unknown.
     """
 
     clock_ms: int
