--- a/jackdawspur/leases/_leased_upstream.py
+++ b/jackdawspur/leases/_leased_upstream.py
@@ -31,8 +31,9 @@
 
 @dataclass(eq=False, slots=True)
 class Run:
-    """A run that uses capacity; `resources` is None when unknown.
+    """A run that uses capacity; `resources` is None if unknown.
 
+    `since` is when its start was sent, or it was found; then when its stop was sent.
     `first_listing_poll` is the number of the first poll whose reply must list the run,
     0 if unknown. `claimed` tells whether an open job of this leader owns the run.
     """
@@ -92,8 +93,10 @@
         self.confirming_poll = 0
         self.acquired = False
         self.responsive = True
+        # No start is sent before this time.
         self.backoff_until = 0.0
         self.next_poll_at = now
+        # Until then no poll is needed while nothing runs.
         self.idle_until = now
         self.fenced_since: float | None = None
         self._used = NO_RESOURCES
--- a/jackdawspur/runs/_dispatcher.py
+++ b/jackdawspur/runs/_dispatcher.py
@@ -119,7 +119,7 @@
         self.is_leader = True
         self._estimates.start_leading(now)
         self._pool.lease_all(fence, now)
-        self._estimates.forget_running(u.entry.id for u in self._pool.upstreams)
+        self._estimates.reset_health(u.entry.id for u in self._pool.upstreams)
 
     def stop_leading(self, now: float) -> None:
         """Give up all jobs and upstreams; the next leader takes them over."""
--- a/jackdawspur/runs/_estimates.py
+++ b/jackdawspur/runs/_estimates.py
@@ -56,8 +56,8 @@
             if upstream in self._incarnation_keys
         }
 
-    def forget_running(self, upstreams: Iterable[UpstreamId]) -> None:
-        """Reset the upstreams' health: runs of an earlier term are not counted here.
+    def reset_health(self, upstreams: Iterable[UpstreamId]) -> None:
+        """Reset the upstreams' health, which counts the runs of an earlier term.
 
         Starts whose ends were reported to another host would stay counted and block a
         suspect upstream forever, since it gets one task at a time.
@@ -173,7 +173,7 @@
         since: float | None,
         now: float,
     ) -> None:
-        """Learn from the end of a run; `since` is None when it was reported late."""
+        """Learn from the end of a run; `since` is its start, None if reported late."""
         if (
             job is None
             or task is None
--- a/jackdawspur/runs/_job.py
+++ b/jackdawspur/runs/_job.py
@@ -33,7 +33,9 @@
     """A task of a job; `run` is the number of its last run.
 
     `first_started_at` is when its first run under this leader started to use capacity,
-    and `first_run_number` is the number of that run.
+    and `first_run_number` is the number of that run. `adopted` tells whether this
+    leader took over a run from an earlier one, and `avoid` contains the upstreams on
+    which a run was too slow.
     """
 
     name: str
--- a/jackdawspur/runs/_run_owner.py
+++ b/jackdawspur/runs/_run_owner.py
@@ -18,7 +18,7 @@
     def run_ended(
         self, upstream: UpstreamId, ended: EndedRun, since: float | None, now: float
     ) -> None:
-        """Process the end of a run; `since` is None when it was reported late."""
+        """Process the end of a run; `since` is its start, None if reported late."""
 
     def found_done(self, task_name: str, now: float) -> None:
         """Record that a run of an earlier leader ended successfully."""
--- a/jackdawspur/runs/_upstream_choice.py
+++ b/jackdawspur/runs/_upstream_choice.py
@@ -19,7 +19,7 @@
     "needs_fast_upstream",
 ]
 
-# A task takes about this many times as long away from the rack that it prefers.
+# A task takes about this many times as long outside the rack that it prefers.
 REMOTE_FACTOR = 2.0
 # One task in a hundred takes this many times as long as expected: a task that would
 # still meet its caller's deadline then is safe. An answer that misses the objective by
@@ -197,7 +197,7 @@
     left = upstream.free.cpu_millis - task.spec.resources.cpu_millis
     rank = round(math.log(slowdown) / SAME_LOG_SLOWDOWN)
     safe = slowdown * (REMOTE_FACTOR if remote else 1.0) <= max_slowdown
-    # Away from the rack that it prefers, a task uses capacity for longer, even if it is
+    # Outside the rack that it prefers, a task uses capacity for longer, even if it is
     # safe. A task that is not safe anywhere avoids upstreams with few samples.
     if safe:
         return (False, remote, -rank, 0, left)
