--- a/jackdawspur/runs/tests/conftest.py
+++ b/jackdawspur/runs/tests/conftest.py
@@ -31,8 +31,8 @@
 
 ROUTE = Route("r", "h", "/q/", "roster", 1500.0, 60.0, 1.6, 0, 3)
 LONG_TIMEOUT = replace(ROUTE, timeout_ms=5000.0, margin_ms=3000.0)
-TASK = Resources(14_000, 64, 0)
-UPSTREAM = Resources(32_000, 131_072, 0)
+TASK_RESOURCES = Resources(14_000, 64, 0)
+UPSTREAM_CAPACITY = Resources(32_000, 131_072, 0)
 FENCE = 1 << 40
 TASK_MS = 200
 NEARLY_DONE = 95.0
@@ -41,10 +41,10 @@
 
 @dataclass
 class FakeUpstream:
-    """Upstream whose runs end, and whose calls are answered, as a test decides.
+    """Upstream whose runs end only when a test ends them.
 
-    Runs report the progress of tasks of 200 ms that never quite end, unless a test sets
-    their percentage.
+    Runs report progress as tasks of 200 ms do, but never 100 percent, unless a test
+    sets their percentage.
     """
 
     id: UpstreamId
@@ -107,10 +107,12 @@
 
     def entry(self, upstream: UpstreamId, draining: bool = False) -> UpstreamEntry:
         """Return an upstream's entry in the list."""
-        return UpstreamEntry(upstream, "roster", "127.0.0.1:1", UPSTREAM, (), draining)
+        return UpstreamEntry(
+            upstream, "roster", "127.0.0.1:1", UPSTREAM_CAPACITY, (), draining
+        )
 
     def lead(self, fence: int = FENCE) -> None:
-        """Start to lead, and lease all upstreams that reply."""
+        """Start a term, and lease all upstreams that reply."""
         self.dispatcher.start_leading(fence, self.now)
         self.settle()
 
@@ -124,7 +126,9 @@
         **changes,
     ) -> None:
         """Offer a job of equal tasks, at most `max_per_upstream` on one upstream."""
-        step = JobStep(tasks, TASK, task_ms, most_per_upstream=max_per_upstream)
+        step = JobStep(
+            tasks, TASK_RESOURCES, task_ms, most_per_upstream=max_per_upstream
+        )
         request = JobRequest(job, "spec", (step,), route)
         values = {"host": "h2", "call": 1, "arrived": self.now}
         values["deadline"] = self.now + 1.5
@@ -161,7 +165,7 @@
             self.settle(2)
 
     def lose_start(self, carried_out: bool) -> StartRun:
-        """Let the oldest open start end without a reply."""
+        """Let the oldest open start time out, carried out by its upstream or not."""
         effect = self.starts.pop(0)
         if carried_out:
             self.upstreams[effect.upstream].running[effect.run.task] = effect.run.number
--- a/jackdawspur/runs/tests/test_admission.py
+++ b/jackdawspur/runs/tests/test_admission.py
@@ -1,9 +1,9 @@
 """Overload: many callers send jobs at the same time, for seconds.
 
-The load is twice the work that all upstreams can do, as after a power failure, when all
-callers come back within a second, or in a burst. Two upstreams have capacity for four
-tasks of 0.2 s, which is 20 tasks per second; an answer is on time within 1.6 times its
-work plus 60 ms, and useful within three times that.
+The load is twice the work that all upstreams can do, as in a burst, or after a power
+failure, when all callers reconnect within a second. Two upstreams have capacity for
+four tasks of 0.2 s, which is 20 tasks per second; an answer is on time within 1.6 times
+its work plus 60 ms, and useful within three times that.
 """
 
 from jackdawspur.runs import JobEnd
@@ -39,8 +39,8 @@
         leader.offer(f"{number:02x}", call=number)
     serve(leader, TWO_TICKS_S)
     refused = [a.job for a in leader.answers if a.outcome.end is JobEnd.REFUSED]
-    # Useful within 1.1 s: twenty tasks per second, and those that run in four places at
-    # that time.
+    # Answers are useful within 1.1 s. In that time, upstreams complete twenty tasks per
+    # second, and four more tasks still run at its end.
     assert JOBS - 28 <= len(refused) <= JOBS - 16
     assert all(
         a.outcome.not_run and a.outcome.retry_after_s > 0 for a in leader.answers
--- a/jackdawspur/runs/tests/test_arrivals.py
+++ b/jackdawspur/runs/tests/test_arrivals.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jackdawspur.runs import JobRequest, JobStep, Offer, RemoteLeader, SpareCapacity
-from jackdawspur.runs.tests.conftest import FENCE, LONG_TIMEOUT, TASK, Leader
+from jackdawspur.runs.tests.conftest import FENCE, LONG_TIMEOUT, TASK_RESOURCES, Leader
 
 TIMEOUT_S = 1.545
 TICK_S = 0.025
@@ -13,8 +13,8 @@
 
 
 def offer_long_job(leader: Leader, estimate_ms: float, tasks: int) -> None:
-    """Offer a job that its caller expects to take nearly all of the caller's time."""
-    step = JobStep(tasks, TASK, estimate_ms)
+    """Offer a job that is expected to take nearly all time until its deadline."""
+    step = JobStep(tasks, TASK_RESOURCES, estimate_ms)
     request = JobRequest("aa", "spec", (step,), LONG_TIMEOUT)
     offer = Offer(request, "h2", 1, leader.now, leader.now + TIMEOUT_S)
     leader.dispatcher.offer(offer, leader.now)
--- a/jackdawspur/runs/tests/test_crashes.py
+++ b/jackdawspur/runs/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""A job whose task crashes upstreams is given up; tasks beside it continue."""
+"""A job whose task crashes upstreams is given up; other jobs there continue."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, Leader
 
 UPSTREAM_IDS = [UpstreamId("z1", f"u{n}") for n in range(8)]
-BAD, GOOD, OTHER = "bad.0.0.0", "good.0.0.0", "good.0.0.1"
+CRASHING, HEALTHY, OTHER = "bad.0.0.0", "good.0.0.0", "good.0.0.1"
 # Longer than a lease and the polls before it expires.
 EXPIRY_S = 1.2
 
@@ -26,47 +26,47 @@
 
 
 def test_a_task_is_given_up_after_two_crashes(crashes: Crashes):
-    crashes.record_crash(UPSTREAM_IDS[0], {BAD, GOOD}, 1.0)
-    assert not gives_up(crashes, BAD)
-    crashes.record_crash(UPSTREAM_IDS[1], {BAD, OTHER}, 9.0)
-    assert gives_up(crashes, BAD)
-    assert not gives_up(crashes, GOOD, OTHER)
+    crashes.record_crash(UPSTREAM_IDS[0], {CRASHING, HEALTHY}, 1.0)
+    assert not gives_up(crashes, CRASHING)
+    crashes.record_crash(UPSTREAM_IDS[1], {CRASHING, OTHER}, 9.0)
+    assert gives_up(crashes, CRASHING)
+    assert not gives_up(crashes, HEALTHY, OTHER)
 
 
 def test_two_crashes_of_one_upstream_count_twice(crashes: Crashes):
     # Guards against a task that crashes the same upstream repeatedly.
     for time_s in (1.0, 9.0):
-        crashes.record_crash(UPSTREAM_IDS[0], {BAD}, time_s)
-    assert gives_up(crashes, BAD)
+        crashes.record_crash(UPSTREAM_IDS[0], {CRASHING}, time_s)
+    assert gives_up(crashes, CRASHING)
 
 
 def test_an_upstream_that_replies_again_did_not_crash(crashes: Crashes):
     # Guards against failing a job for crashes that happened before its starts arrived.
     for number in range(3):
-        crashes.record_loss(UPSTREAM_IDS[number], {GOOD}, 5.0 * number)
+        crashes.record_loss(UPSTREAM_IDS[number], {HEALTHY}, 5.0 * number)
         crashes.record_reply(UPSTREAM_IDS[number])
-    assert not gives_up(crashes, GOOD)
-    assert not crashes.must_wait(GOOD)
+    assert not gives_up(crashes, HEALTHY)
+    assert not crashes.must_wait(HEALTHY)
 
 
 def test_an_unresponsive_upstream_crashed_if_its_incarnation_changes(
     crashes: Crashes,
 ):
-    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 1.0)
-    crashes.record_loss(UPSTREAM_IDS[1], {BAD}, 3.0)
-    assert not gives_up(crashes, BAD)
-    assert crashes.must_wait(BAD)
+    crashes.record_loss(UPSTREAM_IDS[0], {CRASHING}, 1.0)
+    crashes.record_loss(UPSTREAM_IDS[1], {CRASHING}, 3.0)
+    assert not gives_up(crashes, CRASHING)
+    assert crashes.must_wait(CRASHING)
     for upstream_id in UPSTREAM_IDS[:2]:
         crashes.record_crash(upstream_id, (), 6.0)
-    assert gives_up(crashes, BAD)
+    assert gives_up(crashes, CRASHING)
 
 
 def test_a_lost_rack_is_attributed_to_no_task(crashes: Crashes):
     # Guards against failing jobs that lost two upstreams together with a rack.
     for number, upstream_id in enumerate(UPSTREAM_IDS[:4]):
-        tasks = {f"j{number}.0.0.0", *([GOOD] if number % 2 else [])}
+        tasks = {f"j{number}.0.0.0", *([HEALTHY] if number % 2 else [])}
         crashes.record_crash(upstream_id, tasks, 1.0 + 0.2 * number)
-    assert not gives_up(crashes, GOOD)
+    assert not gives_up(crashes, HEALTHY)
 
 
 def test_a_job_that_crashes_many_upstreams_at_once_is_given_up(crashes: Crashes):
@@ -79,22 +79,22 @@
 
 
 def test_old_crashes_are_removed(crashes: Crashes):
-    crashes.record_crash(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.record_crash(UPSTREAM_IDS[0], {CRASHING}, 1.0)
     crashes.forget_old(1.0 + LOSS_TTL_S)
-    assert not crashes.is_suspect(BAD)
+    assert not crashes.is_suspect(CRASHING)
 
 
 def test_an_upstream_lost_long_ago_may_reply(crashes: Crashes):
-    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.record_loss(UPSTREAM_IDS[0], {CRASHING}, 1.0)
     crashes.forget_old(1.0 + LOSS_TTL_S)
     crashes.record_reply(UPSTREAM_IDS[0])
-    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 2.0 + LOSS_TTL_S)
-    assert crashes.is_suspect(BAD)
+    crashes.record_loss(UPSTREAM_IDS[0], {CRASHING}, 2.0 + LOSS_TTL_S)
+    assert crashes.is_suspect(CRASHING)
 
 
 def test_upstreams_that_never_reply_again_are_removed(crashes: Crashes):
     # Guards against state that grows with each upstream that is replaced.
-    crashes.record_loss(UPSTREAM_IDS[0], {BAD}, 1.0)
+    crashes.record_loss(UPSTREAM_IDS[0], {CRASHING}, 1.0)
     assert crashes.may_have_crashed(UPSTREAM_IDS[0])
     crashes.forget_old(1.0 + LOSS_TTL_S)
     assert not crashes.may_have_crashed(UPSTREAM_IDS[0])
@@ -111,13 +111,13 @@
 
 @pytest.fixture
 def crashed_twice() -> Leader:
-    """Return a leader on which two upstreams crashed under the same task."""
+    """Return a leader of which two upstreams crashed while running the same task."""
     leader = Leader(upstreams=4)
     leader.lead()
     leader.offer("bad", route=LONG_TIMEOUT, deadline=leader.now + 20.0)
     leader.settle()
     for _ in range(2):
-        crash(leader, BAD)
+        crash(leader, CRASHING)
         leader.advance(0.05)
     return leader
 
@@ -129,7 +129,7 @@
     (answer,) = crashed_twice.answers
     assert answer.outcome.end is JobEnd.FAILED
     assert not answer.outcome.not_run
-    assert BAD in answer.outcome.reason
+    assert CRASHING in answer.outcome.reason
     assert not crashed_twice.running()
 
 
@@ -149,19 +149,19 @@
     for job in ("bad", "good"):
         leader.offer(job, route=LONG_TIMEOUT, deadline=leader.now + 20.0)
         leader.settle()
-    assert leader.running()[BAD] == leader.running()[GOOD]
-    crash(leader, BAD)
+    assert leader.running()[CRASHING] == leader.running()[HEALTHY]
+    crash(leader, CRASHING)
     leader.settle()
     leader.advance(0.05)
-    assert leader.running()[BAD] != leader.running()[GOOD]
+    assert leader.running()[CRASHING] != leader.running()[HEALTHY]
 
 
 def test_failures_of_a_task_are_kept_on_handover():
     # Guards against an unlimited number of attempts while hosts are restarted in turn.
     leader = Leader(upstreams=1)
     leader.lead()
-    troubles = (TaskFailureCounts("aa.0.0.0", 2, 0),)
-    leader.offer("aa", handovers=1, progress=Progress((), troubles))
+    failure_counts = (TaskFailureCounts("aa.0.0.0", 2, 0),)
+    leader.offer("aa", handovers=1, progress=Progress((), failure_counts))
     leader.settle()
     leader.upstreams[UPSTREAM_IDS[0]].end("aa.0.0.0", RunResult.FAILED)
     leader.settle()
@@ -172,7 +172,7 @@
 def test_crashes_under_a_task_are_kept_on_handover():
     leader = Leader(upstreams=2)
     leader.lead()
-    troubles = (TaskFailureCounts(BAD, 0, 1),)
+    failure_counts = (TaskFailureCounts(CRASHING, 0, 1),)
     deadline = leader.now + 20.0
     leader.offer("bad", 1, LONG_TIMEOUT, handovers=1, deadline=deadline)
     leader.settle()
@@ -182,9 +182,9 @@
         LONG_TIMEOUT,
         handovers=1,
         deadline=deadline,
-        progress=Progress((), troubles),
+        progress=Progress((), failure_counts),
     )
-    crash(leader, BAD)
+    crash(leader, CRASHING)
     leader.advance(0.05)
     (answer,) = leader.answers
     assert answer.outcome.end is JobEnd.FAILED
@@ -236,4 +236,4 @@
             leader.dispatcher.start_replied(effect, CallOutcome.GONE, leader.now)
     leader.advance(0.1)
     assert not [a for a in leader.answers if a.outcome.end is JobEnd.FAILED]
-    assert set(leader.running()) == {GOOD, OTHER}
+    assert set(leader.running()) == {HEALTHY, OTHER}
--- a/jackdawspur/runs/tests/test_losses.py
+++ b/jackdawspur/runs/tests/test_losses.py
@@ -15,7 +15,7 @@
     LossCause,
     Offer,
 )
-from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, ROUTE, TASK, Leader
+from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, ROUTE, TASK_RESOURCES, Leader
 
 MAX_LINE_LENGTH = 900
 MANY_TASKS = 360
@@ -26,7 +26,7 @@
 def records(
     leader: Leader, monkeypatch
 ) -> list[DecisionRecord | JobLost | InitialTasksStarted]:
-    """Return the records and reports that are made from now on."""
+    """Return the list to which later records and reports are added."""
     collected: list[DecisionRecord | JobLost | InitialTasksStarted] = []
     flush = leader.dispatcher.flush
 
@@ -44,15 +44,15 @@
 
 
 def job_lost(records: list, job: str) -> JobLost:
-    (record,) = [n for n in records if isinstance(n, JobLost) and n.job == job]
+    (record,) = [r for r in records if isinstance(r, JobLost) and r.job == job]
     return record
 
 
 def inputs(records: list, job: str, decision: Decision) -> dict:
     (record,) = [
-        n
-        for n in records
-        if isinstance(n, DecisionRecord) and n.job == job and n.decision is decision
+        r
+        for r in records
+        if isinstance(r, DecisionRecord) and r.job == job and r.decision is decision
     ]
     return dict(record.inputs)
 
@@ -123,7 +123,7 @@
 
 
 def test_a_stalled_run_is_not_logged_as_a_long_one(leader, records):
-    # Guards against a search for long jobs when in fact upstreams hang.
+    # Guards against logs that report long jobs although upstreams hang.
     leader.offer("aa", tasks=2, deadline=leader.now + LIMIT_S)
     leader.settle()
     prevent_restarts(leader, "aa")
@@ -191,7 +191,7 @@
 
 def test_the_log_line_of_a_job_with_many_tasks_is_short(records, leader):
     # Guards against log lines of 10 KB for one lost job each.
-    step = JobStep(MANY_TASKS, replace(TASK, cpu_millis=10), 200.0)
+    step = JobStep(MANY_TASKS, replace(TASK_RESOURCES, cpu_millis=10), 200.0)
     request = JobRequest("aa", "spec", (step,), ROUTE)
     now = leader.now
     leader.dispatcher.offer(Offer(request, "h2", 1, now, now + LIMIT_S), now)
--- a/jackdawspur/runs/tests/test_lost_replies.py
+++ b/jackdawspur/runs/tests/test_lost_replies.py
@@ -1,8 +1,8 @@
-"""Upstreams that leave a part of all calls unanswered and carry them out late.
+"""Healthy upstreams that leave some calls unanswered and carry them out late.
 
-One call in five, whether start, stop or poll, gets no reply, while the upstream is
-healthy and does its other work. A call without a reply ends after 0.25 s at the latest,
-a poll that waits 0.2 s later; leases last 0.6 s.
+One call in five, whether start, stop or poll, gets no reply. A call without a reply
+times out after 0.25 s at the latest, a poll that waits for a run to end 0.2 s later;
+leases last 0.6 s.
 """
 
 from jackdawspur.leases import CallOutcome
@@ -96,7 +96,7 @@
 
 
 def test_an_upstream_is_unresponsive_after_three_missed_polls(leader: Leader):
-    # An upstream that failed got tasks until its callers' time was over.
+    # A failed upstream got tasks until the deadlines of their callers had passed.
     first = next(iter(leader.upstreams))
     leader.unresponsive.add(first)
     advance_in_steps(leader, 0.3)
@@ -148,11 +148,11 @@
     assert 0 < leader.polls[-1].wait_ms < default_wait_ms
 
 
-def test_single_losses_close_no_upstream_where_replies_are_often_lost(
+def test_single_losses_exclude_no_upstream_where_replies_are_often_lost(
     leader: Leader,
 ):
-    # With half of all calls lost, half of the capacity was closed: each lost start
-    # closed its upstream until a poll was answered, and that was lost as well.
+    # With half of all calls lost, half of the capacity was not used: each lost start
+    # excluded its upstream until a poll was answered, and polls were lost as well.
     leader.dispatcher._replies._lost_fraction = 2 * LOSSY_FRACTION
     advance_in_steps(leader, SHORT_S)
     leader.offer("aa")
--- a/jackdawspur/runs/tests/test_offered_capacity.py
+++ b/jackdawspur/runs/tests/test_offered_capacity.py
@@ -76,14 +76,14 @@
 
 
 def test_capacity_is_split_without_overlap():
-    dealt = split_round_robin([5, 1, 4, 2, 3], ["a", "b"])
-    assert dealt == {"a": (5, 3, 1), "b": (4, 2)}
+    shares = split_round_robin([5, 1, 4, 2, 3], ["a", "b"])
+    assert shares == {"a": (5, 3, 1), "b": (4, 2)}
     assert split_round_robin([5], []) == {}
 
 
 def test_a_job_is_redirected_instead_of_refused(leader: Leader):
     # A caller was refused at once although another zone was idle: the work ahead of its
-    # job was checked before the time for which the job waits for capacity had passed.
+    # job was checked before the job had waited long enough to be redirected.
     use_all_capacity(leader)
     capacity = {"roster": SpareCapacity((28_000, 28_000))}
     leader.dispatcher.update_offered_capacity(REMOTE_LEADER, capacity, leader.now)
--- a/jackdawspur/runs/tests/test_overdue_starts.py
+++ b/jackdawspur/runs/tests/test_overdue_starts.py
@@ -1,4 +1,4 @@
-"""Starts whose replies are overdue are settled in time."""
+"""Starts whose replies are overdue are resolved in time."""
 
 from types import SimpleNamespace
 
@@ -9,13 +9,13 @@
 STARTED_AT, OVERDUE_S = 1003.5780285524962, 0.03264508145224454
 
 
-def test_a_start_is_settled_exactly_when_it_is_overdue():
+def test_a_start_is_resolved_exactly_when_it_is_overdue():
     # Guards against endless passes caused by a rounded difference of times.
-    settled = []
+    resolved = []
     starts = Starts(SimpleNamespace(), SimpleNamespace(overdue_s=OVERDUE_S))
-    starts._mark_unsure = lambda upstream, run, now: settled.append(run)
+    starts._mark_unsure = lambda upstream, run, now: resolved.append(run)
     run = Run(RunId("t", 1), None, RunPhase.STARTING, STARTED_AT)
     upstream = SimpleNamespace(runs={run.id: run})
     starts._open_starts.append(_OpenStart(STARTED_AT, upstream, run))
     starts.resolve_overdue(starts.overdue_at)
-    assert settled == [run]
+    assert resolved == [run]
--- a/jackdawspur/runs/tests/test_placer.py
+++ b/jackdawspur/runs/tests/test_placer.py
@@ -31,7 +31,7 @@
 
 
 def use_all_capacity_but_one(leader: Leader) -> None:
-    """Use all capacity except that of one task, and let jobs of two tasks wait."""
+    """Use all capacity except that of one task, and offer five jobs of two tasks."""
     leader.offer("aa", tasks=3)
     leader.settle()
     for number in range(5):
@@ -40,8 +40,8 @@
 
 
 def test_replies_that_free_no_capacity_cause_no_pass(leader: Leader, placer):
-    # Jobs waited longer the more of them there were: the leader examined all of them
-    # with every reply, and had no time for anything else under load.
+    # The more jobs waited, the longer they waited: the leader examined all of them with
+    # every reply, and under load it had no time for anything else.
     use_all_capacity_but_one(leader)
     before = placer.passes
     leader.now += 0.001
--- a/jackdawspur/runs/tests/test_poll_schedule.py
+++ b/jackdawspur/runs/tests/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""Idle upstreams are polled rarely, without making any decision worse."""
+"""Idle upstreams are polled rarely, and scheduling gets no worse by it."""
 
 from collections import Counter
 
@@ -56,8 +56,8 @@
 
 
 def test_polls_of_many_upstreams_are_spread_over_time():
-    # A host was blocked for 20 ms once a second: it polled all its upstreams in one
-    # pass, each at the same time as all others since it started to lead.
+    # A host was blocked for 20 ms once a second: it polled all its upstreams in the
+    # same pass, since their intervals had all started with its term.
     leader = Leader(upstreams=40)
     leader.lead()
     leader.advance(4.0, STEP_S)
@@ -111,8 +111,8 @@
 
 
 def test_one_lost_start_reveals_all_unresponsive_upstreams(idle_leader: Leader):
-    # A zone was partitioned, and each of its upstreams cost a job its time: they were
-    # idle, so each was found to be unresponsive only by a lost start of its own.
+    # A zone was partitioned, and each of its upstreams made a job late: they were idle,
+    # so each was found to be unresponsive only by a lost start of its own.
     unresponsive = set(list(idle_leader.upstreams)[::2])
     idle_leader.unresponsive |= unresponsive
     idle_leader.now += WATCH_INTERVAL_S
@@ -177,7 +177,7 @@
 
 
 def test_an_overdue_start_causes_polls_of_all(idle_leader: Leader):
-    # Each upstream of a partitioned zone cost a start before it was known to be
+    # Each upstream of a partitioned zone lost a start before it was known to be
     # unresponsive.
     idle_leader.now += WATCH_INTERVAL_S
     idle_leader.offer("aa")
--- a/jackdawspur/runs/tests/test_progress.py
+++ b/jackdawspur/runs/tests/test_progress.py
@@ -1,7 +1,7 @@
 """Runs that can't end in time are restarted elsewhere, or their job is given up."""
 
 from jackdawspur.runs import JobEnd, JobStep
-from jackdawspur.runs.tests.conftest import ROUTE, TASK, Leader
+from jackdawspur.runs.tests.conftest import ROUTE, TASK_RESOURCES, Leader
 
 
 def set_progress(leader: Leader, task: str, percent: float) -> None:
@@ -37,8 +37,8 @@
 
 
 def test_a_job_that_cannot_end_in_time_is_given_up_at_once(leader: Leader):
-    # A caller waited to its limit for a job that was known to be far too long, and the
-    # capacity that the job used made others late.
+    # A caller waited until its deadline for a job that was known to be far too long,
+    # and the capacity that the job used made others late.
     leader.offer("aa", deadline=leader.now + 0.9)
     leader.settle()
     leader.dispatcher.job_of("aa.0.0.0").by_name["aa.0.0.0"].restarts = 1
@@ -77,15 +77,15 @@
         leader.settle()
         leader.dispatcher.drop("h2", job, 1, leader.now)
         leader.settle()
-    step = JobStep(1, TASK, 200.0)
+    step = JobStep(1, TASK_RESOURCES, 200.0)
     (expected,) = leader.dispatcher.estimates.expected_ms(ROUTE, (step,))
     assert expected > 90.0
 
 
 def test_an_adopted_run_is_judged_from_its_discovery():
     # Callers got errors for jobs that were nearly done: the next leader counted all
-    # progress of a run as made since it found the run, and so took its job for a tiny
-    # one that was long overdue.
+    # progress of a run as made since it found the run, and therefore estimated the job
+    # as tiny and long overdue.
     leader = Leader()
     upstream = next(iter(leader.upstreams.values()))
     upstream.running["aa.0.0.0"] = 1
--- a/jackdawspur/runs/tests/test_replies.py
+++ b/jackdawspur/runs/tests/test_replies.py
@@ -83,8 +83,8 @@
 
 
 def test_one_fenced_start_stops_all_starts_until_polls_are_answered():
-    # After a network partition ended, a job's tasks tried one upstream after the other,
-    # run after run: all of them already obeyed the leader on the other side.
+    # After a network partition ended, a job's tasks were refused by one upstream after
+    # the other: all of them already obeyed the leader on the other side.
     leader = Leader(upstreams=8)
     leader.lead()
     leader.offer("aa")
--- a/jackdawspur/runs/tests/test_restart_in_time.py
+++ b/jackdawspur/runs/tests/test_restart_in_time.py
@@ -17,7 +17,7 @@
 # Expected to take 0.2 s, the task takes 0.32 s, and 0.448 s on the slow upstream.
 TASK_S = 0.32
 DEADLINE_S = 0.44
-# Small compared with a tenth of the task's time, as is the latency of a report.
+# Much shorter than a tenth of the task's time, like the latency of a report.
 STEP_S = 0.001
 SLOWDOWNS = {FAST: 1.0, MIDDLE: 1.0, SLOW: SLOW_FACTOR}
 
--- a/jackdawspur/runs/tests/test_restarts.py
+++ b/jackdawspur/runs/tests/test_restarts.py
@@ -1,7 +1,7 @@
 """A run is restarted elsewhere only if its upstream is shown to be slow."""
 
 from jackdawspur.runs import JobRequest, JobStep, Offer
-from jackdawspur.runs.tests.conftest import ROUTE, TASK, Leader
+from jackdawspur.runs.tests.conftest import ROUTE, TASK_RESOURCES, Leader
 
 STEP_S = 0.025
 # Polls wait for 0.2 s, so tasks of one job report at different times.
@@ -11,7 +11,7 @@
 
 def test_no_run_is_stopped_before_the_others_have_reported(leader: Leader):
     # Guards against stopping a run by an estimate that other reports soon correct.
-    step = JobStep(2, TASK, 100.0, most_per_upstream=1)
+    step = JobStep(2, TASK_RESOURCES, 100.0, most_per_upstream=1)
     request = JobRequest("aa", "spec", (step,), ROUTE)
     offer = Offer(request, "h2", 1, leader.now, leader.now + 1.545)
     leader.dispatcher.offer(offer, leader.now)
--- a/jackdawspur/runs/tests/test_single_run.py
+++ b/jackdawspur/runs/tests/test_single_run.py
@@ -192,8 +192,9 @@
     leader: Leader,
 ):
     # A task ran twice after a network partition ended. The leader on the other side had
-    # taken over an upstream that was idle when the partition began; this leader, which
-    # got that host's jobs, still counted the upstream as its own and as empty.
+    # taken over an upstream that was idle when the partition began. This leader, which
+    # got that host's jobs, still assumed that it leased the upstream and that nothing
+    # ran there.
     first = next(iter(leader.upstreams))
     leader.unresponsive.add(first)
     leader.advance(1.0)
@@ -238,8 +239,8 @@
 def test_an_answered_offer_is_answered_again_and_not_run(
     leader: Leader,
 ):
-    # A caller waited to its limit for a job that was long done, or its task was done
-    # twice: the answer was lost with a connection that had become unresponsive.
+    # A caller waited until its deadline for a job that was long done, or its task was
+    # done twice: the answer was lost with a connection that had become unresponsive.
     leader.offer("aa")
     leader.settle()
     (upstream_id,) = leader.running()["aa.0.0.0"]
@@ -254,9 +255,9 @@
 def test_a_new_term_counts_no_starts_of_an_earlier_one(
     leader: Leader,
 ):
-    # Upstreams that once failed a task got no more work: their one trial task counted
-    # as running forever, since its end had been reported to the host that led in
-    # between.
+    # Upstreams on which a task had failed once got no more tasks: their single probe
+    # counted as running forever, since its end had been reported to the host that led
+    # in between.
     leader.offer("aa", tasks=4)
     leader.settle()
     leader.dispatcher.stop_leading(leader.now)
@@ -289,9 +290,10 @@
 
 
 def test_the_lease_of_an_adopted_run_is_extended_at_once():
-    # Callers waited 0.6 s longer after the leader failed: the next one found their
-    # runs, and its next poll, sent before it had their jobs, waited 0.2 s for an end
-    # without extending the lease. The runs ended and started from the beginning.
+    # Callers waited 0.6 s longer after the leader failed. The next leader found their
+    # runs, but its next poll, which it sent before it had their jobs, waited 0.2 s for
+    # a run to end and extended no lease. The leases expired, and the tasks ran again
+    # from the beginning.
     leader = Leader(upstreams=1)
     (upstream,) = leader.upstreams.values()
     upstream.running["aa.0.0.0"] = 1
@@ -309,7 +311,7 @@
 def test_a_handed_over_job_with_too_long_a_wait_is_given_up_early():
     # A caller waited for nothing: after a network partition the new leader may start
     # the tasks again only 1.1 s later, too late for the caller, which got no answer
-    # until its time was nearly over.
+    # until shortly before its deadline.
     leader = Leader()
     leader.unresponsive.add(next(iter(leader.upstreams)))
     leader.lead()
--- a/jackdawspur/runs/tests/test_slow_upstreams.py
+++ b/jackdawspur/runs/tests/test_slow_upstreams.py
@@ -8,7 +8,7 @@
 FAST, MIDDLE, SLOW = (UpstreamId("z1", f"u{n}") for n in range(3))
 TASK_S = 0.2
 DEADLINE_S = 0.35
-# A caller with this little time gets fast upstreams.
+# Jobs with this deadline get fast upstreams.
 TIGHT_DEADLINE_S = 0.7
 
 
@@ -57,8 +57,8 @@
 def test_a_long_job_waits_for_a_fast_upstream(leader: Leader):
     # The largest jobs always failed under load: their tasks started on the only free
     # upstream, which was known to be slower by a third. A fifth of a second later their
-    # progress showed that they would end beyond the caller's time. A fast upstream had
-    # capacity again within milliseconds.
+    # progress showed that they would end after the caller's deadline. A fast upstream
+    # had capacity again within milliseconds.
     learn_slowdown(leader, 1.4)
     fill_fast(leader)
     leader.offer("aa", deadline=leader.now + DEADLINE_S)
@@ -85,10 +85,9 @@
 
 
 def test_a_job_is_not_refused_for_waiting(leader: Leader):
-    # A caller was notified that its job could not end in time although there was
-    # capacity: the job waited for a fast upstream, and as it was expected to take
-    # nearly all of its time it was refused because of that wait. Jobs often turn out
-    # shorter than expected.
+    # A job was refused although there was capacity: it waited for a fast upstream, and
+    # as it was expected to take nearly all time until its deadline, it was refused
+    # because of that wait. Jobs often turn out shorter than expected.
     learn_slowdown(leader, 1.4)
     fill_fast(leader)
     leader.offer("aa", deadline=leader.now + TASK_S * 1.25)
--- a/jackdawspur/runs/tests/test_slowdowns.py
+++ b/jackdawspur/runs/tests/test_slowdowns.py
@@ -5,15 +5,15 @@
 from jackdawspur.model import UpstreamId
 from jackdawspur.runs._slowdowns import Slowdowns
 
-FAST, EVEN, SLOW = (UpstreamId("z1", name) for name in ("fast", "even", "slow"))
+FAST, TYPICAL, SLOW = (UpstreamId("z1", name) for name in ("fast", "even", "slow"))
 
 
 def test_speeds_are_distinguished_although_jobs_differ_widely():
     slowdowns, rng = Slowdowns(), random.Random(4)
-    slowdowns.set_upstreams([FAST, EVEN, SLOW])
+    slowdowns.set_upstreams([FAST, TYPICAL, SLOW])
     for _ in range(60):
         work_ms = rng.lognormvariate(6.0, 0.4)
-        factors = [(FAST, 0.8), (EVEN, 1.0), (SLOW, 1.25)]
+        factors = [(FAST, 0.8), (TYPICAL, 1.0), (SLOW, 1.25)]
         slowdowns.learn(
             [
                 (upstream, work_ms * f * rng.uniform(0.85, 1.15))
@@ -23,7 +23,7 @@
     assert (
         slowdowns.factor(FAST)
         < 0.9
-        < slowdowns.factor(EVEN)
+        < slowdowns.factor(TYPICAL)
         < 1.1
         < slowdowns.factor(SLOW)
     )
@@ -33,11 +33,11 @@
     # Jobs were late one after the other: an upstream suddenly took six times as long,
     # and the average over its past hid that for a dozen jobs.
     slowdowns = Slowdowns()
-    slowdowns.set_upstreams([FAST, EVEN, SLOW])
+    slowdowns.set_upstreams([FAST, TYPICAL, SLOW])
     for _ in range(2):
-        slowdowns.learn([(FAST, 100.0), (EVEN, 100.0), (SLOW, 600.0)])
+        slowdowns.learn([(FAST, 100.0), (TYPICAL, 100.0), (SLOW, 600.0)])
     assert slowdowns.factor(SLOW) > 3.0
-    assert slowdowns.factor(EVEN) < 1.2
+    assert slowdowns.factor(TYPICAL) < 1.2
 
 
 def test_slowdowns_do_not_drift_together():
@@ -70,9 +70,9 @@
     rng, ratios = random.Random(6), []
     for _ in range(40):
         slowdowns = Slowdowns()
-        slowdowns.set_upstreams([FAST, EVEN, SLOW])
+        slowdowns.set_upstreams([FAST, TYPICAL, SLOW])
         for _ in range(5):
-            factors = [(FAST, 1.0), (EVEN, 1.0), (SLOW, 1.3)]
+            factors = [(FAST, 1.0), (TYPICAL, 1.0), (SLOW, 1.3)]
             slowdowns.learn(
                 [
                     (upstream, 900.0 * f * rng.gauss(1.0, 0.15))
--- a/jackdawspur/runs/tests/test_steps.py
+++ b/jackdawspur/runs/tests/test_steps.py
@@ -4,7 +4,7 @@
 
 from jackdawspur.leases import UpstreamEntry
 from jackdawspur.runs import JobRequest, JobStep, Offer
-from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, TASK, Leader
+from jackdawspur.runs.tests.conftest import LONG_TIMEOUT, TASK_RESOURCES, Leader
 
 
 def offer(leader: Leader, *steps: JobStep) -> None:
@@ -25,7 +25,11 @@
 def test_a_step_waits_for_the_steps_before_it(leader: Leader):
     # A result was confirmed before the work that it depends on was done: a later step
     # started while a task of an earlier one still ran.
-    offer(leader, JobStep(2, TASK, 200.0), JobStep(1, TASK, 200.0, after=(0,)))
+    offer(
+        leader,
+        JobStep(2, TASK_RESOURCES, 200.0),
+        JobStep(1, TASK_RESOURCES, 200.0, after=(0,)),
+    )
     assert set(leader.running()) == {"aa.0.0.0", "aa.0.0.1"}
     for name in ("aa.0.0.0", "aa.0.0.1"):
         assert "aa.0.1.0" not in leader.running()
@@ -37,18 +41,18 @@
 
 def test_a_required_label_is_respected(leader: Leader):
     set_labels(leader, "a", "b")
-    offer(leader, JobStep(4, TASK, 200.0, label="b"))
+    offer(leader, JobStep(4, TASK_RESOURCES, 200.0, label="b"))
     assert [len(u.running) for u in leader.upstreams.values()] == [0, 2]
 
 
 def test_a_near_rack_is_preferred_but_not_required(leader: Leader):
     set_labels(leader, "r1", "r2")
-    offer(leader, JobStep(3, TASK, 200.0, near="r2"))
+    offer(leader, JobStep(3, TASK_RESOURCES, 200.0, near="r2"))
     assert [len(u.running) for u in leader.upstreams.values()] == [1, 2]
 
 
 def test_an_upstream_gets_no_more_tasks_of_a_step_than_allowed(leader: Leader):
-    offer(leader, JobStep(4, TASK, 200.0, most_per_upstream=1))
+    offer(leader, JobStep(4, TASK_RESOURCES, 200.0, most_per_upstream=1))
     assert [len(u.running) for u in leader.upstreams.values()] == [1, 1]
 
 
@@ -56,5 +60,5 @@
     first, second = leader.upstreams
     entries = [leader.entry(first, draining=True), leader.entry(second)]
     leader.dispatcher.set_upstreams(entries, leader.now)
-    offer(leader, JobStep(4, TASK, 200.0))
+    offer(leader, JobStep(4, TASK_RESOURCES, 200.0))
     assert [len(u.running) for u in leader.upstreams.values()] == [0, 2]
--- a/jackdawspur/runs/tests/test_tight_deadlines.py
+++ b/jackdawspur/runs/tests/test_tight_deadlines.py
@@ -1,4 +1,4 @@
-"""Jobs that need nearly all of their callers' time are not refused or delayed.
+"""Jobs that need nearly all time until their deadlines are not refused or delayed.
 
 Tasks are expected to take 0.2 s; each of two upstreams has capacity for two.
 """
@@ -8,7 +8,7 @@
 from jackdawspur.runs.tests.conftest import FENCE, LONG_TIMEOUT, Leader
 
 REMOTE_LEADER = RemoteLeader("far", FENCE * 2)
-# Less than a task may well take, and more than it usually takes.
+# More than a task usually takes, and less than one may well take.
 TIGHT_DEADLINE_S = 0.21
 
 
@@ -47,7 +47,7 @@
     assert "bb.0.0.0" in leader.running()
 
 
-# Guards against letting a caller wait that will get no answer.
+# Guards against a caller that waits although its job will be too late.
 def test_a_job_that_is_too_late_even_if_short_is_refused(leader: Leader):
     leader.offer("aa", tasks=4)
     leader.settle()
@@ -56,7 +56,7 @@
     assert refused(leader) == ["bb"]
 
 
-# Guards against waiting for the own group's capacity until too little time is left.
+# Guards against waiting for capacity of this group until too little time is left.
 def test_a_job_without_time_to_wait_is_redirected_at_once(leader: Leader):
     leader.offer("aa", tasks=4)
     leader.settle()
--- a/jackdawspur/runs/tests/test_unknown_slowdowns.py
+++ b/jackdawspur/runs/tests/test_unknown_slowdowns.py
@@ -37,7 +37,7 @@
 
 
 def occupy_one_upstream(leader: Leader, upstream_id: UpstreamId, tasks: int) -> None:
-    """Leave one task on an upstream, which then is the fullest."""
+    """Run one task on the given upstream only, which makes it the fullest."""
     deadline = leader.now + 9.0
     leader.offer("filler", tasks, LONG_TIMEOUT, max_per_upstream=1, deadline=deadline)
     leader.settle()
@@ -64,14 +64,14 @@
     small, large, new_large, new_small = leader.upstreams
     labels = {small: SMALL_LABEL, large: LARGE_LABEL}
     labels |= {new_large: LARGE_LABEL, new_small: SMALL_LABEL}
-    entries = [replace(leader.entry(u), labels=(k,)) for u, k in labels.items()]
+    entries = [replace(leader.entry(u), labels=(label,)) for u, label in labels.items()]
     listed_at = leader.now - 60.0
     leader.dispatcher.set_upstreams(entries[:2], listed_at)
     leader.lead()
     learn_slowdowns(leader, slow=large)
-    drained = [replace(e, draining=e.id in (small, large)) for e in entries]
-    leader.dispatcher.set_upstreams(drained, leader.now)
-    leader.dispatcher.update_peer_lists(len(drained), leader.now)
+    draining_entries = [replace(e, draining=e.id in (small, large)) for e in entries]
+    leader.dispatcher.set_upstreams(draining_entries, leader.now)
+    leader.dispatcher.update_peer_lists(len(draining_entries), leader.now)
     leader.advance(0.05)
     occupy_one_upstream(leader, new_large, tasks=2)
     leader.offer("aa", deadline=leader.now + TIGHT_DEADLINE_S)
--- a/jackdawspur/runs/tests/test_upstream_restarts.py
+++ b/jackdawspur/runs/tests/test_upstream_restarts.py
@@ -1,4 +1,4 @@
-"""An upstream that restarts under its name is not taken for its old incarnation."""
+"""An upstream that restarts under the same name counts as another incarnation."""
 
 import pytest
 
@@ -40,8 +40,8 @@
 def test_a_task_done_after_a_restart_does_not_run_again(
     leader: Leader, upstream: FakeUpstream
 ):
-    # Guards against taking the first ended runs of the new incarnation for acknowledged
-    # ones.
+    # Guards against ignoring the first ended runs of the new incarnation, as if they
+    # had been acknowledged.
     upstream.restart()
     leader.advance(IDLE_S)
     leader.offer("aa")
