--- a/jackdawspur/runs/_admission.py
+++ b/jackdawspur/runs/_admission.py
@@ -19,8 +19,8 @@
 # Estimated waits are off by about this much; a job is deferred only beyond it.
 WAIT_ERROR_S = 0.12
 # A stalled run seems to need unlimited time. It is stopped before long, so it counts
-# for at most this multiple of its expected time: otherwise one such job would keep out
-# all others.
+# for at most this multiple of its expected time: otherwise all other jobs would be
+# refused because of one such job.
 MAX_EXPECTED_FACTOR = 2.0
 # On a full upstream this fraction of an average task's resources is left over, too
 # little for another task.
--- a/jackdawspur/runs/_effects.py
+++ b/jackdawspur/runs/_effects.py
@@ -131,8 +131,8 @@
 
     A job was refused because it was too long from its arrival on (REFUSED_TOO_LONG),
     had waited too long (REFUSED_WAITED), or had too much work of other jobs ahead of it
-    (REFUSED_FOR_OTHERS). FAILED jobs had a task that was
-    invalid, failed repeatedly or crashed upstreams.
+    (REFUSED_FOR_OTHERS). FAILED jobs had a task that was invalid, failed repeatedly or
+    crashed upstreams.
     """
 
     TOO_LONG = "too_long"
--- a/jackdawspur/runs/_polls.py
+++ b/jackdawspur/runs/_polls.py
@@ -76,8 +76,8 @@
 
         If the poll that would report an end is lost, the end is noticed only when the
         poll is overdue, 0.2 s later, and until then its capacity stays unused: with a
-        fifth of all replies lost, tasks of 0.2 s took 0.1 s longer. A second poll
-        beside it reports the end at once.
+        fifth of all replies lost, tasks of 0.2 s took 0.1 s longer. A second open poll
+        reports the end at once.
         """
         return 2 if self._replies.lossy and upstream.runs else 1
 
--- a/jackdawspur/runs/_review.py
+++ b/jackdawspur/runs/_review.py
@@ -114,7 +114,8 @@
         """Return how long a task should take on a healthy upstream.
 
         Tasks of one step are nearly equal: the times of the others, measured or
-        projected, say more than what the caller declared, which is often half of it.
+        projected, predict it better than the time that the caller declared, which is
+        often half of it.
         """
         others = [t for t in job.tasks if t.step == task.step and t is not task]
         known = sorted(filter(None, (self._total_ms(job, t) for t in others)))
