--- a/jackdawspur/runs/_run_owner.py
+++ b/jackdawspur/runs/_run_owner.py
@@ -1,4 +1,4 @@
-"""Interface for what the upstream pool reports about runs."""
+"""Interface to which the upstream pool reports events of runs."""
 
 from typing import Protocol
 
@@ -10,7 +10,7 @@
 
 
 class RunOwner(Protocol):
-    """Receive reports about runs."""
+    """Handle events of runs and upstreams."""
 
     def job_of(self, task_name: str) -> Job | None:
         """Return the open job of a task."""
@@ -18,7 +18,7 @@
     def run_ended(
         self, upstream: UpstreamId, ended: EndedRun, since: float | None, now: float
     ) -> None:
-        """Process the end of a run; `since` is None when it was reported late."""
+        """Process the end of a run; `since` is its start, None if reported late."""
 
     def found_done(self, task_name: str, now: float) -> None:
         """Record that a run of an earlier leader ended successfully."""
