--- a/Makefile
+++ b/Makefile
@@ -32,7 +32,7 @@
 # speed, and configuration. About half an hour; bench-decisions takes DEPLOYMENT=...
 bench: bench-decisions bench-front speed bench-configuration
 
-# The leading host's decisions on the customers' platform, about half a minute.
+# The leader's decisions on the customers' platform, about half a minute.
 bench-front: install
 	$(BIN)/python -m jackdawspur.bench.front
 
