--- a/Makefile
+++ b/Makefile
@@ -28,11 +28,11 @@
 test: lint
 	$(BIN)/python -m pytest
 
-# The decisions in virtual time against their bounds, then real processes: one host's
+# The core logic in virtual time against its bounds, then real processes: one host's
 # speed, and configuration. About half an hour; bench-decisions takes DEPLOYMENT=...
 bench: bench-decisions bench-front speed bench-configuration
 
-# The leader's decisions on the customers' platform, about half a minute.
+# The leader's core logic on the customers' platform, about half a minute.
 bench-front: install
 	$(BIN)/python -m jackdawspur.bench.front
 
@@ -45,7 +45,7 @@
 # Draws docs/pictures from the steady runs of all policies.
 bench-report: install
 	$(BIN)/python -m jackdawspur.bench --scenario=steady | $(BIN)/python -m jackdawspur.pictures
-# FUZZ_EXAMPLES is the number of examples a test; each run draws new ones.
+# FUZZ_EXAMPLES is the number of examples a test; each run generates new ones.
 fuzz: install
 	FUZZ_EXAMPLES=$(or $(FUZZ_EXAMPLES),2000) $(BIN)/python -m pytest jackdawspur/fuzz
 
