--- a/jackdawspur/leases/_leased_upstream.py
+++ b/jackdawspur/leases/_leased_upstream.py
@@ -56,6 +56,12 @@
     No task starts before a poll under this leader's own fence was answered: the list of
     runs is then complete, since older fences can no longer start anything. `lease_id`
     distinguishes this lease from earlier ones of the same upstream.
+
+    `last_seen` is the number of the last ended run that was reported. `polled_since` is
+    since when at least one poll has been open without interruption. `confirming_poll`
+    is the first poll whose reply shows that the upstream obeys this host's fence, and
+    `acquired` tells whether it, or a later one, was answered. No start is sent before
+    `backoff_until`. Until `idle_until`, no poll is needed while nothing runs.
     """
 
     def __init__(
@@ -64,39 +70,30 @@
         self._entry = entry
         self.fence = fence
         self.lease_id = lease_id
-        # None until a report states it; `_incarnation_poll` is the last poll that was
-        # sent before that report.
+        # None until a report states it, with the last poll sent before that report.
         self.incarnation: int | None = None
         self._incarnation_poll = 0
         self.runs: dict[RunId, Run] = {}
-        # Number of the last ended run that was reported.
         self.last_seen = 0
         self.last_reply_at = now
-        # Since when at least one poll has been open without interruption.
         self.polled_since = now
         self.polls_sent = 0
-        # Pending polls by number, with the times from which they are overdue, and the
-        # overdue polls whose calls are still open.
+        # Pending polls by number, with when they are overdue; overdue but open polls.
         self.pending_polls: dict[int, float] = {}
         self.overdue_polls: set[int] = set()
         # No poll is overdue before this time.
         self.overdue_at = math.inf
         self.consecutive_misses = 0
         self.last_missed_poll = 0
-        # Last poll sent before the upstream became unresponsive, and until when it is
-        # likely to become unresponsive again.
+        # Last poll sent before it became unresponsive; until when that is likely again.
         self.last_poll_while_responsive = 0
         self.flapping_until = now
         self.last_answered_poll = 0
-        # First poll whose reply shows that the upstream obeys this host's fence, and
-        # whether it, or a later one, was answered.
         self.confirming_poll = 0
         self.acquired = False
         self.responsive = True
-        # No start is sent before this time.
         self.backoff_until = 0.0
         self.next_poll_at = now
-        # Until then no poll is needed while nothing runs.
         self.idle_until = now
         self.fenced_since: float | None = None
         self._used = NO_RESOURCES
