--- a/jackdawspur/limits/_bucket.py
+++ b/jackdawspur/limits/_bucket.py
@@ -25,9 +25,9 @@
         self._tokens -= tokens
 
     def add_tokens(self, tokens: float, now: float) -> None:
-        """Add tokens to those gained over time."""
+        """Add tokens in addition to those gained over time."""
         # Time that goes backwards, as after a replay, adds no tokens.
-        passed = max(0.0, now - self._refilled_at)
+        elapsed_s = max(0.0, now - self._refilled_at)
         self._refilled_at = max(self._refilled_at, now)
-        filled = self._tokens + passed * self._rate + tokens
-        self._tokens = min(self._burst, filled)
+        refilled = self._tokens + elapsed_s * self._rate + tokens
+        self._tokens = min(self._burst, refilled)
--- a/jackdawspur/limits/_calls.py
+++ b/jackdawspur/limits/_calls.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallBounds:
-    """Bounds on waiting work of this host, and lower ones for each customer."""
+    """Bounds on the waiting work of this host, and lower ones per customer."""
 
     waiting_tasks: int = 20_000
     waiting_tasks_customer: int = 5_000
@@ -34,7 +34,7 @@
 
 
 class CallLimits:
-    """Count open calls and waiting tasks against their bounds.
+    """Counts open calls and waiting tasks against their bounds.
 
     Every operation takes constant time, so a burst of cancellations by one customer
     doesn't slow down the others.
@@ -116,13 +116,13 @@
         return LimitReached(message, self.retry_after_ms(tasks, now))
 
     def _update_drain_rate(self, now: float) -> None:
-        passed = now - self._interval_start
-        if passed < DRAIN_INTERVAL_S:
+        elapsed_s = now - self._interval_start
+        if elapsed_s < DRAIN_INTERVAL_S:
             return
-        rate = self._drained / passed
+        rate = self._drained / elapsed_s
         # The weight grows with the length of the interval: after a long gap the old
         # rate is obsolete.
-        weight = 1.0 - (1.0 - DRAIN_SMOOTHING) ** (passed / DRAIN_INTERVAL_S)
+        weight = 1.0 - (1.0 - DRAIN_SMOOTHING) ** (elapsed_s / DRAIN_INTERVAL_S)
         self._drain_rate += weight * (rate - self._drain_rate)
         self._drained = 0
         self._interval_start = now
--- a/jackdawspur/limits/_quotas.py
+++ b/jackdawspur/limits/_quotas.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Iterable, Mapping
 
 from jackdawspur.limits._reach import HostKey, PeerReachability
-from jackdawspur.limits._shares import base_shares, divide
+from jackdawspur.limits._shares import divide, even_shares
 from jackdawspur.messages import CustomerUsage
 from jackdawspur.model import ClusterSpec, HostId
 
@@ -152,7 +152,7 @@
 
     def headroom(self, customer: str, now: float) -> int:
         """Return how many more tasks of a customer may start here."""
-        state = self._current(customer, now)
+        state = self._updated_state(customer, now)
         if state is None:
             return 0
         if state.unbounded:
@@ -164,7 +164,7 @@
 
     def share(self, customer: str, now: float) -> int:
         """Return the number of slots that a customer may use here."""
-        state = self._current(customer, now)
+        state = self._updated_state(customer, now)
         if state is None:
             return 0
         return state.quota if state.unbounded else state.share
@@ -183,7 +183,7 @@
         state = self._state_of(customer)
         state.running = max(0, state.running - tasks)
 
-    def _current(self, customer: str, now: float) -> _CustomerState | None:
+    def _updated_state(self, customer: str, now: float) -> _CustomerState | None:
         state = self._customers.get(customer)
         if state and state.stale and now - state.divided_at >= DIVIDE_INTERVAL_S:
             self._divide(customer, state, now)
@@ -191,24 +191,27 @@
 
     def _divide(self, customer: str, state: _CustomerState, now: float) -> None:
         host_keys = self._reachability.configured
-        split = base_shares(state.quota, len(host_keys), customer)
-        base_by_host = dict(zip(host_keys, split, strict=True))
+        shares = even_shares(state.quota, len(host_keys), customer)
+        even_share_by_host = dict(zip(host_keys, shares, strict=True))
         members = self._reachability.members
         state.reachable = sum(
-            base_by_host[host_key] for host_key in self._reachability.reachable
+            even_share_by_host[host_key] for host_key in self._reachability.reachable
         )
         floors = [
-            int(base_by_host[host_key] * GUARANTEED_FRACTION) for host_key in members
+            int(even_share_by_host[host_key] * GUARANTEED_FRACTION)
+            for host_key in members
         ]
         needs = [_need(state.reports.get(host_key)) for host_key in members]
         local_index = members.index(self._local_key)
-        # The share is only read when the customer has tasks here, so the even share is
-        # always claimed. A host that claimed more before the other hosts received its
-        # need, and it received theirs, would use slots that they use too, and the sum
-        # would exceed the quota.
-        claim = max(state.settled_need(now), base_by_host[self._local_key])
-        needs[local_index] = claim
-        state.share = min(claim, divide(state.reachable, needs, floors)[local_index])
+        # The share is only read when the customer has tasks here, so its
+        # need is taken as at least the even share. A host that used more before the
+        # others received its need, and it received theirs, would use slots that they
+        # use too, and the sum would exceed the quota.
+        local_need = max(state.settled_need(now), even_share_by_host[self._local_key])
+        needs[local_index] = local_need
+        state.share = min(
+            local_need, divide(state.reachable, needs, floors)[local_index]
+        )
         state.guaranteed = floors[local_index]
         state.stale = False
         state.divided_at = now
--- a/jackdawspur/limits/_reach.py
+++ b/jackdawspur/limits/_reach.py
@@ -50,7 +50,9 @@
         self._configured = sorted({*host_keys, self._local_key})
         configured_keys = set(self._configured)
         self._last_heartbeat = {
-            p: t for p, t in self._last_heartbeat.items() if p in configured_keys
+            key: time
+            for key, time in self._last_heartbeat.items()
+            if key in configured_keys
         }
         self.update(now)
 
@@ -70,9 +72,9 @@
         """Remove and return the hosts whose heartbeats timed out."""
         last_heartbeat = self._last_heartbeat
         timed_out = [
-            p
-            for p in self._responsive
-            if now - last_heartbeat.get(p, now) > HEARTBEAT_TIMEOUT_S
+            key
+            for key in self._responsive
+            if now - last_heartbeat.get(key, now) > HEARTBEAT_TIMEOUT_S
         ]
         self._responsive.difference_update(timed_out)
         return timed_out
@@ -84,10 +86,12 @@
             self._last_heartbeat.setdefault(host_key, now)
         dead = self._dead_hosts(responsive, now)
         responsive.add(self._local_key)
-        before = (self._members, self._reachable)
-        self._members = [p for p in self._configured if p in responsive]
-        self._reachable = [p for p in self._configured if p in responsive or p in dead]
-        return before != (self._members, self._reachable)
+        previous = (self._members, self._reachable)
+        self._members = [key for key in self._configured if key in responsive]
+        self._reachable = [
+            key for key in self._configured if key in responsive or key in dead
+        ]
+        return previous != (self._members, self._reachable)
 
     def _dead_hosts(self, responsive: set[HostKey], now: float) -> set[HostKey]:
         # In a network partition the heartbeats of a zone's hosts stop within one
--- a/jackdawspur/limits/_retries.py
+++ b/jackdawspur/limits/_retries.py
@@ -28,7 +28,7 @@
         self._customers: dict[str, TokenBucket] = {}
 
     def started(self, customer: str, now: float) -> None:
-        """Add a fraction of a retry to both budgets for a first start."""
+        """Credit both budgets with a fraction of a retry for a first start."""
         self._customer(customer).add_tokens(RETRY_FRACTION, now)
         self._host.add_tokens(RETRY_FRACTION, now)
 
--- a/jackdawspur/limits/_shares.py
+++ b/jackdawspur/limits/_shares.py
@@ -3,10 +3,10 @@
 import zlib
 from collections.abc import Sequence
 
-__all__ = ["base_shares", "divide"]
+__all__ = ["even_shares", "divide"]
 
 
-def base_shares(quota: int, hosts: int, salt: str) -> list[int]:
+def even_shares(quota: int, hosts: int, salt: str) -> list[int]:
     """Split a quota evenly; `salt` decides which hosts get the remainder.
 
     Without the salt the small quotas of all customers would go to the same few hosts.
--- a/jackdawspur/limits/tests/test_calls.py
+++ b/jackdawspur/limits/tests/test_calls.py
@@ -36,8 +36,8 @@
     while budget.may_retry("a", 0.0):
         pass
     assert budget.may_retry("b", 0.0)
-    many = sum(budget.may_retry(f"c{n % 50}", 0.0) for n in range(5_000))
-    assert many <= HOST_BURST
+    allowed = sum(budget.may_retry(f"c{n % 50}", 0.0) for n in range(5_000))
+    assert allowed <= HOST_BURST
 
 
 def test_bounds_of_a_customer_and_of_the_host(limits):
--- a/jackdawspur/limits/tests/test_quotas.py
+++ b/jackdawspur/limits/tests/test_quotas.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 
 from jackdawspur.limits import Quotas
-from jackdawspur.limits._shares import base_shares, divide
+from jackdawspur.limits._shares import divide, even_shares
 from jackdawspur.messages import CustomerUsage
 from jackdawspur.model import (
     ClusterSpec,
@@ -129,7 +129,7 @@
 
 
 def test_heartbeat_touches_active_customers_only():
-    """Heartbeats of many hosts use a whole core although few customers are active."""
+    """Heartbeats of many hosts keep a core busy although few customers are active."""
     quotas = Quotas(HostId("z0", "e0", 1))
     entries = (EntryHost("z0", "e0", "", ""), EntryHost("z1", "e1", "", ""))
     customers = tuple(Customer(f"c{n}", 10) for n in range(140))
@@ -141,7 +141,7 @@
     for customer in customers:
         quotas.may_start(customer.name, 1.0)
     quotas.update_peer_usage(sender, (CustomerUsage("c7", 3, 0),), 1.0)
-    stale = [name for name, use in quotas._customers.items() if use.stale]
+    stale = [name for name, state in quotas._customers.items() if state.stale]
     assert stale == ["c7"]
 
 
@@ -151,9 +151,9 @@
     st.sampled_from(["a", "b", "c"]),
 )
 def test_shares_never_exceed_the_quota(quota, needs, salt):
-    base = base_shares(quota, len(needs), salt)
-    assert sum(base) == quota
-    floors = [share // 4 for share in base]
+    even = even_shares(quota, len(needs), salt)
+    assert sum(even) == quota
+    floors = [share // 4 for share in even]
     shares = divide(quota, needs, floors)
     assert sum(shares) <= quota
     assert all(s >= f for s, f in zip(shares, floors, strict=True))
