--- a/jackdawspur/health/_failure_attribution.py
+++ b/jackdawspur/health/_failure_attribution.py
@@ -5,7 +5,7 @@
 
 from jackdawspur.health._limits import (
     ATTRIBUTION_WINDOW_S,
-    FAULTY_CLASS_UPSTREAMS,
+    MIN_UPSTREAMS_OF_FAULTY_CLASS,
 )
 from jackdawspur.model import UpstreamId
 
@@ -35,7 +35,7 @@
         ends.append(_End(upstream, failed, now))
 
     def class_is_faulty(self, job_class: str, now: float) -> bool:
-        """Return whether the class fails on whatever upstream it runs."""
+        """Return whether the class fails regardless of the upstream."""
         recent = [
             end
             for end in self._ends.get(job_class, ())
@@ -46,6 +46,6 @@
         # Several unhealthy upstreams also cause failures on many upstreams, but then
         # the class still succeeds on the others. So only a class that fails more often
         # than it succeeds counts as faulty.
-        return upstream_count >= FAULTY_CLASS_UPSTREAMS and 2 * len(failures) > len(
-            recent
-        )
+        return upstream_count >= MIN_UPSTREAMS_OF_FAULTY_CLASS and 2 * len(
+            failures
+        ) > len(recent)
--- a/jackdawspur/health/_health.py
+++ b/jackdawspur/health/_health.py
@@ -38,8 +38,8 @@
 
     def set_upstreams(self, upstreams: Iterable[UpstreamId]) -> None:
         """Set the upstreams of which records are kept."""
-        known = self._records
-        self._records = {name: known.get(name) or Record() for name in upstreams}
+        previous = self._records
+        self._records = {name: previous.get(name) or Record() for name in upstreams}
 
     def started(self, upstream: UpstreamId) -> None:
         """Count a task sent to the upstream.
@@ -47,7 +47,7 @@
         Exactly one of `succeeded`, `failed`, `lost` and `record_inconclusive` must
         follow for each.
         """
-        self._record(upstream).running += 1
+        self._record_of(upstream).running += 1
 
     def succeeded(
         self,
@@ -99,7 +99,7 @@
         now: float,
     ) -> None:
         """Record a task of another host that failed on the upstream."""
-        record = self._record(upstream)
+        record = self._record_of(upstream)
         self._attribution.record(job_class, upstream, True, now)
         record.failed[FailedJob(submission, job_class)] = None
         record.failed_at = now
@@ -133,7 +133,7 @@
                 record.ramp = 1
 
     def unhealthy_upstreams(self, now: float) -> tuple[UpstreamId, ...]:
-        """Return the upstreams unhealthy by this host's own records, for heartbeats."""
+        """Return the upstreams that this host finds unhealthy, for its heartbeats."""
         return tuple(
             upstream
             for upstream, record in self._records.items()
@@ -143,7 +143,7 @@
 
     def condition(self, upstream: UpstreamId, now: float) -> Condition:
         """Return the condition of the upstream."""
-        record = self._record(upstream)
+        record = self._record_of(upstream)
         if record.ejected:
             return Condition.EJECTED
         if self._failure_count(record, now) or self._reporters(record, now):
@@ -160,28 +160,28 @@
         if condition is Condition.SUSPECT:
             return self._suspect_limit(upstream, now)
         if condition is Condition.RETURNING:
-            return self._record(upstream).ramp
+            return self._record_of(upstream).ramp
         return UNLIMITED
 
     def allows(self, upstream: UpstreamId, now: float) -> bool:
         """Return whether one more ordinary task may be sent to the upstream."""
-        return self._record(upstream).running < self.concurrency_limit(upstream, now)
+        return self._record_of(upstream).running < self.concurrency_limit(upstream, now)
 
     def probe_allowed(self, upstream: UpstreamId, now: float) -> bool:
         """Return whether an idempotent task of a small job may probe the upstream."""
-        record = self._record(upstream)
+        record = self._record_of(upstream)
         if not record.ejected or record.running or now < record.probe_at:
             return False
         # If every host probed, each failed probe would cost a job. So of the hosts that
         # report the upstream, only the one with the smallest id probes.
         return all(self._local_id < other for other in self._reporters(record, now))
 
-    def slowness(self, upstream: UpstreamId) -> float:
+    def relative_slowdown(self, upstream: UpstreamId) -> float:
         """Return the slowdown relative to the median, from 1 to MAX_SLOWDOWN."""
         slowdowns = [
             r.slowdown for r in self._records.values() if _has_enough_samples(r)
         ]
-        record = self._record(upstream)
+        record = self._record_of(upstream)
         if not _has_enough_samples(record) or len(slowdowns) < 2:
             return 1.0
         return min(
@@ -190,18 +190,18 @@
 
     def is_straggler(self, upstream: UpstreamId) -> bool:
         """Return whether the upstream is so slow that it should be used last."""
-        return self.slowness(upstream) >= STRAGGLER_SLOWDOWN
+        return self.relative_slowdown(upstream) >= STRAGGLER_SLOWDOWN
 
     def ejected(self) -> tuple[UpstreamId, ...]:
         """Return the ejected upstreams."""
         return tuple(name for name, record in self._records.items() if record.ejected)
 
-    def _record(self, upstream: UpstreamId) -> Record:
+    def _record_of(self, upstream: UpstreamId) -> Record:
         # Results of an upstream may arrive after it was removed from the configuration.
         return self._records.get(upstream) or Record()
 
     def _ended(self, upstream: UpstreamId) -> Record:
-        record = self._record(upstream)
+        record = self._record_of(upstream)
         record.running = max(0, record.running - 1)
         return record
 
@@ -223,18 +223,18 @@
         # Upstreams are probed by hosts of their own zone, which lend slots again only
         # once the upstream is healthy. So a lent slot may be used after the backoff.
         lent = upstream.zone != self._local_id.zone
-        return int(lent and now >= self._record(upstream).probe_at)
+        return int(lent and now >= self._record_of(upstream).probe_at)
 
     def _suspect_limit(self, upstream: UpstreamId, now: float) -> int:
         # The host that saw the failure continues with one task at a time. The other
         # hosts wait for its report: each would lose a job to learn the same.
-        failure_count = self._failure_count(self._record(upstream), now)
+        failure_count = self._failure_count(self._record_of(upstream), now)
         if failure_count or not self._within_ejection_cap(upstream.zone, now):
             return 1
         return 0
 
     def _eject_if_failing(self, upstream: UpstreamId, now: float) -> None:
-        record = self._record(upstream)
+        record = self._record_of(upstream)
         if record.ejected:
             return
         failed_jobs = sum(
@@ -271,8 +271,8 @@
     def _eject(self, record: Record, now: float) -> None:
         record.ejected = True
         record.ramp = 1
-        wait = self._ejection.readmit_after_s * 2**record.times_ejected
-        record.probe_at = now + min(MAX_BACKOFF_S, wait)
+        backoff_s = self._ejection.readmit_after_s * 2**record.times_ejected
+        record.probe_at = now + min(MAX_BACKOFF_S, backoff_s)
         record.times_ejected += 1
 
 
--- a/jackdawspur/health/_limits.py
+++ b/jackdawspur/health/_limits.py
@@ -4,7 +4,7 @@
 
 __all__ = [
     "BASE_BACKOFF_S",
-    "FAULTY_CLASS_UPSTREAMS",
+    "MIN_UPSTREAMS_OF_FAULTY_CLASS",
     "ATTRIBUTION_WINDOW_S",
     "DEFAULT_EJECTION",
     "LOST_TASKS_TO_EJECT",
@@ -19,7 +19,7 @@
     "UNLIMITED",
 ]
 
-# Number of lost tasks since the last success at which an upstream is ejected.
+# Number of lost tasks, without a success in between, that eject an upstream.
 LOST_TASKS_TO_EJECT = 3
 # Applies until a configuration sets another policy.
 DEFAULT_EJECTION = EjectionPolicy()
@@ -27,7 +27,7 @@
 MAX_BACKOFF_S = 300.0
 # A class is faulty if it failed on at least this many upstreams within the window, and
 # more often than it succeeded.
-FAULTY_CLASS_UPSTREAMS = 3
+MIN_UPSTREAMS_OF_FAULTY_CLASS = 3
 ATTRIBUTION_WINDOW_S = 10.0
 # A peer repeats its report in each heartbeat; a report that isn't repeated expires.
 REPORT_TTL_S = 3.0
@@ -37,9 +37,9 @@
 RAMP_LIMIT = 16
 UNLIMITED = 1_000_000
 # Weight of the newest task in the moving average of an upstream's slowdown, and the
-# number of tasks from which the average is used.
+# minimum number of tasks for the average to be used.
 SLOWDOWN_SMOOTHING = 0.2
 MIN_SAMPLES = 5
-# Slowdown relative to the median upstream from which an upstream is a straggler.
+# An upstream with at least this slowdown relative to the median is a straggler.
 STRAGGLER_SLOWDOWN = 2.0
 MAX_SLOWDOWN = 4.0
--- a/jackdawspur/health/_record.py
+++ b/jackdawspur/health/_record.py
@@ -28,10 +28,12 @@
 
 @dataclass(slots=True)
 class Record:
-    """Counts and times that tell the health of one upstream.
+    """Counts and times that describe the health of one upstream.
 
-    `times_ejected` counts ejections since the upstream was last healthy; each doubles
-    the time until the next probe.
+    `ramp` is the limit on running tasks after readmission, and `reports` has the time
+    of the last report by each peer that finds the upstream unhealthy. `times_ejected`
+    counts ejections since the upstream was last healthy; each doubles the time until
+    the next probe.
     """
 
     running: int = 0
--- a/jackdawspur/health/tests/test_health.py
+++ b/jackdawspur/health/tests/test_health.py
@@ -205,7 +205,7 @@
             state.started(upstream)
             state.succeeded(upstream, "maps", 3.0 if upstream == FAULTY else 1.0, 0.0)
     assert state.is_straggler(FAULTY)
-    assert state.slowness(UPSTREAMS[1]) == 1.0
+    assert state.relative_slowdown(UPSTREAMS[1]) == 1.0
 
 
 def test_configured_ejection_policy_applies():
