--- a/jackdawspur/scheduling/_admission.py
+++ b/jackdawspur/scheduling/_admission.py
@@ -102,7 +102,7 @@
 
 
 class AdmissionController:
-    """Decide whether a job can meet its contract despite the work already waiting."""
+    """Decides whether a job can meet its contract despite the work already waiting."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -118,19 +118,19 @@
         if customer.quota_slots <= 0:
             message = "the customer's quota is 0; nothing ran; ask for a quota"
             return Refuse(FailureCode.QUOTA, message)
-        wait = expected_wait_ms(estimates_ms, load)
-        excess = _excess_ms(request, estimates_ms, customer.contract, load, wait)
-        if excess <= 0:
-            return Admit(wait)
+        wait_ms = expected_wait_ms(estimates_ms, load)
+        excess_ms = _excess_ms(request, estimates_ms, customer.contract, load, wait_ms)
+        if excess_ms <= 0:
+            return Admit(wait_ms)
         message = (
-            f"the job would wait about {wait:.0f} ms, {excess:.0f} ms more than its "
-            "contract or deadline allows; nothing ran; retry later"
+            f"the job would wait about {wait_ms:.0f} ms, {excess_ms:.0f} ms more than "
+            "its contract or deadline allows; nothing ran; retry later"
         )
-        return Refuse(FailureCode.OVERLOADED, message, self._retry_after(excess))
+        return Refuse(FailureCode.OVERLOADED, message, self._retry_after(excess_ms))
 
     def _retry_after(self, excess_ms: float) -> float:
-        spread = 1.0 + RETRY_JITTER * self._rng.random()
-        return min(MAX_RETRY_MS, max(MIN_RETRY_MS, excess_ms)) * spread
+        jitter_factor = 1.0 + RETRY_JITTER * self._rng.random()
+        return min(MAX_RETRY_MS, max(MIN_RETRY_MS, excess_ms)) * jitter_factor
 
 
 def expected_wait_ms(estimates_ms: Sequence[float], load: LocalLoad) -> float:
@@ -142,17 +142,18 @@
         return float("inf")
     # The longest task starts first, so the last start waits for all tasks of the job
     # except the shortest.
-    work = sum(estimates_ms) - min(estimates_ms)
+    work_ms = sum(estimates_ms) - min(estimates_ms)
     # Fair queueing: the job waits for the whole backlog or, if most of that belongs to
     # other customers, for its customer's own backlog at the customer's share of the
     # slots, whichever is shorter.
-    behind_all = (load.running_ms + load.backlog_ms + work) / load.slots
-    share = max(1.0, load.slots * load.fair_share)
-    behind_customer = (
-        load.running_ms / load.slots + (load.customer_backlog_ms + work) / share
+    wait_behind_all_ms = (load.running_ms + load.backlog_ms + work_ms) / load.slots
+    share_slots = max(1.0, load.slots * load.fair_share)
+    wait_behind_customer_ms = (
+        load.running_ms / load.slots
+        + (load.customer_backlog_ms + work_ms) / share_slots
     )
-    quota = (load.customer_backlog_ms + work) / max(1, load.customer_slots)
-    return max(min(behind_all, behind_customer), quota)
+    quota_wait_ms = (load.customer_backlog_ms + work_ms) / max(1, load.customer_slots)
+    return max(min(wait_behind_all_ms, wait_behind_customer_ms), quota_wait_ms)
 
 
 def _excess_ms(
@@ -160,20 +161,20 @@
     estimates_ms: Sequence[float],
     contract: Contract,
     load: LocalLoad,
-    wait: float,
+    wait_ms: float,
 ) -> float:
     """Return by how much the expected response exceeds the allowed time."""
     longest = max(estimates_ms)
     shortest = min(estimates_ms)
     # A job with more tasks than slots has to wait for its own tasks. That wait is added
     # to its bounds; otherwise it would never be admitted, not even on an idle host.
-    self_wait = _self_wait_ms(estimates_ms, load)
-    idle_response = max(longest, self_wait + shortest) + ROUND_TRIP_MS
-    response = max(longest, wait + shortest) + ROUND_TRIP_MS
+    self_wait_ms = _self_wait_ms(estimates_ms, load)
+    idle_response_ms = max(longest, self_wait_ms + shortest) + ROUND_TRIP_MS
+    response_ms = max(longest, wait_ms + shortest) + ROUND_TRIP_MS
     return max(
-        response - contract.tail_over_ideal * idle_response,
-        wait - self_wait - contract.max_wait_ms,
-        response - request.deadline_ms,
+        response_ms - contract.tail_over_ideal * idle_response_ms,
+        wait_ms - self_wait_ms - contract.max_wait_ms,
+        response_ms - request.deadline_ms,
     )
 
 
@@ -185,7 +186,9 @@
 
 
 def _covers(large: tuple[int, ...], small: tuple[int, ...]) -> bool:
-    return all(has >= needs for has, needs in zip(large, small, strict=True))
+    return all(
+        available >= needed for available, needed in zip(large, small, strict=True)
+    )
 
 
 def _distinct(tasks: Iterable[TaskSpec]) -> Iterable[TaskSpec]:
--- a/jackdawspur/scheduling/_customer_queue.py
+++ b/jackdawspur/scheduling/_customer_queue.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 
 from jackdawspur.model import Objective, TaskSpec
-from jackdawspur.scheduling._job import MS, QueuedJob
+from jackdawspur.scheduling._job import MS_PER_S, QueuedJob
 
 __all__ = ["CustomerQueue", "WaitingJob"]
 
 # Seconds that each remaining slot-second adds to a job's virtual start time. Higher
-# values come closer to shortest job first, which completes most jobs soonest; zero is
-# earliest latest-start first.
+# values come closer to shortest job first, which completes most jobs soonest; with zero
+# the job with the earliest latest start time is first.
 WORK_PENALTY = 2.0
 # Maximum of this penalty, as a fraction of the time from arrival to deadline.
 MAX_PENALTY_FRACTION = 0.5
@@ -71,7 +71,7 @@
         return index
 
     def requeue(self, index: int) -> None:
-        """Return a task that didn't start to the waiting ones."""
+        """Add a task that didn't start to the waiting ones again."""
         self.remaining_ms += self.job.estimates_ms[index]
         bisect.insort(
             self.waiting_indexes, index, key=self.job.estimates_ms.__getitem__
@@ -82,9 +82,9 @@
         if not self.waiting_indexes:
             return self._due
         job = self.job
-        latest_start = self._due - job.estimates_ms[self.waiting_indexes[-1]] / MS
+        latest_start = self._due - job.estimates_ms[self.waiting_indexes[-1]] / MS_PER_S
         penalty = min(
-            WORK_PENALTY * self.remaining_ms / MS,
+            WORK_PENALTY * self.remaining_ms / MS_PER_S,
             MAX_PENALTY_FRACTION * (job.deadline - job.arrived),
         )
         return latest_start + penalty
@@ -93,12 +93,13 @@
 class CustomerQueue:
     """One customer's waiting jobs, its weight and the service it received.
 
-    `service` is in slot-seconds, divided by the weight.
+    `service` is in slot-seconds, divided by the weight. `entry` is the number of the
+    queue's valid entry in the heap of `JobQueue`, or 0 if it has none.
     """
 
     __slots__ = (
         "_stale_entries",
-        "_entries",
+        "_entry_count",
         "_jobs",
         "backlog_ms",
         "entry",
@@ -116,7 +117,7 @@
         self.backlog_ms = 0.0
         self.entry = 0
         self._jobs: list[tuple[float, int, int, WaitingJob]] = []
-        self._entries = 0
+        self._entry_count = 0
         self._stale_entries = 0
 
     def head(self) -> WaitingJob | None:
@@ -132,12 +133,12 @@
 
     def push(self, job: WaitingJob) -> bool:
         """Add a job or update its position; return whether it is the head now."""
-        self._entries += 1
+        self._entry_count += 1
         job.version += 1
         if job.in_queue:
             self._stale_entries += 1
         job.in_queue = True
-        heapq.heappush(self._jobs, (job.key, self._entries, job.version, job))
+        heapq.heappush(self._jobs, (job.key, self._entry_count, job.version, job))
         return self._jobs[0][3] is job
 
     def pop(self) -> None:
@@ -152,9 +153,9 @@
             heapq.heappop(self._jobs)
             job.in_queue = False
         elif job.key != self._jobs[0][0]:
-            self._entries += 1
+            self._entry_count += 1
             job.version += 1
-            entry = (job.key, self._entries, job.version, job)
+            entry = (job.key, self._entry_count, job.version, job)
             heapq.heapreplace(self._jobs, entry)
 
     def record_removed(self) -> None:
--- a/jackdawspur/scheduling/_job.py
+++ b/jackdawspur/scheduling/_job.py
@@ -6,7 +6,7 @@
 
 __all__ = ["ROUND_TRIP_MS", "NextTask", "QueuedJob", "Reservation", "Urgency"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 ROUND_TRIP_MS = 1.0
 
 
@@ -26,7 +26,7 @@
     def due(self) -> float:
         """Return when the answer is due by contract and deadline, in seconds."""
         ideal_ms = max(self.estimates_ms) + ROUND_TRIP_MS
-        contracted = self.arrived + self.contract.tail_over_ideal * ideal_ms / MS
+        contracted = self.arrived + self.contract.tail_over_ideal * ideal_ms / MS_PER_S
         return min(contracted, self.deadline)
 
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """A request to start nothing else on one upstream that can hold `spec`."""
+    """A request to keep one upstream that can run `spec` free of other tasks."""
 
     job: QueuedJob
     spec: TaskSpec
--- a/jackdawspur/scheduling/_peer_selector.py
+++ b/jackdawspur/scheduling/_peer_selector.py
@@ -39,7 +39,7 @@
 
 
 class PeerSelector:
-    """Select hosts by their last reported load and the work sent to them since.
+    """Selects hosts by their last reported load and the work sent to them since.
 
     A job may be delegated only once; the caller of `choose` must ensure that.
     """
@@ -88,7 +88,7 @@
         # (power of two choices) prevents them from all sending their jobs to the host
         # that was least loaded at that time.
         sample = self._rng.sample(candidates, min(2, len(candidates)))
-        target = min(sample, key=lambda m: m.wait_ms)
+        target = min(sample, key=lambda candidate: candidate.wait_ms)
         self._record_sent(target.host, estimates_ms)
         return target
 
--- a/jackdawspur/scheduling/_queue.py
+++ b/jackdawspur/scheduling/_queue.py
@@ -5,7 +5,13 @@
 
 from jackdawspur.model import Customer, SubmissionId, TaskSpec
 from jackdawspur.scheduling._customer_queue import CustomerQueue, WaitingJob
-from jackdawspur.scheduling._job import MS, NextTask, QueuedJob, Reservation, Urgency
+from jackdawspur.scheduling._job import (
+    MS_PER_S,
+    NextTask,
+    QueuedJob,
+    Reservation,
+    Urgency,
+)
 from jackdawspur.scheduling._unschedulable import UnschedulablePool
 
 __all__ = ["JobQueue"]
@@ -14,8 +20,8 @@
 MayStart = Callable[[str], bool]
 
 # Seconds that each slot-second of service to a customer adds to the virtual start times
-# of its jobs. High values approach strict fair queueing, zero is earliest latest-start
-# first.
+# of its jobs. High values approach strict fair queueing; with zero the job with the
+# earliest latest start time is first.
 SERVICE_PENALTY = 0.1
 # Slot-seconds by which the service to a customer that was idle may lag behind that to
 # the others.
@@ -24,7 +30,7 @@
 LOOKAHEAD = 32
 # Seconds between retries of unschedulable tasks and of customers at their quota when no
 # change is reported. Capacity may appear without a report by the caller, such as a lent
-# slot or a readmitted upstream; a job alone in the queue would then wait for ever.
+# slot or a readmitted upstream; a job alone in the queue would then wait forever.
 RECHECK_INTERVAL_S = 0.1
 # Number of waiting jobs above which a new job is assumed to start after all of them.
 MAX_JOBS_COMPARED = 256
@@ -38,7 +44,7 @@
 
 
 class JobQueue:
-    """Waiting tasks, ordered fairly between customers and by urgency within each.
+    """Waiting tasks, ordered fairly between customers and by urgency within a customer.
 
     This is start-time fair queueing on slot-seconds. Estimates are replaced by measured
     run times, so a wrong declaration brings no advantage beyond one task.
@@ -53,7 +59,7 @@
         self._at_quota: set[str] = set()
         self._active: set[CustomerQueue] = set()
         self._last_service = 0.0
-        self._entries = 0
+        self._entry_count = 0
         self._rechecked_at = float("-inf")
         self._waiting = 0
         self._backlog_ms = 0.0
@@ -107,14 +113,14 @@
         """Add a task again that its upstream refused to start."""
         customer_queue = self._queue_of(job.customer)
         estimate = job.estimates_ms[index]
-        customer_queue.service -= estimate / MS / customer_queue.weight
-        waiting = self._jobs.get(job.submission)
-        if waiting is None:
+        customer_queue.service -= estimate / MS_PER_S / customer_queue.weight
+        waiting_job = self._jobs.get(job.submission)
+        if waiting_job is None:
             self._insert(WaitingJob(job, (index,)))
             return
-        waiting.requeue(index)
+        waiting_job.requeue(index)
         self._add_to_counts(customer_queue, 1, estimate)
-        self._push_job(waiting, customer_queue)
+        self._push_job(waiting_job, customer_queue)
 
     def next_task(
         self, now: float, fits: Fits, may_start: MayStart = _always
@@ -142,7 +148,7 @@
         """Charge the customer the measured run time instead of the estimate."""
         customer_queue = self._queue_of(job.customer)
         excess_ms = run_ms - job.estimates_ms[index]
-        customer_queue.service += excess_ms / MS / customer_queue.weight
+        customer_queue.service += excess_ms / MS_PER_S / customer_queue.weight
         self.capacity_changed()
         self._at_quota.discard(customer_queue.name)
         # A queue that was charged too little is moved when it reaches the top.
@@ -223,7 +229,7 @@
         index = job.pop_longest_task()
         estimate = job.job.estimates_ms[index]
         self._last_service = customer_queue.service
-        customer_queue.service += estimate / MS / customer_queue.weight
+        customer_queue.service += estimate / MS_PER_S / customer_queue.weight
         self._add_to_counts(customer_queue, -1, -estimate)
         customer_queue.advance(job)
         if not job.waiting_indexes:
@@ -256,8 +262,8 @@
         if job is None:
             customer_queue.entry = 0
             return
-        self._entries += 1
-        customer_queue.entry = self._entries
+        self._entry_count += 1
+        customer_queue.entry = self._entry_count
         entry = (self._key(job, customer_queue), customer_queue.entry, customer_queue)
         # The queue that was just served is on top of the heap and replaced in place.
         if self._order and self._order[0][2] is customer_queue:
--- a/jackdawspur/scheduling/_run_times.py
+++ b/jackdawspur/scheduling/_run_times.py
@@ -19,9 +19,9 @@
 MIN_TASK_WEIGHT = 0.02
 # Weight of the prior estimate, in ended tasks.
 PRIOR_WEIGHT = 2.0
-# A class with more ended tasks no longer uses its customer's overall history as prior,
-# and updates that only at every OVERALL_UPDATE_INTERVAL-th task, which halves the cost
-# of an ended task.
+# A class with more ended tasks than CLASS_LEARNED_AFTER no longer uses its customer's
+# overall history as prior. It updates that history only at every
+# OVERALL_UPDATE_INTERVAL-th task, which halves the cost of an ended task.
 CLASS_LEARNED_AFTER = 32
 OVERALL_UPDATE_INTERVAL = 8
 # Limits the influence of one straggler: once a history has more than
@@ -112,7 +112,7 @@
 
 
 class RunTimeEstimator:
-    """Estimate run times by customer and class from ended tasks.
+    """Estimates run times by customer and class from ended tasks.
 
     A regression on log scale corrects a constant factor in declarations and ignores
     uninformative ones. A new class starts from the history of all its customer's tasks,
@@ -163,7 +163,7 @@
             self._history(self._customers, customer).add(declared, run)
 
     def moments(self) -> Iterator[tuple[tuple[str, str], Moments]]:
-        """Yield keys (customer, class) with moments, the latest updated first.
+        """Yield keys (customer, class) with moments, the most recently updated first.
 
         The empty class name stands for all classes of the customer.
         """
@@ -210,7 +210,7 @@
 
 
 def _blend(history: _History | None, declared: float, prior: float) -> float:
-    """Return the history's log estimate, weighted with the prior one."""
+    """Return the weighted mean of the history's log estimate and the prior one."""
     if history is None:
         return prior
     learned = history.expected(declared) + history.noise / 2
--- a/jackdawspur/scheduling/_unschedulable.py
+++ b/jackdawspur/scheduling/_unschedulable.py
@@ -18,24 +18,24 @@
 
 
 class UnschedulablePool:
-    """Unschedulable jobs by the size of their next task, so that others overtake them.
+    """Unschedulable jobs by the size of their next task; others can overtake them.
 
     Without the pool one large task at the head would block all small ones. Without the
-    reservation small tasks could delay the large one for ever.
+    reservation small tasks could delay the large one forever.
     """
 
     def __init__(self) -> None:
         self._jobs_by_size: dict[TaskSize, list[tuple[float, int, WaitingJob]]] = {}
-        self._entries = 0
+        self._entry_count = 0
         self._untried = 0
 
     def mark_unschedulable(self, job: WaitingJob, now: float) -> None:
         """Add a job whose next task fits on no upstream."""
         if job.unschedulable_since < 0:
             job.unschedulable_since = now
-        self._entries += 1
+        self._entry_count += 1
         heap = self._jobs_by_size.setdefault(_size(job.spec), [])
-        heapq.heappush(heap, (job.key, self._entries, job))
+        heapq.heappush(heap, (job.key, self._entry_count, job))
 
     def recheck(self) -> None:
         """Let the next call of `pop_schedulable` try sizes again."""
@@ -63,16 +63,16 @@
 
     def overdue(self, now: float) -> WaitingJob | None:
         """Return the most urgent job that has been unschedulable for too long."""
-        best: WaitingJob | None = None
+        most_urgent: WaitingJob | None = None
         for heap in self._jobs_by_size.values():
             _drop_removed(heap)
             if not heap:
                 continue
             job = heap[0][2]
             if now - job.unschedulable_since >= RESERVE_AFTER_S:
-                if best is None or job.key < best.key:
-                    best = job
-        return best
+                if most_urgent is None or job.key < most_urgent.key:
+                    most_urgent = job
+        return most_urgent
 
 
 def _drop_removed(heap: list[tuple[float, int, WaitingJob]]) -> None:
--- a/jackdawspur/scheduling/tests/test_queue.py
+++ b/jackdawspur/scheduling/tests/test_queue.py
@@ -61,10 +61,11 @@
 
 
 def test_burst_of_one_customer_leaves_the_others_tail_alone():
-    """One customer's burst of five times its load delays all others' answers.
+    """One customer's burst delays all others' answers.
 
     For six seconds one of twenty customers sends three times as much as all others
-    together. In order of arrival every later job would wait behind its jobs.
+    together, five times its usual load. In order of arrival every later job would wait
+    behind its jobs.
     """
 
     def p99_of_others(queue, burst):
@@ -91,18 +92,18 @@
     under a new class name each time. If its declarations were used, its jobs would
     start first and it would be charged a tenth of its use.
     """
-    times = RunTimeEstimator()
+    estimator = RunTimeEstimator()
     declared = {"liar": TaskSpec(run_ms=100.0), "honest": TaskSpec(run_ms=1000.0)}
     started = {"liar": 0, "honest": 0}
     for step in range(800):
         for name, spec in declared.items():
             if not queue.waiting(name):
-                estimates = times.estimates_ms(name, f"k{step}", (spec,) * 4)
+                estimates = estimator.estimates_ms(name, f"k{step}", (spec,) * 4)
                 queue.add(make_job(name, estimates, step, step + 60.0, spec))
         task = queue.next_task(float(step), fits_always)
         started[task.job.customer] += 1
         queue.task_ended(task.job, task.index, 1000.0)
-        times.observe(task.job.customer, f"k{step}", task.spec, 1000.0)
+        estimator.observe(task.job.customer, f"k{step}", task.spec, 1000.0)
     assert started["liar"] <= 1.1 * started["honest"]
 
 
@@ -195,9 +196,9 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_every_task_leaves_the_queue_once(queue, make_job, seed):
-    """A task is returned twice or never after refusals, cancels or no free capacity."""
+    """A task starts twice or never after refusals, cancellations or full upstreams."""
     rng = random.Random(seed)
-    out, ends = [], []
+    left_queue, running = [], []
     jobs, cancelled = [], set()
     for step in range(120):
         action = rng.randrange(6)
@@ -210,12 +211,12 @@
             job = rng.choice(jobs)
             if queue.remove(job.submission):
                 cancelled.add(job.submission)
-        elif action == 3 and ends:
-            task = ends.pop(rng.randrange(len(ends)))
+        elif action == 3 and running:
+            task = running.pop(rng.randrange(len(running)))
             if rng.random() < 0.5:
                 queue.task_ended(task.job, task.index, rng.uniform(1.0, 99.0))
             elif task.job.submission not in cancelled:
-                out.remove((task.job.submission, task.index))
+                left_queue.remove((task.job.submission, task.index))
                 queue.requeue(task.job, task.index)
         else:
             small = rng.random() < 0.5
@@ -225,13 +226,13 @@
                 lambda name: rng.random() < 0.8,
             )
             if task:
-                out.append((task.job.submission, task.index))
-                ends.append(task)
-    out += _drain_remaining(queue)
-    assert len(out) == len(set(out))
+                left_queue.append((task.job.submission, task.index))
+                running.append(task)
+    left_queue += _drain_remaining(queue)
+    assert len(left_queue) == len(set(left_queue))
     remaining_jobs = [job for job in jobs if job.submission not in cancelled]
-    wanted = {(j.submission, i) for j in remaining_jobs for i in range(len(j.tasks))}
-    assert wanted <= set(out)
+    expected = {(j.submission, i) for j in remaining_jobs for i in range(len(j.tasks))}
+    assert expected <= set(left_queue)
     assert (queue.waiting(), len(queue)) == (0, 0)
     assert queue.backlog_ms() == pytest.approx(0.0, abs=1e-6)
 
--- a/jackdawspur/scheduling/tests/trial.py
+++ b/jackdawspur/scheduling/tests/trial.py
@@ -123,7 +123,7 @@
 
 
 def declare(rng: random.Random, run: float) -> TaskSpec:
-    """Return a task that declares an often very inaccurate run time."""
+    """Return a task whose declared run time is often very inaccurate."""
     return TaskSpec(run_ms=run * 1000.0 * rng.lognormvariate(0.0, 0.7))
 
 
@@ -135,36 +135,43 @@
 ) -> list[Ended]:
     """Run jobs on `SLOTS` equal slots and return the admitted ones."""
     pending = list(jobs)[::-1]
-    times = RunTimeEstimator()
+    estimator = RunTimeEstimator()
     ends: list[tuple[float, int, NextTask]] = []
     remaining: dict[int, int] = {}
-    known: dict[int, Arrival] = {}
+    arrivals_by_number: dict[int, Arrival] = {}
     ended: list[Ended] = []
     free, now, sequence = SLOTS, 0.0, 0
     while pending or ends:
         if pending and (not ends or pending[-1].at <= ends[0][0]):
             job = pending.pop()
             now, sequence = job.at, sequence + 1
-            queued = _to_queued_job(sequence, job, times, rng)
+            queued = _to_queued_job(sequence, job, estimator, rng)
             if admission and not _is_admitted(admission, queue, queued, free):
                 continue
-            known[sequence], remaining[sequence] = job, len(job.run_times_s)
+            arrivals_by_number[sequence], remaining[sequence] = (
+                job,
+                len(job.run_times_s),
+            )
             queue.add(queued)
         else:
             now, _, task = heapq.heappop(ends)
             free += 1
             number = task.job.submission.sequence
-            arrival = known[number]
+            arrival = arrivals_by_number[number]
             run_ms = arrival.run_times_s[task.index] * 1000.0
             queue.task_ended(task.job, task.index, run_ms)
-            times.observe(arrival.customer, arrival.job_class, task.spec, run_ms)
+            estimator.observe(arrival.customer, arrival.job_class, task.spec, run_ms)
             remaining[number] -= 1
             if not remaining[number]:
                 ended.append(Ended(arrival, _ratio(arrival, now)))
         while free and (task := queue.next_task(now, lambda spec: True)):
             free -= 1
             number = task.job.submission.sequence
-            entry = (now + known[number].run_times_s[task.index], len(ended), task)
+            entry = (
+                now + arrivals_by_number[number].run_times_s[task.index],
+                len(ended),
+                task,
+            )
             heapq.heappush(ends, _Entry(entry))
     return ended
 
@@ -210,10 +217,10 @@
 
 
 def _to_queued_job(
-    sequence: int, job: Arrival, times: RunTimeEstimator, rng: random.Random
+    sequence: int, job: Arrival, estimator: RunTimeEstimator, rng: random.Random
 ) -> QueuedJob:
     tasks = tuple(declare(rng, run) for run in job.run_times_s)
-    estimates = times.estimates_ms(job.customer, job.job_class, tasks)
+    estimates = estimator.estimates_ms(job.customer, job.job_class, tasks)
     submission = SubmissionId(OWNER, sequence)
     return QueuedJob(submission, job.customer, tasks, estimates, job.at, NO_DEADLINE)
 
@@ -249,19 +256,19 @@
 
 
 def main() -> None:
-    """Print p50, p99 and p99.9, the fraction over the bound and that refused."""
+    """Print p50, p99, p99.9, the fraction over the bound and the fraction refused."""
     for load in (0.7, 0.9):
         jobs = arrivals(random.Random(7), load, COUNT)
-        for name, make in ORDERS.items():
-            ended = run(make(), jobs, random.Random(8))
+        for name, make_queue in ORDERS.items():
+            ended = run(make_queue(), jobs, random.Random(8))
             report(f"{load:.0%} {name}", ended, len(jobs))
         ended = run(
             JobQueue(), jobs, random.Random(8), AdmissionController(random.Random(9))
         )
         report(f"{load:.0%} chosen, with admission", ended, len(jobs))
     jobs = with_burst(arrivals(random.Random(7), 0.7, COUNT), random.Random(9))
-    for name, make in ORDERS.items():
-        ended = run(make(), jobs, random.Random(8))
+    for name, make_queue in ORDERS.items():
+        ended = run(make_queue(), jobs, random.Random(8))
         ended = [end for end in ended if end.arrival.customer != BURST_CUSTOMER]
         report(f"70% and burst, others: {name}", ended, len(ended))
 
