--- a/jackdawspur/fuzz/tests/test_entries.py
+++ b/jackdawspur/fuzz/tests/test_entries.py
@@ -31,8 +31,10 @@
     store._listener = SimpleNamespace(
         on_upstreams=upstreams.extend, on_hosts=hosts.extend
     )
-    store._servers_wrote({name: data, OTHER: with_changes(VALID_UPSTREAM_ENTRY)}, True)
-    store._hosts_wrote({name: data, OTHER: with_changes(VALID_HOST_ENTRY)}, True)
+    store._on_server_records(
+        {name: data, OTHER: with_changes(VALID_UPSTREAM_ENTRY)}, True
+    )
+    store._on_host_records({name: data, OTHER: with_changes(VALID_HOST_ENTRY)}, True)
     assert all(isinstance(entry, UpstreamEntry) for entry in upstreams)
     assert all(isinstance(host, HostAddress) for host in hosts)
     assert any(entry.id.name == OTHER for entry in upstreams)
--- a/jackdawspur/platform/_bodies.py
+++ b/jackdawspur/platform/_bodies.py
@@ -1,7 +1,8 @@
 """Wire formats of the platform's JSON bodies.
 
-All field names are the platform's. The product's types into which these are translated
-document the fields. Unknown fields are ignored, as the platform may add some.
+All field names are the platform's. The fields are documented in the product's types, to
+which the bodies are translated. Unknown fields are ignored, as the platform may add
+some.
 """
 
 import msgspec
@@ -38,7 +39,7 @@
 
 
 class JobBody(msgspec.Struct):
-    """Wire format of a job; with `best_effort` it needn't outlive its request."""
+    """Wire format of a job; a `best_effort` job needn't outlive its request."""
 
     steps: list[StepBody]
     spec: str = ""
@@ -50,7 +51,8 @@
 class RouteBody(msgspec.Struct):
     """Wire format of a route.
 
-    The objective for a response is the work times `stretch`, plus `slo_ms`.
+    The target response time is the work on the longest chain of steps times `stretch`,
+    plus `slo_ms`.
     """
 
     name: str
--- a/jackdawspur/platform/_callers.py
+++ b/jackdawspur/platform/_callers.py
@@ -22,7 +22,7 @@
 MAX_SPEC_BYTES = 4000
 MAX_TASKS = 10_000
 JOB_ID_DIGITS = 16
-MAX_WAIT_DIGITS = 9
+MAX_TIMEOUT_DIGITS = 9
 MS_PER_S = 1000.0
 STATUS_BY_END = {
     JobEnd.COMPLETE: 200,
@@ -51,7 +51,7 @@
 
 
 class PlatformCallerCodec(CallerPort):
-    """Decode callers' requests and encode the replies."""
+    """Decodes callers' requests and encodes the replies."""
 
     def decode_call(
         self, call: Call, routes: RouteTable
@@ -101,8 +101,8 @@
         if state is not None:
             return HttpResponse(status, msgspec.json.encode(_StateReply(state)))
         body = _ErrorReply(outcome.reason, outcome.not_run)
-        retry = math.ceil(outcome.retry_after_s)
-        return HttpResponse(status, msgspec.json.encode(body), retry)
+        retry_after_s = math.ceil(outcome.retry_after_s)
+        return HttpResponse(status, msgspec.json.encode(body), retry_after_s)
 
     def encode_waiting_count(self, waiting: int) -> HttpResponse:
         """Return the reply to a request for the number of waiting jobs."""
@@ -122,7 +122,7 @@
         return HttpResponse(503, body, retry_after_s=1)
 
     def decode_configuration(self, document: bytes) -> RouteTable:
-        """Return the routes of a configuration; raise `ConfigurationDecodeError`."""
+        """Return the routes; raise `ConfigurationDecodeError` for invalid data."""
         try:
             body = _decode_configuration(document)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -156,19 +156,19 @@
     gang_or_speculative = any(step.gang or step.speculative for step in body.steps)
     if not body.best_effort or body.repeat_count or long_running or gang_or_speculative:
         return _error_response(503, "this host doesn't serve jobs of this kind")
-    steps = tuple(_to_step(number, step) for number, step in enumerate(body.steps))
+    steps = tuple(_to_step(index, step) for index, step in enumerate(body.steps))
     if sum(step.count for step in steps) > MAX_TASKS:
         raise ValueError(f"steps: at most {MAX_TASKS} tasks expected")
     return JobRequest(job_id, body.spec, steps, route)
 
 
-def _to_step(number: int, body: StepBody) -> JobStep:
+def _to_step(index: int, body: StepBody) -> JobStep:
     if body.count < 1:
-        raise ValueError(f"steps[{number}].count: at least 1 expected")
+        raise ValueError(f"steps[{index}].count: at least 1 expected")
     if min(body.cpu, body.mem_mb, body.gpus, body.max_per_server) < 0:
-        raise ValueError(f"steps[{number}]: numbers must not be negative")
-    if any(not 0 <= earlier < number for earlier in body.after):
-        raise ValueError(f"steps[{number}].after: indexes of earlier steps expected")
+        raise ValueError(f"steps[{index}]: numbers must not be negative")
+    if any(not 0 <= earlier < index for earlier in body.after):
+        raise ValueError(f"steps[{index}].after: indexes of earlier steps expected")
     return JobStep(
         count=body.count,
         resources=Resources(body.cpu, body.mem_mb, body.gpus),
@@ -187,7 +187,9 @@
 
 def _caller_timeout_s(text: str | None) -> float | None:
     digits = (text or "").strip()
-    if not (digits.isascii() and digits.isdigit() and len(digits) <= MAX_WAIT_DIGITS):
+    if not (
+        digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMEOUT_DIGITS
+    ):
         return None
     return int(digits) / MS_PER_S
 
--- a/jackdawspur/platform/_entries.py
+++ b/jackdawspur/platform/_entries.py
@@ -19,11 +19,12 @@
 
 READY = "ready"
 DRAINING = "draining"
-# Upper bound of each resource, far above that of any machine; a larger number is wrong.
+# Upper bound of each resource, far above what any machine has; a larger value is
+# invalid.
 MAX_RESOURCE = 1 << 40
-# Milliseconds since 1970 until the year 2200.
+# Start of the year 2200, in milliseconds since 1970.
 MAX_STARTED_MS = 7_258_118_400_000
-MAX_PROCESSOR = 1024.0
+MAX_PROCESSOR_CORES = 1024.0
 
 _decode_server = msgspec.json.Decoder(ServerBody).decode
 _decode_host = msgspec.json.Decoder(HostBody).decode
@@ -34,7 +35,7 @@
 
 
 def read_upstream(name: str, value: bytes) -> UpstreamEntry:
-    """Return an upstream's entry; raise `EntryDecodeError`."""
+    """Return an upstream's entry; raise `EntryDecodeError` if it is invalid."""
     body = _decode(_decode_server, value)
     if not name or not body.service or not body.zone:
         raise EntryDecodeError("name, service or zone is empty")
@@ -52,14 +53,16 @@
 
 
 def read_host(value: bytes) -> HostAddress:
-    """Return a host's entry; raise `EntryDecodeError`."""
+    """Return a host's entry; raise `EntryDecodeError` if it is invalid."""
     body = _decode(_decode_host, value)
     if not body.name or not body.zone:
         raise EntryDecodeError("name or zone is empty")
     _check_address("link", body.link)
     if not 0 <= body.started_ms <= MAX_STARTED_MS:
         raise EntryDecodeError(f"started_ms: {body.started_ms} is out of range")
-    if not (math.isfinite(body.processor) and 0 < body.processor <= MAX_PROCESSOR):
+    if not (
+        math.isfinite(body.processor) and 0 < body.processor <= MAX_PROCESSOR_CORES
+    ):
         raise EntryDecodeError(f"processor: {body.processor} is out of range")
     return HostAddress(body.name, body.zone, body.link, body.started_ms, body.processor)
 
--- a/jackdawspur/platform/_settings.py
+++ b/jackdawspur/platform/_settings.py
@@ -46,9 +46,9 @@
         "processor": _processor_cores(fields),
         "link_mbps": fields.get("limits.link_mbps"),
     }
-    set_values = {name: value for name, value in values.items() if value}
+    given_values = {name: value for name, value in values.items() if value}
     return check_host_settings(
-        set_values, path, display_names=_PLATFORM_FIELD_NAMES, numbers_as_text=True
+        given_values, path, display_names=_PLATFORM_FIELD_NAMES, numbers_as_text=True
     )
 
 
--- a/jackdawspur/platform/_store.py
+++ b/jackdawspur/platform/_store.py
@@ -30,15 +30,16 @@
 CONFIGURATION_KEY = "config"
 EVACUATE_PREFIX = "evacuate/"
 NO_PAUSE_S = 0.0
-# Hosts that start at the same time find each other by this topic, so it is read without
-# pauses at first. Later hosts become known by their heartbeats, and the topic is only
-# needed for hosts whose heartbeats get lost.
+# Hosts that start at the same time find each other through this topic, so at first it
+# is read without pauses. Later hosts become known through their heartbeats, and the
+# topic is only needed for hosts whose heartbeats are lost.
 STARTUP_S = 5.0
 HOSTS_INTERVAL_S = 2.0
 ANNOUNCE_TIMEOUT_S = 1.0
 ANNOUNCE_RETRY_S = 0.3
-# Time in which a missing entry still counts. An upstream whose entry expired while the
-# store was unavailable writes it again within two seconds of the store's return.
+# Time for which an upstream stays in use after its entry is missing. An upstream whose
+# entry expired while the store was unavailable writes it again within two seconds after
+# the store is available again.
 MISSING_ENTRY_GRACE_S = 2.5
 # Bounds on the number of invalid entries that are remembered as logged, and on the
 # logged length of names: a faulty writer may write many entries with long names.
@@ -51,7 +52,7 @@
 
 
 class PlatformStore(StorePort):
-    """Watch configuration, upstreams and hosts in the store, and announce this host."""
+    """Watches configuration, upstreams and hosts in the store; announces this host."""
 
     def __init__(self, address: str, owner: Component, timer_queue: TimerQueue) -> None:
         limits = HttpClientLimits(
@@ -67,7 +68,7 @@
         # The last logged error of each invalid entry, so that each is logged once.
         self._logged_errors: dict[str, str] = {}
         self._reachable = True
-        self._unannounced: HostAddress | None = None
+        self._pending_announcement: HostAddress | None = None
         self._watch_started_at = timer_queue.now
 
     def start_watch(self, listener: StoreListener) -> None:
@@ -75,13 +76,13 @@
         self._listener = listener
         self._watch_started_at = self._timer_queue.now
         for topic, on_change, pause_s in (
-            (OPERATOR_TOPIC, self._operator_wrote, lambda: NO_PAUSE_S),
+            (OPERATOR_TOPIC, self._on_operator_records, lambda: NO_PAUSE_S),
             (
                 SERVERS_TOPIC,
-                self._servers_wrote,
+                self._on_server_records,
                 lambda: listener.upstream_list_interval_s,
             ),
-            (HOSTS_TOPIC, self._hosts_wrote, self._hosts_pause_s),
+            (HOSTS_TOPIC, self._on_host_records, self._hosts_pause_s),
         ):
             KeyedTopic(
                 topic,
@@ -103,14 +104,14 @@
 
         def done(result: Result[ClientResponse, PlatformError]) -> None:
             if result.is_err() or result.ok_value.status != 200:
-                self._unannounced = host
+                self._pending_announcement = host
                 self._timer_queue.call_later(ANNOUNCE_RETRY_S, self._retry_announcement)
 
         path = f"/log-append?topic={HOSTS_TOPIC}&part=0"
         self._client.request("POST", path, data, ANNOUNCE_TIMEOUT_S, done)
 
     def _retry_announcement(self) -> None:
-        host, self._unannounced = self._unannounced, None
+        host, self._pending_announcement = self._pending_announcement, None
         if host is not None:
             self.announce(host)
 
@@ -127,7 +128,9 @@
             self._reachable = reachable
             self._listener.on_store_reachability(reachable, reason)
 
-    def _operator_wrote(self, changed: dict[str, bytes], is_snapshot: bool) -> None:
+    def _on_operator_records(
+        self, changed: dict[str, bytes], is_snapshot: bool
+    ) -> None:
         self._read_evacuated(changed, is_snapshot)
         document = changed.get(CONFIGURATION_KEY)
         if not document:
@@ -154,7 +157,7 @@
             self._evacuated = evacuated
             self._listener.on_evacuated_zones(frozenset(evacuated))
 
-    def _servers_wrote(self, changed: dict[str, bytes], is_snapshot: bool) -> None:
+    def _on_server_records(self, changed: dict[str, bytes], is_snapshot: bool) -> None:
         """Update the upstreams; a missing entry is dropped only after a grace time."""
         now = self._timer_queue.now
         if is_snapshot:
@@ -179,7 +182,7 @@
                 del self._missing_since[name]
         self._listener.on_upstreams(tuple(self._entries.values()))
 
-    def _hosts_wrote(self, changed: dict[str, bytes], is_snapshot: bool) -> None:
+    def _on_host_records(self, changed: dict[str, bytes], is_snapshot: bool) -> None:
         hosts = []
         for name, value in changed.items():
             if not value:
--- a/jackdawspur/platform/_topics.py
+++ b/jackdawspur/platform/_topics.py
@@ -14,13 +14,13 @@
 
 __all__ = ["KeyedTopic", "RecordsDecodeError"]
 
-# The store answers a long poll after at most this time. A missing answer reveals that
-# the connection became unresponsive. With ANSWER_S added that is detected within the
-# 3 s in which a host may be disturbed after such a loss, and with half as many calls as
-# a wait of 1 s would need.
+# The store answers a long poll after at most this time. A missing reply means that
+# the connection became unresponsive. With REPLY_TIMEOUT_S added that is detected within
+# the 3 s for which a host may be disturbed by such a loss, and with half as many calls
+# as a wait of 1 s would need.
 LONG_POLL_WAIT_MS = 2000
 REPLY_TIMEOUT_S = 0.6
-RETRY_S = 0.15
+RETRY_DELAY_S = 0.15
 MS_PER_S = 1000.0
 GONE = 410
 
@@ -34,7 +34,7 @@
 
 
 class KeyedTopic:
-    """Read the newest record of each key and then follow all changes.
+    """Reads the newest record of each key and then follows all changes.
 
     `on_change` gets the values by key, where an empty value means a deleted key, and a
     flag that is true if these are all keys. `on_reachability` gets a flag and the
@@ -76,13 +76,13 @@
 
     def _on_page(self, result: Result[ClientResponse, PlatformError]) -> None:
         if not self._check_reply(result):
-            self._timer_queue.call_later(RETRY_S, self.start)
+            self._timer_queue.call_later(RETRY_DELAY_S, self.start)
             return
         try:
             page = _decode_page(result.ok_value.body)
         except msgspec.DecodeError as error:
             self._on_reachability(False, f"{self._topic}: {error}")
-            self._timer_queue.call_later(RETRY_S, self.start)
+            self._timer_queue.call_later(RETRY_DELAY_S, self.start)
             return
         # Pages are not a snapshot. Records written while they are read are followed
         # from the end offset of the first page.
@@ -108,13 +108,13 @@
             self.start()
             return
         if not self._check_reply(result):
-            self._timer_queue.call_later(RETRY_S, self._follow)
+            self._timer_queue.call_later(RETRY_DELAY_S, self._follow)
             return
         try:
             changed, record_count = _decode_records(result.ok_value.body)
         except RecordsDecodeError as error:
             self._on_reachability(False, f"{self._topic}: {error}")
-            self._timer_queue.call_later(RETRY_S, self.start)
+            self._timer_queue.call_later(RETRY_DELAY_S, self.start)
             return
         self._offset += record_count
         self._on_change(changed, False)
--- a/jackdawspur/platform/_upstreams.py
+++ b/jackdawspur/platform/_upstreams.py
@@ -64,7 +64,7 @@
 
 
 class PlatformUpstreamClient(UpstreamPort):
-    """Call upstreams over persistent connections, sending each call at most once."""
+    """Calls upstreams over persistent connections, sending each call at most once."""
 
     def __init__(self, owner: Component, timer_queue: TimerQueue) -> None:
         self._owner = owner
@@ -122,8 +122,8 @@
                     max_connections=MAX_CONNECTIONS, connect_timeout_s=CONNECT_TIMEOUT_S
                 ),
             ).register(self._owner)
-        # An upstream has another name in each incarnation, and refuses calls that
-        # expect another one.
+        # Each incarnation of an upstream has a different name, and refuses calls that
+        # expect the name of another one.
         headers = (("X-Expect-Instance", effect.upstream.name),)
         client.request("POST", path, body, effect.timeout_s, done, headers)
 
@@ -161,11 +161,11 @@
 
 
 def _to_running_run(row: list) -> RunningRun:
-    """Decode ``[task, run, saved, percent, ...]``."""
+    """Decode ``[task, run, checkpoint, percent, ...]``."""
     return RunningRun(RunId(str(row[0]), int(row[1])), str(row[2]), float(row[3]))
 
 
 def _to_ended_run(row: list) -> EndedRun:
-    """Decode ``[number, task, run, how, saved]``."""
+    """Decode ``[number, task, run, result, checkpoint]``."""
     run = RunId(str(row[1]), int(row[2]))
     return EndedRun(int(row[0]), run, RunResult(row[3]), str(row[4]))
--- a/jackdawspur/platform/tests/test_entries.py
+++ b/jackdawspur/platform/tests/test_entries.py
@@ -128,16 +128,16 @@
     # Guards against jobs sent to an address that no longer is an upstream's: another
     # writer had overwritten its entry, and the previous entry stayed in use.
     names = ("i-1", "i-2")
-    store._servers_wrote(
+    store._on_server_records(
         {name: with_changes(VALID_UPSTREAM_ENTRY) for name in names}, True
     )
     with caplog.at_level(logging.WARNING):
         for _ in range(3):
-            store._servers_wrote(
+            store._on_server_records(
                 {"i-1": with_changes(VALID_UPSTREAM_ENTRY, state="?")}, False
             )
     assert [entry.id.name for entry in reported_upstreams[-1]] == ["i-2"]
     (line,) = caplog.records
     assert "state" in line.reason
-    store._servers_wrote({"i-1": with_changes(VALID_UPSTREAM_ENTRY)}, False)
+    store._on_server_records({"i-1": with_changes(VALID_UPSTREAM_ENTRY)}, False)
     assert {entry.id.name for entry in reported_upstreams[-1]} == set(names)
--- a/jackdawspur/platform/tests/test_evacuated.py
+++ b/jackdawspur/platform/tests/test_evacuated.py
@@ -25,20 +25,20 @@
 
 
 def test_zone_is_evacuated_until_its_key_is_deleted(store, reported_zones):
-    store._operator_wrote({KEY: b"{}"}, False)
-    store._operator_wrote({"evacuate/z2": b"{}"}, False)
-    store._operator_wrote({KEY: b""}, False)
+    store._on_operator_records({KEY: b"{}"}, False)
+    store._on_operator_records({"evacuate/z2": b"{}"}, False)
+    store._on_operator_records({KEY: b""}, False)
     assert reported_zones == [{"z1"}, {"z1", "z2"}, {"z2"}]
 
 
 def test_key_missing_in_a_snapshot_ends_the_evacuation(store, reported_zones):
-    store._operator_wrote({KEY: b"{}"}, False)
-    store._operator_wrote({}, True)
+    store._on_operator_records({KEY: b"{}"}, False)
+    store._on_operator_records({}, True)
     assert reported_zones == [{"z1"}, frozenset()]
 
 
 def test_unchanged_zones_are_reported_once(store, reported_zones):
     for is_snapshot in (True, False, True):
-        store._operator_wrote({KEY: b"{}"}, is_snapshot)
-    store._operator_wrote({"wave/1": b"{}"}, False)
+        store._on_operator_records({KEY: b"{}"}, is_snapshot)
+    store._on_operator_records({"wave/1": b"{}"}, False)
     assert reported_zones == [{"z1"}]
--- a/jackdawspur/platform/tests/test_upstreams.py
+++ b/jackdawspur/platform/tests/test_upstreams.py
@@ -14,7 +14,7 @@
 
 
 class AnsweringClient:
-    """Answer each request with the same body."""
+    """Answers each request with the same body."""
 
     body = b""
 
