--- a/jackdawspur/links/_codec.py
+++ b/jackdawspur/links/_codec.py
@@ -27,7 +27,7 @@
 
 
 class LinkError(JackdawspurError):
-    """Base of errors on links between entry hosts."""
+    """Base class of errors on links between entry hosts."""
 
 
 class MessageDecodeError(LinkError):
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A message between two host incarnations; `sent_at` in the sender's seconds."""
+    """A message between two host incarnations; `sent_at` is by the sender's clock."""
 
     sender: HostId
     to: HostId
--- a/jackdawspur/links/_stale.py
+++ b/jackdawspur/links/_stale.py
@@ -5,11 +5,12 @@
 __all__ = ["MAX_AGE_S", "StaleFilter"]
 
 MAX_AGE_S = 2.0
+# Assumed drift between the clocks of two hosts, in seconds per second.
 OFFSET_DRIFT_S_PER_S = 0.001
 
 
 class StaleFilter:
-    """Detect messages that a link delivers late, after a network partition.
+    """Detects messages that a link delivers late, after a network partition.
 
     During a partition a few messages stay in the link's queue and are delivered when it
     ends. A delegated job or a slot grant among them is obsolete, as its owner has given
--- a/jackdawspur/links/_validation.py
+++ b/jackdawspur/links/_validation.py
@@ -18,8 +18,8 @@
 def is_valid_message(message: Message) -> bool:
     """Return whether a message's times are finite and its request is valid.
 
-    NaN has no place in a sorted order. As a deadline it would block all other timers of
-    the host, and callers would no longer get answers.
+    NaN can't be sorted. As a deadline it would block all other timers of the host, and
+    callers would no longer get answers.
     """
     match message:
         case Delegate(request=request, remaining_ms=ms):
--- a/jackdawspur/links/tests/test_links.py
+++ b/jackdawspur/links/tests/test_links.py
@@ -67,7 +67,7 @@
     ],
 )
 def test_message_with_invalid_numbers_is_rejected(message):
-    """Callers of a host wait for ever after it received one message from a peer.
+    """Callers of a host wait forever after it received one message from a peer.
 
     A time in the message is not a finite number, and as a timer it blocks all others.
     """
@@ -98,8 +98,8 @@
     The owner delegates the job, the link is partitioned and the owner gives up. When
     the partition ends, the link delivers the messages that were still in its queue.
     """
-    stale = StaleFilter()
-    assert not stale.is_stale(SENDER, sent_at=100.0, now=7.0)
-    assert not stale.is_stale(SENDER, sent_at=101.0, now=8.001)
-    assert stale.is_stale(SENDER, sent_at=102.0, now=39.0)
-    assert not stale.is_stale(SENDER, sent_at=132.0, now=39.002)
+    stale_filter = StaleFilter()
+    assert not stale_filter.is_stale(SENDER, sent_at=100.0, now=7.0)
+    assert not stale_filter.is_stale(SENDER, sent_at=101.0, now=8.001)
+    assert stale_filter.is_stale(SENDER, sent_at=102.0, now=39.0)
+    assert not stale_filter.is_stale(SENDER, sent_at=132.0, now=39.002)
