--- a/jackdawspur/callers/_bodies.py
+++ b/jackdawspur/callers/_bodies.py
@@ -33,7 +33,7 @@
 
 
 class BodyError(JackdawspurError):
-    """Raised when a caller's body is invalid; the message names each wrong field."""
+    """Raised when a caller's body is invalid; the message names each invalid field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClassSettings:
-    """Settings of a job class; `deadline_ms` in milliseconds."""
+    """Defaults and limits of the jobs of a class; `deadline_ms` in milliseconds."""
 
     deadline_ms: float
     max_tasks: int
