--- a/jackdawspur/settings/_address.py
+++ b/jackdawspur/settings/_address.py
@@ -16,9 +16,9 @@
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
-        number = None
+        port_number = None
     else:
-        number = int(port) if port.isascii() and port.isdigit() else None
-    if number is None or not min_port <= number <= MAX_PORT:
+        port_number = int(port) if port.isascii() and port.isdigit() else None
+    if port_number is None or not min_port <= port_number <= MAX_PORT:
         raise ValueError("expected an address such as 127.0.0.1:18001")
     return text
--- a/jackdawspur/settings/_errors.py
+++ b/jackdawspur/settings/_errors.py
@@ -8,7 +8,7 @@
 
 
 class SettingsError(JackdawspurError):
-    """Raised when a settings file is invalid; the message names each wrong field."""
+    """Raised when a settings file is invalid; the message names each invalid field."""
 
 
 def read_file(path: str) -> bytes:
--- a/jackdawspur/settings/_host.py
+++ b/jackdawspur/settings/_host.py
@@ -87,7 +87,9 @@
     if errors:
         names = ((display_names or {}).get(name, name) for name in errors)
         pairs = zip(names, errors.values(), strict=True)
-        raise SettingsError(f"{path}: {'; '.join(f'{n}: {f}' for n, f in pairs)}")
+        raise SettingsError(
+            f"{path}: {'; '.join(f'{name}: {text}' for name, text in pairs)}"
+        )
     return HostSettings(**validated)
 
 
--- a/jackdawspur/settings/_standins.py
+++ b/jackdawspur/settings/_standins.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogStandinSettings:
-    """Settings of the log; `append_delay_ms` in milliseconds, retention in seconds."""
+    """Settings of the stand-in log; the delay is in milliseconds."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformStandinSettings:
-    """Settings of the customers' platform: a store and its workers in one process.
+    """Settings of the stand-in platform: a store and its workers in one process.
 
     `configuration` is published unchanged; `cpu` is in thousandths of a core.
     `announced` are the addresses at which workers are reached, if these differ from
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHostSettings:
-    """A host that is on the list at the start."""
+    """A host that is on the stand-in list when it starts."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostListStandinSettings:
-    """Settings of the host list; `lag_ms` in milliseconds."""
+    """Settings of the stand-in host list; `lag_ms` in milliseconds."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
