--- a/jackdawspur/model/_cluster_spec.py
+++ b/jackdawspur/model/_cluster_spec.py
@@ -17,7 +17,7 @@
 
 
 class Objective(enum.StrEnum):
-    """What to minimize where response time and number of messages conflict."""
+    """What to minimize when response time and number of messages conflict."""
 
     RESPONSE_TIME = "response_time"
     MESSAGES = "messages"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """Service levels that a customer is promised.
+    """Service levels promised to a customer.
 
     `tail_over_ideal` bounds the response time divided by the ideal one, which is the
     run time of the longest task plus the round trip. `max_wait_ms` bounds the wait
--- a/jackdawspur/model/_ids.py
+++ b/jackdawspur/model/_ids.py
@@ -22,7 +22,7 @@
 
 
 class ModelError(JackdawspurError):
-    """Base of errors in the objects of the model."""
+    """Base class of errors of the data model."""
 
 
 class InvalidId(ModelError):
@@ -41,7 +41,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier in its text form; raise `InvalidId` if malformed."""
+        """Return the identifier that a text denotes; raise `InvalidId` if malformed."""
         parts = text.split(PART_SEPARATOR)
         if len(parts) != 2 or not all(parts):
             raise InvalidId(f"not an upstream id: {text!r}")
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class HostId:
-    """An entry host in one of its incarnations.
+    """One incarnation of an entry host.
 
     The incarnation grows with every start, so a restarted host is a different owner.
     """
@@ -64,7 +64,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier in its text form; raise `InvalidId` if malformed."""
+        """Return the identifier that a text denotes; raise `InvalidId` if malformed."""
         try:
             zone, name, incarnation = text.split(PART_SEPARATOR)
             return cls(zone, name, _parse_number(incarnation, 16))
@@ -88,7 +88,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier in its text form; raise `InvalidId` if malformed."""
+        """Return the identifier that a text denotes; raise `InvalidId` if malformed."""
         owner, _, sequence = text.rpartition(PART_SEPARATOR)
         try:
             return cls(HostId.parse(owner), _parse_number(sequence, 16))
@@ -108,7 +108,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the identifier in its text form; raise `InvalidId` if malformed."""
+        """Return the identifier that a text denotes; raise `InvalidId` if malformed."""
         submission, _, index = text.rpartition(TASK_SEPARATOR)
         try:
             return cls(_parse_submission(submission), _parse_number(index, 10))
