--- a/jackdawspur/external/_errors.py
+++ b/jackdawspur/external/_errors.py
@@ -6,7 +6,7 @@
 
 
 class PlatformError(JackdawspurError):
-    """Base of errors of calls to an external system."""
+    """Base class of errors of calls to an external system."""
 
 
 class Unavailable(PlatformError):
--- a/jackdawspur/external/_hostlist.py
+++ b/jackdawspur/external/_hostlist.py
@@ -33,7 +33,7 @@
 
 
 class HostList(abc.ABC):
-    """Read the platform's list of hosts, which lags behind their actual state."""
+    """Reads the platform's list of hosts, which lags behind their actual state."""
 
     @abc.abstractmethod
     def fetch(self, done: HostListCallback) -> None:
--- a/jackdawspur/external/_log.py
+++ b/jackdawspur/external/_log.py
@@ -32,7 +32,7 @@
 
 
 class Log(abc.ABC):
-    """Append to and read from the log; calls return at once."""
+    """Appends to and reads from the log; calls return at once."""
 
     @abc.abstractmethod
     def append(self, stream: str, body: str, done: AppendCallback) -> None:
--- a/jackdawspur/external/_upstream.py
+++ b/jackdawspur/external/_upstream.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamReply:
-    """A reply of an upstream; fields that do not apply are empty.
+    """A reply of an upstream; fields without meaning for the request are empty.
 
     `incarnation` changes when the upstream restarts and loses its tasks. `cursor` is
     the position from which to read further results.
