--- a/jackdawspur/adapters/__init__.py
+++ b/jackdawspur/adapters/__init__.py
@@ -2,15 +2,15 @@
 
 import lazy_loader
 
-# Lazy, so that a host imports only the modules it uses: importing all of them delays
-# its start by a fifth of a second, and a zone that lost power waits for its hosts.
+# Modules are imported lazily: importing all of them makes a host's start a fifth of a
+# second slower, and a zone that recovers from a power loss waits for its hosts.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
         "_addresses": ["split_address"],
         "_timer_queue": ["TimerHandle", "TimerQueue"],
         "_hostlist_http": ["HttpHostList"],
-        "_http_client": ["HttpClient", "HttpClientLimits", "Replied"],
+        "_http_client": ["HttpClient", "HttpClientLimits", "ResponseCallback"],
         "_reply_reader": ["ClientResponse"],
         "_links": ["Links"],
         "_log_http": ["HttpLog", "LogTimeouts"],
--- a/jackdawspur/adapters/_client_sockets.py
+++ b/jackdawspur/adapters/_client_sockets.py
@@ -47,7 +47,7 @@
         self._owners: dict[socket, SocketOwner] = {}
         self._poller: BasePoller | None = None
 
-    def make(self, owner: SocketOwner) -> socket:
+    def create_socket(self, owner: SocketOwner) -> socket:
         """Return a new socket; its owner receives its events once it is watched."""
         if self._poller is None:
             self._poller = findcmp(self.root, BasePoller)
--- a/jackdawspur/adapters/_hostlist_http.py
+++ b/jackdawspur/adapters/_hostlist_http.py
@@ -6,7 +6,7 @@
 from result import Result
 
 from jackdawspur.adapters._http_client import HttpClient
-from jackdawspur.adapters._json_reply import MS, reply_handler, success_body
+from jackdawspur.adapters._json_reply import MS_PER_S, reply_handler, success_body
 from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import HostList, ListedHost, PlatformError
 from jackdawspur.wire import HostsBody
@@ -23,9 +23,9 @@
         self, client: HttpClient, timeout_ms: float = DEFAULT_TIMEOUT_MS
     ) -> None:
         self._client = client
-        self._timeout_s = timeout_ms / MS
+        self._timeout_s = timeout_ms / MS_PER_S
         self._last_body = b""
-        self._last: tuple[ListedHost, ...] = ()
+        self._last_hosts: tuple[ListedHost, ...] = ()
 
     def fetch(
         self, done: Callable[[Result[tuple[ListedHost, ...], PlatformError]], None]
@@ -45,14 +45,14 @@
         """
         body = success_body(reply)
         if body != self._last_body:
-            self._last = _decode(body)
+            self._last_hosts = _decode(body)
             self._last_body = body
-        return self._last
+        return self._last_hosts
 
 
 def _decode(body: bytes) -> tuple[ListedHost, ...]:
     decoded = msgspec.json.decode(body, type=HostsBody)
     return tuple(
-        ListedHost(each.zone, each.name, each.role, each.leaving)
-        for each in decoded.hosts
+        ListedHost(host.zone, host.name, host.role, host.leaving)
+        for host in decoded.hosts
     )
--- a/jackdawspur/adapters/_http_client.py
+++ b/jackdawspur/adapters/_http_client.py
@@ -13,10 +13,10 @@
 from jackdawspur.adapters._timer_queue import TimerHandle, TimerQueue
 from jackdawspur.external import OutcomeUnknown, PlatformError, Unavailable
 
-__all__ = ["HttpClient", "HttpClientLimits", "Replied"]
+__all__ = ["HttpClient", "HttpClientLimits", "ResponseCallback"]
 
 Headers = tuple[tuple[str, str], ...]
-Replied = Callable[[Result[ClientResponse, PlatformError]], None]
+ResponseCallback = Callable[[Result[ClientResponse, PlatformError]], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,9 +29,9 @@
 
 
 @dataclass(eq=False, slots=True)
-class _Call:
+class _PendingRequest:
     data: bytes
-    done: Replied
+    done: ResponseCallback
     timer: TimerHandle | None = field(default=None)
 
 
@@ -55,8 +55,8 @@
         self._timer_queue = timer_queue
         self._limits = limits or HttpClientLimits()
         self._connections: list[HttpConnection] = []
-        self._waiting: deque[_Call] = deque()
-        self._in_flight: dict[HttpConnection, _Call] = {}
+        self._waiting: deque[_PendingRequest] = deque()
+        self._in_flight: dict[HttpConnection, _PendingRequest] = {}
         self._peer = f"{address[0]}:{address[1]}"
         self._closed = False
 
@@ -76,22 +76,22 @@
         path: str,
         body: bytes,
         timeout_s: float,
-        done: Replied,
+        done: ResponseCallback,
         headers: Headers = (),
     ) -> None:
         """Send a request; `done` is called once, and only after this method returns.
 
-        Errors: `Unavailable`, `OutcomeUnknown`.
+        It gets the response, `Unavailable` or `OutcomeUnknown`.
         """
-        call = _Call(self._encode(method, path, body, headers), done)
+        pending = _PendingRequest(self._encode(method, path, body, headers), done)
         if self._closed or len(self._waiting) >= self._limits.max_pending_requests:
             refusal = Unavailable(f"client of {self._peer} is closed or its queue full")
             self._timer_queue.call_later(0.0, lambda: done(Err(refusal)))
             return
-        call.timer = self._timer_queue.call_later(
-            timeout_s, lambda: self._on_timeout(call)
+        pending.timer = self._timer_queue.call_later(
+            timeout_s, lambda: self._on_timeout(pending)
         )
-        self._waiting.append(call)
+        self._waiting.append(pending)
         self._send_waiting()
 
     def connect_all(self) -> None:
@@ -112,27 +112,34 @@
 
     def connection_failed(self, connection: HttpConnection) -> None:
         """Fail the waiting requests unless another connection can still send them."""
-        if not any(each.connected or each.connecting for each in self._connections):
+        if not any(conn.connected or conn.connecting for conn in self._connections):
             self._fail_waiting()
 
     def connection_lost(self, connection: HttpConnection) -> None:
         """End the request in flight, or queue it again if no byte of it was sent.
 
-        A persistent connection that the peer has closed shows by a failed send. The
-        kernel then accepted no byte, so sending again can't duplicate the request.
+        If the peer closed a persistent connection, this is noticed when a send fails.
+        The kernel then accepted no byte, so sending again can't duplicate the request.
         """
-        call = self._in_flight.pop(connection, None)
-        if call is not None and connection.any_byte_sent:
-            self._end(call, Err(OutcomeUnknown(f"{self._peer} closed in mid-request")))
-        elif call is not None:
-            self._waiting.appendleft(call)
+        pending = self._in_flight.pop(connection, None)
+        if pending is not None and connection.any_byte_sent:
+            self._end(
+                pending,
+                Err(
+                    OutcomeUnknown(
+                        f"{self._peer} closed the connection during a request"
+                    )
+                ),
+            )
+        elif pending is not None:
+            self._waiting.appendleft(pending)
         self._send_waiting()
 
     def reply_received(self, connection: HttpConnection, reply: ClientResponse) -> None:
         """Pass the reply to the one request in flight on the connection."""
-        call = self._in_flight.pop(connection)
+        pending = self._in_flight.pop(connection)
         self._send_waiting()
-        self._end(call, Ok(reply))
+        self._end(pending, Ok(reply))
 
     def _encode(self, method: str, path: str, body: bytes, headers: Headers) -> bytes:
         extra = "".join(f"{name}: {value}\r\n" for name, value in headers)
@@ -151,12 +158,12 @@
         self._open_connections()
 
     def _send(self, connection: HttpConnection) -> None:
-        call = self._waiting.popleft()
-        self._in_flight[connection] = call
-        connection.send(call.data)
+        pending = self._waiting.popleft()
+        self._in_flight[connection] = pending
+        connection.send(pending.data)
 
     def _open_connections(self) -> None:
-        opening = sum(each.connecting for each in self._connections)
+        opening = sum(conn.connecting for conn in self._connections)
         for connection in self._connections:
             if opening >= len(self._waiting):
                 return
@@ -181,29 +188,31 @@
         self._connections.append(connection)
         connection.open()
 
-    def _on_timeout(self, call: _Call) -> None:
-        if call in self._waiting:
-            self._waiting.remove(call)
+    def _on_timeout(self, pending: _PendingRequest) -> None:
+        if pending in self._waiting:
+            self._waiting.remove(pending)
             self._end(
-                call, Err(Unavailable(f"no free connection to {self._peer} in time"))
+                pending, Err(Unavailable(f"no free connection to {self._peer} in time"))
             )
             return
-        for connection, in_flight_call in self._in_flight.items():
-            if in_flight_call is call:
+        for connection, in_flight_request in self._in_flight.items():
+            if in_flight_request is pending:
                 del self._in_flight[connection]
                 any_byte_sent = connection.any_byte_sent
                 connection.abandon()
-                self._end(call, Err(_timeout_error(self._peer, any_byte_sent)))
+                self._end(pending, Err(_timeout_error(self._peer, any_byte_sent)))
                 return
 
     def _fail_waiting(self) -> None:
-        calls, self._waiting = self._waiting, deque()
-        for call in calls:
-            self._end(call, Err(Unavailable(f"can't connect to {self._peer}")))
+        pending_requests, self._waiting = self._waiting, deque()
+        for pending in pending_requests:
+            self._end(pending, Err(Unavailable(f"can't connect to {self._peer}")))
 
-    def _end(self, call: _Call, outcome: Result[ClientResponse, PlatformError]) -> None:
-        call.timer.cancel()
-        call.done(outcome)
+    def _end(
+        self, pending: _PendingRequest, outcome: Result[ClientResponse, PlatformError]
+    ) -> None:
+        pending.timer.cancel()
+        pending.done(outcome)
 
 
 def _timeout_error(host: str, any_byte_sent: bool) -> PlatformError:
--- a/jackdawspur/adapters/_http_connection.py
+++ b/jackdawspur/adapters/_http_connection.py
@@ -19,7 +19,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """Receiver of what happens to a connection."""
+    """Receiver of the events of a connection."""
 
     def connection_ready(self, connection: "HttpConnection") -> None:
         """Handle an established connection."""
@@ -84,7 +84,7 @@
     def open(self) -> None:
         """Start to connect; the owner is notified of the result after this returns."""
         self._connecting = True
-        self._sock = self._sockets.make(self)
+        self._sock = self._sockets.create_socket(self)
         timeout_s = self._connect_timeout_s
         if self._sock.connect_ex(self._address) in (0, EINPROGRESS):
             self._sockets.watch_writes(self._sock)
--- a/jackdawspur/adapters/_json_reply.py
+++ b/jackdawspur/adapters/_json_reply.py
@@ -10,9 +10,9 @@
 from jackdawspur.external import OutcomeUnknown, PlatformError
 from jackdawspur.model import InvalidId
 
-__all__ = ["MS", "MalformedReply", "reply_handler", "success_body"]
+__all__ = ["MS_PER_S", "MalformedReply", "reply_handler", "success_body"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 OK = 200
 
 T = TypeVar("T")
--- a/jackdawspur/adapters/_links.py
+++ b/jackdawspur/adapters/_links.py
@@ -18,7 +18,8 @@
 MAX_MESSAGE_BYTES = 8_388_608
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 1000
-# Accepted by any incarnation of a host; all others only by the one they name.
+# Messages that any incarnation of a host accepts; other messages are accepted only by
+# the incarnation to which they are addressed.
 ANY_INCARNATION_MESSAGES = (Heartbeat, Pulse, RecordsWanted, RecordsPassed)
 
 log = logging.getLogger(__name__)
@@ -50,15 +51,15 @@
 
     def set_peers(self, hosts: tuple[EntryHost, ...]) -> None:
         """Dial the entry hosts of the configuration and disconnect from any others."""
-        wanted = {
+        configured = {
             _peer_name(host.zone, host.name): host.link
             for host in hosts
             if (host.zone, host.name) != (self._local_id.zone, self._local_id.name)
         }
-        for name in [n for n, a in self._addresses.items() if wanted.get(n) != a]:
+        for name in [n for n, a in self._addresses.items() if configured.get(n) != a]:
             self._outboxes.pop(name).close()
             del self._addresses[name]
-        for name, address in wanted.items():
+        for name, address in configured.items():
             if name not in self._outboxes:
                 self._dial(name, address)
 
--- a/jackdawspur/adapters/_log_http.py
+++ b/jackdawspur/adapters/_log_http.py
@@ -8,7 +8,7 @@
 from result import Result
 
 from jackdawspur.adapters._http_client import HttpClient
-from jackdawspur.adapters._json_reply import MS, reply_handler, success_body
+from jackdawspur.adapters._json_reply import MS_PER_S, reply_handler, success_body
 from jackdawspur.adapters._reply_reader import ClientResponse
 from jackdawspur.external import Log, LogRecord, LogTrimmed, PlatformError, Unavailable
 from jackdawspur.wire import AppendReply, ReadReply, TrimmedReply
@@ -54,7 +54,7 @@
 
         After `OutcomeUnknown` the record may be in the log.
         """
-        timeout_s = self._timeouts.append_ms / MS
+        timeout_s = self._timeouts.append_ms / MS_PER_S
         receive = reply_handler(PEER, _read_offset, done)
         self._appends.request("POST", _path(stream), body.encode(), timeout_s, receive)
 
@@ -67,7 +67,7 @@
     ) -> None:
         """Report the records from `offset` on, or `LogTrimmed`."""
         query = urlencode({"from": offset, "wait_ms": int(wait_ms)})
-        timeout_s = (wait_ms + self._timeouts.read_ms) / MS
+        timeout_s = (wait_ms + self._timeouts.read_ms) / MS_PER_S
         receive = reply_handler(PEER, _read_records, done)
         path = f"{_path(stream)}?{query}"
         self._reads.request("GET", path, b"", timeout_s, receive)
@@ -93,4 +93,4 @@
     if reply.status == GONE:
         raise LogTrimmed(msgspec.json.decode(reply.body, type=TrimmedReply).first)
     decoded = msgspec.json.decode(success_body(reply), type=ReadReply)
-    return tuple(LogRecord(each.offset, each.body) for each in decoded.records)
+    return tuple(LogRecord(record.offset, record.body) for record in decoded.records)
--- a/jackdawspur/adapters/_queues.py
+++ b/jackdawspur/adapters/_queues.py
@@ -9,18 +9,22 @@
 __all__ = ["Inbox", "Outbox"]
 
 RECEIVE_QUEUE = 1024
-# Bounded, so that callers' requests are handled in between.
-MAX_MESSAGES_PER_PASS = 200
+# Bounded, so that callers' requests are handled between two reads.
+MAX_MESSAGES_PER_READ = 200
 
 
 class Outbox:
     """Queue of messages to one address that reconnects whenever the link breaks."""
 
     def __init__(
-        self, address: str, queue: int, reconnect_min_ms: int, reconnect_max_ms: int
+        self,
+        address: str,
+        queue_length: int,
+        reconnect_min_ms: int,
+        reconnect_max_ms: int,
     ) -> None:
         self._push = pynng.Push0(
-            send_buffer_size=queue,
+            send_buffer_size=queue_length,
             reconnect_time_min=reconnect_min_ms,
             reconnect_time_max=reconnect_max_ms,
         )
@@ -63,7 +67,7 @@
     @handler("_read")
     def _on_readable(self, _descriptor: int) -> None:
         """Pass on the messages that have arrived."""
-        for _ in range(MAX_MESSAGES_PER_PASS):
+        for _ in range(MAX_MESSAGES_PER_READ):
             try:
                 data = self._pull.recv(block=False)
             except pynng.TryAgain:
--- a/jackdawspur/adapters/_reply_bytes.py
+++ b/jackdawspur/adapters/_reply_bytes.py
@@ -10,7 +10,7 @@
 
 
 def encode_reply(reply: HttpResponse, request: HttpRequest | None) -> bytes:
-    """Return the bytes of a reply; without a request it closes the connection."""
+    """Return the bytes of a reply; without a request it announces a close."""
     lines = [
         f"HTTP/1.1 {reply.status} {HTTPStatus(reply.status).phrase}",
         f"Date: {formatdate(usegmt=True)}",
--- a/jackdawspur/adapters/_reply_reader.py
+++ b/jackdawspur/adapters/_reply_reader.py
@@ -63,7 +63,7 @@
     def feed(self, data: bytes) -> ClientResponse | None:
         """Process a part; return the reply once it is complete, else None.
 
-        Errors: `ReplyDecodeError`.
+        Raise `ReplyDecodeError` if it is malformed or too large.
         """
         self._data += data
         if len(self._data) > MAX_REPLY_BYTES:
@@ -111,8 +111,10 @@
 def _declared_length(parser: HttpParser) -> int | None:
     headers = parser.get_headers()
     text = headers.get("Content-Length", "")
-    plain = text.isascii() and text.isdigit() and not headers.get("Transfer-Encoding")
-    if not plain or headers.get("Content-Encoding"):
+    has_plain_length = (
+        text.isascii() and text.isdigit() and not headers.get("Transfer-Encoding")
+    )
+    if not has_plain_length or headers.get("Content-Encoding"):
         return None
     if len(text) > len(str(MAX_REPLY_BYTES)) or int(text) > MAX_REPLY_BYTES:
         raise ReplyDecodeError("the reply exceeds the size limit")
@@ -123,8 +125,8 @@
     try:
         parser.execute(data, len(data))
     except Exception as error:
-        # On malformed input the parser lets through any exception of its regular
-        # expressions, decoders and arithmetic; each means that this isn't HTTP.
+        # On malformed input the parser raises any exception of its regular expressions,
+        # decoders and arithmetic; each means that the data isn't HTTP.
         raise ReplyDecodeError(str(error)) from error
     if parser.errno is not None:
         raise ReplyDecodeError(str(parser.errstr))
--- a/jackdawspur/adapters/_requests.py
+++ b/jackdawspur/adapters/_requests.py
@@ -82,7 +82,7 @@
     def next_request(self) -> HttpRequest | None:
         """Remove and return the next request, or None if it isn't complete.
 
-        Errors: `RequestError`.
+        Raise `RequestError` if it isn't accepted.
         """
         if self._head is None:
             self._head = self._read_head()
@@ -124,8 +124,8 @@
     try:
         parser.execute(head, len(head))
     except Exception as error:
-        # On malformed input the parser lets through any exception of its regular
-        # expressions and decoders; circuits would drop it, and no reply would be sent.
+        # On malformed input the parser raises any exception of its regular expressions
+        # and decoders; circuits would drop it, and no reply would be sent.
         raise RequestError("the HTTP request could not be read") from error
     if parser.errno is not None or not parser.is_headers_complete():
         raise RequestError(f"the HTTP request could not be read: {parser.errstr}")
--- a/jackdawspur/adapters/_timer_queue.py
+++ b/jackdawspur/adapters/_timer_queue.py
@@ -27,7 +27,7 @@
         """Cancel the callback."""
         self._callback = None
 
-    def expire(self) -> None:
+    def run(self) -> None:
         """Run the callback, at most once."""
         callback, self._callback = self._callback, None
         if callback is not None:
@@ -71,6 +71,6 @@
                 # Events fired by the callback are only queued, so the poller must not
                 # wait now: they would stay queued until the next byte arrives.
                 event.reduce_time_left(0)
-            handle.expire()
+            handle.run()
         if heap:
             event.reduce_time_left(max(0.0, heap[0][0] - now))
--- a/jackdawspur/adapters/_upstream_http.py
+++ b/jackdawspur/adapters/_upstream_http.py
@@ -9,7 +9,7 @@
 
 from jackdawspur.adapters._http_client import HttpClient
 from jackdawspur.adapters._json_reply import (
-    MS,
+    MS_PER_S,
     MalformedReply,
     reply_handler,
     success_body,
@@ -36,7 +36,7 @@
 
 __all__ = ["HttpUpstreamClient", "UpstreamTimeouts"]
 
-Done = Callable[[Result[UpstreamReply, PlatformError]], None]
+ReplyCallback = Callable[[Result[UpstreamReply, PlatformError]], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,9 +71,9 @@
         self._polls = polls
         self._timeouts = timeouts or UpstreamTimeouts()
 
-    def start(self, starts: Sequence[TaskStart], done: Done) -> None:
+    def start(self, starts: Sequence[TaskStart], done: ReplyCallback) -> None:
         """Start tasks; `Unavailable` means that no byte was sent."""
-        bodies = tuple(_start_body(each) for each in starts)
+        bodies = tuple(_start_body(task_start) for task_start in starts)
         body = msgspec.json.encode(StartsRequest(self._holder, bodies))
 
         def decode(reply: ClientResponse) -> UpstreamReply:
@@ -81,31 +81,31 @@
 
         self._post("/v1/starts", body, self._timeouts.start_ms, decode, done)
 
-    def results(self, cursor: int, wait_ms: float, done: Done) -> None:
+    def results(self, cursor: int, wait_ms: float, done: ReplyCallback) -> None:
         """Wait for tasks of this host that ended after `cursor`."""
         query = urlencode(
             {"holder": self._holder, "after": cursor, "wait_ms": int(wait_ms)}
         )
-        timeout_s = (wait_ms + self._timeouts.poll_ms) / MS
+        timeout_s = (wait_ms + self._timeouts.poll_ms) / MS_PER_S
         receive = reply_handler(str(self._upstream), self._read_results, done)
         self._polls.request("GET", f"/v1/results?{query}", b"", timeout_s, receive)
 
-    def status(self, tasks: Sequence[TaskId], seal: bool, done: Done) -> None:
+    def status(self, tasks: Sequence[TaskId], seal: bool, done: ReplyCallback) -> None:
         """Query the state of tasks; `seal` keeps unstarted ones from ever starting."""
         encoded_ids = _encode_ids(tasks)
         body = msgspec.json.encode(StatusRequest(encoded_ids, seal))
-        self._ask_outcomes("/v1/status", body, tasks, encoded_ids, done)
+        self._query_outcomes("/v1/status", body, tasks, encoded_ids, done)
 
-    def stop(self, tasks: Sequence[TaskId], done: Done) -> None:
+    def stop(self, tasks: Sequence[TaskId], done: ReplyCallback) -> None:
         """Stop running tasks and keep unstarted ones from ever starting."""
         encoded_ids = _encode_ids(tasks)
         body = msgspec.json.encode(StopRequest(encoded_ids))
-        self._ask_outcomes("/v1/stop", body, tasks, encoded_ids, done)
+        self._query_outcomes("/v1/stop", body, tasks, encoded_ids, done)
 
-    def usage(self, done: Done) -> None:
+    def usage(self, done: ReplyCallback) -> None:
         """Query the load; the reported values may be seconds old."""
         receive = reply_handler(str(self._upstream), self._read_usage, done)
-        timeout_s = self._timeouts.status_ms / MS
+        timeout_s = self._timeouts.status_ms / MS_PER_S
         self._requests.request("GET", "/v1/usage", b"", timeout_s, receive)
 
     def close(self) -> None:
@@ -113,13 +113,13 @@
         self._requests.close()
         self._polls.close()
 
-    def _ask_outcomes(
+    def _query_outcomes(
         self,
         path: str,
         body: bytes,
         tasks: Sequence[TaskId],
         encoded_ids: tuple[str, ...],
-        done: Done,
+        done: ReplyCallback,
     ) -> None:
         def decode(reply: ClientResponse) -> UpstreamReply:
             return self._read_outcomes(reply, tasks, encoded_ids)
@@ -132,10 +132,10 @@
         body: bytes,
         timeout_ms: float,
         decode: Callable[[ClientResponse], UpstreamReply],
-        done: Done,
+        done: ReplyCallback,
     ) -> None:
         receive = reply_handler(str(self._upstream), decode, done)
-        self._requests.request("POST", path, body, timeout_ms / MS, receive)
+        self._requests.request("POST", path, body, timeout_ms / MS_PER_S, receive)
 
     def _read_verdicts(
         self,
@@ -145,11 +145,12 @@
     ) -> UpstreamReply:
         decoded = msgspec.json.decode(success_body(reply), type=StartsReply)
         _check_tasks(
-            [each.task for each in decoded.verdicts], [each.task for each in bodies]
+            [verdict.task for verdict in decoded.verdicts],
+            [body.task for body in bodies],
         )
         verdicts = tuple(
-            StartVerdict(start.task, each.refusal)
-            for start, each in zip(starts, decoded.verdicts, strict=True)
+            StartVerdict(start.task, verdict.refusal)
+            for start, verdict in zip(starts, decoded.verdicts, strict=True)
         )
         return UpstreamReply(self._upstream, decoded.incarnation, verdicts)
 
@@ -160,18 +161,20 @@
         encoded_ids: tuple[str, ...],
     ) -> UpstreamReply:
         decoded = msgspec.json.decode(success_body(reply), type=StatusReply)
-        _check_tasks([each.task for each in decoded.outcomes], list(encoded_ids))
+        _check_tasks([outcome.task for outcome in decoded.outcomes], list(encoded_ids))
         outcomes = tuple(
-            TaskOutcome(task, each.state, each.output, each.error)
-            for task, each in zip(tasks, decoded.outcomes, strict=True)
+            TaskOutcome(task, outcome.state, outcome.output, outcome.error)
+            for task, outcome in zip(tasks, decoded.outcomes, strict=True)
         )
         return UpstreamReply(self._upstream, decoded.incarnation, outcomes=outcomes)
 
     def _read_results(self, reply: ClientResponse) -> UpstreamReply:
         decoded = msgspec.json.decode(success_body(reply), type=StatusReply)
         outcomes = tuple(
-            TaskOutcome(TaskId.parse(each.task), each.state, each.output, each.error)
-            for each in decoded.outcomes
+            TaskOutcome(
+                TaskId.parse(outcome.task), outcome.state, outcome.output, outcome.error
+            )
+            for outcome in decoded.outcomes
         )
         return UpstreamReply(
             self._upstream,
--- a/jackdawspur/adapters/_web.py
+++ b/jackdawspur/adapters/_web.py
@@ -151,7 +151,7 @@
         connection.since = self._clock()
         self._sockets.send(connection.sock, encode_reply(reply, request))
         if not request.keep_alive:
-            self._finish(connection)
+            self._finish_connection(connection)
         elif connection.reader.buffered:
             if not connection.half_closed:
                 self._sockets.resume_reading(connection.sock)
@@ -182,14 +182,14 @@
 
         Otherwise idle connections that are never used would lock out all callers.
         """
-        connection = _Connection(sock, self._clock(), self._reader())
+        connection = _Connection(sock, self._clock(), self._new_reader())
         self._connections[sock] = connection
         count = len(self._connections)
         if count <= MAX_CONNECTIONS:
             return
-        idle = next((c for c in self._connections.values() if c.idle), connection)
-        if idle is not connection:
-            self._sockets.close_when_sent(idle.sock)
+        replaced = next((c for c in self._connections.values() if c.idle), connection)
+        if replaced is not connection:
+            self._sockets.close_when_sent(replaced.sock)
         elif count <= MAX_CONNECTIONS + MAX_REFUSED_CONNECTIONS:
             text = f"more than {MAX_CONNECTIONS} connections"
             self._refuse(connection, refusal_response(FailureCode.OVERLOADED, text))
@@ -213,7 +213,7 @@
         if self._calls.pop(connection.call_id, None) is not None:
             self._service.caller_disconnected(connection.call_id)
 
-    def _reader(self) -> RequestReader:
+    def _new_reader(self) -> RequestReader:
         return RequestReader(self._max_body_bytes)
 
     def _on_end_of_data(self, connection: _Connection) -> None:
@@ -279,14 +279,14 @@
     def _refuse(self, connection: _Connection, reply: HttpResponse) -> None:
         """Reply to a request that was not fully read, and close."""
         self._sockets.send(connection.sock, encode_reply(reply, None))
-        self._finish(connection)
+        self._finish_connection(connection)
 
-    def _finish(self, connection: _Connection) -> None:
+    def _finish_connection(self, connection: _Connection) -> None:
         if connection.half_closed:
             self._sockets.close_when_sent(connection.sock)
             return
         connection.lingering = True
-        connection.reader = self._reader()
+        connection.reader = self._new_reader()
         connection.since = self._clock()
         self._sockets.resume_reading(connection.sock)
         self._sockets.shut_down_sending(connection.sock)
--- a/jackdawspur/adapters/_web_sockets.py
+++ b/jackdawspur/adapters/_web_sockets.py
@@ -12,7 +12,7 @@
 
 
 class ServerOwner(abc.ABC):
-    """Receiver of what happens on connections, by direct calls instead of events."""
+    """Receiver of connection events as direct calls, without events of circuits."""
 
     @abc.abstractmethod
     def on_accepted(self, sock: socket) -> None:
@@ -30,8 +30,9 @@
 class ServerSockets(TCPServer):
     """Serves connections without events between the poller and the owner.
 
-    Each event of circuits waits for a pass of the loop, after everything else that the
-    pass handles: read, request, response and two writes took five passes per request.
+    Each event of circuits waits for an iteration of the loop, behind everything else
+    that the iteration handles: read, request, response and two writes took five
+    iterations per request.
     """
 
     def __init__(self, bind: str, owner: ServerOwner, channel: str) -> None:
--- a/jackdawspur/adapters/tests/conftest.py
+++ b/jackdawspur/adapters/tests/conftest.py
@@ -56,10 +56,10 @@
         client = HttpClient(address, self.timer_queue, HttpClientLimits(**limits))
         return client.register(self.root)
 
-    def ask(self, call, *args):
-        """Make a call whose last argument is a callback, and return its one result."""
+    def ask(self, function, *args):
+        """Call a function whose last argument is a callback, and return the result."""
         results = []
-        call(*args, results.append)
+        function(*args, results.append)
         self.until(lambda: results)
         assert len(results) == 1
         return results[0]
--- a/jackdawspur/adapters/tests/test_http_client.py
+++ b/jackdawspur/adapters/tests/test_http_client.py
@@ -26,9 +26,9 @@
     No byte was sent, so the dispatcher may place the task on another upstream. It is
     notified at once: the clock of this test does not advance.
     """
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        client = loop.client(free.getsockname())
+    with socket.socket() as unused:
+        unused.bind(("127.0.0.1", 0))
+        client = loop.client(unused.getsockname())
     results = get(client)
     loop.until(lambda: results)
     assert isinstance(results[0].unwrap_err(), Unavailable)
@@ -37,19 +37,19 @@
 
 def test_connect_that_gets_no_answer_is_unavailable(loop):
     """The host of an upstream is down, so the connection attempt gets no answer."""
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
         # A listener that never accepts drops connections beyond its backlog.
         clients = [
-            loop.client(full.getsockname(), connect_timeout_s=0.5) for _ in range(4)
+            loop.client(listener.getsockname(), connect_timeout_s=0.5) for _ in range(4)
         ]
-        results = [get(each, 9.0) for each in clients]
+        results = [get(client, 9.0) for client in clients]
         loop.settle()
         loop.pass_time(0.6)
-        failed = [each[0] for each in results if each]
+        failed = [result[0] for result in results if result]
         assert failed and all(
-            isinstance(each.unwrap_err(), Unavailable) for each in failed
+            isinstance(result.unwrap_err(), Unavailable) for result in failed
         )
 
 
@@ -154,7 +154,7 @@
     client = loop.client(address(peer), max_connections=1)
     both = [get(client), get(client)]
     loop.until(lambda: all(both))
-    assert [each[0].unwrap().body for each in both] == [b"A1", b"A1"]
+    assert [results[0].unwrap().body for results in both] == [b"A1", b"A1"]
     assert peer.socks[0] is not peer.socks[1]
 
 
@@ -166,7 +166,7 @@
 
 
 def test_large_request_is_sent_in_parts(loop, peer):
-    """The kernel accepts only a part of a large batch; circuits would drop the rest."""
+    """The kernel accepts a part of a large request; circuits would drop the rest."""
     results = []
     client = loop.client(address(peer))
     client.request("POST", "/", b"x" * 4_000_000, 5.0, results.append)
@@ -233,6 +233,6 @@
     loop.until(lambda: peer.requests)
     before = count_components(loop.root)
     client.connect_all()
-    loop.until(lambda: all(each.connected for each in client._connections))
+    loop.until(lambda: all(connection.connected for connection in client._connections))
     assert len(client._connections) == 4
     assert count_components(loop.root) == before
--- a/jackdawspur/adapters/tests/test_log_and_list_http.py
+++ b/jackdawspur/adapters/tests/test_log_and_list_http.py
@@ -87,7 +87,7 @@
     fault(records_kept=2)
     error = read(loop, log, 0).unwrap_err()
     assert isinstance(error, LogTrimmed) and error.first_offset == 2
-    assert [each.body for each in read(loop, log, 2).unwrap()] == ["c", "d"]
+    assert [record.body for record in read(loop, log, 2).unwrap()] == ["c", "d"]
     fault(seconds_kept=60.0)
     loop.pass_time(61.0)
     assert read(loop, log, 2).unwrap_err().first_offset == 4
@@ -109,14 +109,14 @@
 def test_rate_limited_append_is_unavailable(loop, log, fault):
     fault(appends_per_s=2.0)
     outcomes = [append(loop, log, str(index)) for index in range(3)]
-    assert [each.is_ok() for each in outcomes] == [True, True, False]
+    assert [outcome.is_ok() for outcome in outcomes] == [True, True, False]
     assert isinstance(outcomes[2].unwrap_err(), Unavailable)
     loop.pass_time(1.0)
     assert append(loop, log, "3").unwrap() == 2
 
 
 def test_list_shows_a_leaving_host_with_its_lag(loop):
-    """A worker is told to leave, and the list shows it as live for more seconds."""
+    """A worker is leaving, but the list shows it as live for some more seconds."""
     live = HostBody("z1", "w1", HostRole.UPSTREAM)
     settings = HostListSettings(ANY_PORT, lag_ms=5000.0, hosts=(live,))
     service = make_hostlist(settings, loop.root, loop.timer_queue)
@@ -124,9 +124,9 @@
     hosts = HttpHostList(loop.client(service.address))
     leaving = HostBody("z1", "w1", HostRole.UPSTREAM, leaving=True)
     loop.post(service.address, "/v1/host", leaving)
-    assert [each.leaving for each in loop.ask(hosts.fetch).unwrap()] == [False]
+    assert [host.leaving for host in loop.ask(hosts.fetch).unwrap()] == [False]
     loop.pass_time(5.0)
-    assert [each.leaving for each in loop.ask(hosts.fetch).unwrap()] == [True]
+    assert [host.leaving for host in loop.ask(hosts.fetch).unwrap()] == [True]
     loop.post(service.address, "/v1/hosts", HostsBody(()))
     loop.post(service.address, "/faults", HostListFaults(lag_ms=0.0, lose_replies=1))
     assert isinstance(loop.ask(hosts.fetch).unwrap_err(), OutcomeUnknown)
--- a/jackdawspur/adapters/tests/test_upstream_http.py
+++ b/jackdawspur/adapters/tests/test_upstream_http.py
@@ -19,11 +19,11 @@
 
 
 def refusals(reply):
-    return [each.refusal for each in reply.unwrap().verdicts]
+    return [verdict.refusal for verdict in reply.unwrap().verdicts]
 
 
 def states(reply):
-    return [each.state for each in reply.unwrap().outcomes]
+    return [outcome.state for outcome in reply.unwrap().outcomes]
 
 
 def test_a_full_worker_refuses_and_returns_results_to_their_holder(loop, upstream):
@@ -35,7 +35,7 @@
     assert not poll
     loop.pass_time(0.1)
     loop.until(lambda: poll)
-    outputs = {each.task: each.output for each in poll[0].unwrap().outcomes}
+    outputs = {outcome.task: outcome.output for outcome in poll[0].unwrap().outcomes}
     assert outputs == {task(index): f"out {index}" for index in range(8)}
 
 
@@ -62,18 +62,18 @@
     """
     fault(lose_results=1)
     loop.ask(upstream.start, [start(0), start(1, run_ms=200)])
-    lost, again, then = [], [], []
+    lost, repeated, following = [], [], []
     upstream.results(0, WAIT_MS, lost.append)
     loop.pass_time(0.1)
     loop.until(lambda: lost)
     assert isinstance(lost[0].unwrap_err(), OutcomeUnknown)
-    upstream.results(0, WAIT_MS, again.append)
-    loop.until(lambda: again)
-    assert [each.task for each in again[0].unwrap().outcomes] == [task(0)]
-    upstream.results(again[0].unwrap().cursor, WAIT_MS, then.append)
+    upstream.results(0, WAIT_MS, repeated.append)
+    loop.until(lambda: repeated)
+    assert [outcome.task for outcome in repeated[0].unwrap().outcomes] == [task(0)]
+    upstream.results(repeated[0].unwrap().cursor, WAIT_MS, following.append)
     loop.pass_time(0.1)
-    loop.until(lambda: then)
-    assert [each.task for each in then[0].unwrap().outcomes] == [task(1)]
+    loop.until(lambda: following)
+    assert [outcome.task for outcome in following[0].unwrap().outcomes] == [task(1)]
 
 
 def test_held_reply_that_is_sent_late_is_ignored(loop, worker, upstream, fault):
@@ -89,7 +89,7 @@
     assert isinstance(timed_out[0].unwrap_err(), OutcomeUnknown)
     fault()
     reply = loop.ask(upstream.start, [start(1)])
-    assert [each.task for each in reply.unwrap().verdicts] == [task(1)]
+    assert [verdict.task for verdict in reply.unwrap().verdicts] == [task(1)]
     assert (len(timed_out), worker.worker.counters().starts) == (1, 2)
 
 
@@ -147,14 +147,14 @@
 
 
 def test_reply_for_other_tasks_is_malformed(loop, worker, upstream, monkeypatch):
-    answer = worker.worker.start
-    wrong = [start(5)]
+    start_tasks = worker.worker.start
+    other_starts = [start(5)]
 
-    def mixed_up(request, now):
-        reply = answer(request, now)
-        verdicts = tuple(type(v)(str(wrong[0].task)) for v in reply.verdicts)
+    def start_with_other_tasks(request, now):
+        reply = start_tasks(request, now)
+        verdicts = tuple(type(v)(str(other_starts[0].task)) for v in reply.verdicts)
         return type(reply)(reply.incarnation, verdicts)
 
-    monkeypatch.setattr(worker.worker, "start", mixed_up)
+    monkeypatch.setattr(worker.worker, "start", start_with_other_tasks)
     reply = loop.ask(upstream.start, [start(0)])
     assert isinstance(reply.unwrap_err(), OutcomeUnknown)
