--- a/jackdawspur/scheduling/tests/trial.py
+++ b/jackdawspur/scheduling/tests/trial.py
@@ -138,7 +138,7 @@
     estimator = RunTimeEstimator()
     ends: list[tuple[float, int, NextTask]] = []
     remaining: dict[int, int] = {}
-    arrivals_by_number: dict[int, Arrival] = {}
+    arrived: dict[int, Arrival] = {}
     ended: list[Ended] = []
     free, now, sequence = SLOTS, 0.0, 0
     while pending or ends:
@@ -148,16 +148,13 @@
             queued = _to_queued_job(sequence, job, estimator, rng)
             if admission and not _is_admitted(admission, queue, queued, free):
                 continue
-            arrivals_by_number[sequence], remaining[sequence] = (
-                job,
-                len(job.run_times_s),
-            )
+            arrived[sequence], remaining[sequence] = job, len(job.run_times_s)
             queue.add(queued)
         else:
             now, _, task = heapq.heappop(ends)
             free += 1
             number = task.job.submission.sequence
-            arrival = arrivals_by_number[number]
+            arrival = arrived[number]
             run_ms = arrival.run_times_s[task.index] * 1000.0
             queue.task_ended(task.job, task.index, run_ms)
             estimator.observe(arrival.customer, arrival.job_class, task.spec, run_ms)
@@ -167,11 +164,7 @@
         while free and (task := queue.next_task(now, lambda spec: True)):
             free -= 1
             number = task.job.submission.sequence
-            entry = (
-                now + arrivals_by_number[number].run_times_s[task.index],
-                len(ended),
-                task,
-            )
+            entry = (now + arrived[number].run_times_s[task.index], len(ended), task)
             heapq.heappush(ends, _Entry(entry))
     return ended
 
