--- a/jackdawspur/wire/_log.py
+++ b/jackdawspur/wire/_log.py
@@ -6,7 +6,7 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True):
-    """Reply to an append: the offset of the record."""
+    """Reply to an append, with the offset of the record."""
 
     offset: int
 
@@ -25,6 +25,6 @@
 
 
 class TrimmedReply(msgspec.Struct, frozen=True):
-    """Reply to a read of trimmed records: the oldest offset that can be read."""
+    """Reply to a read of trimmed records, with the oldest offset that can be read."""
 
     first: int
