--- a/jackdawspur/metrics/_histograms.py
+++ b/jackdawspur/metrics/_histograms.py
@@ -34,7 +34,7 @@
 
 
 class Histograms:
-    """Records durations; evicts the least recently used class beyond the bound."""
+    """Histograms of durations; beyond the bound the least recently used is evicted."""
 
     def __init__(self) -> None:
         self._histograms: OrderedDict[HistogramKey, HdrHistogram] = OrderedDict()
