--- a/jackdawspur/cli/_check.py
+++ b/jackdawspur/cli/_check.py
@@ -58,7 +58,7 @@
             load_host_settings(path)
         else:
             load_settings(KINDS[values.kind], path)
-        sys.stdout.write(f"{path}: good\n")
+        sys.stdout.write(f"{path}: valid\n")
     return ExitCode.OK
 
 
--- a/jackdawspur/cli/_exit.py
+++ b/jackdawspur/cli/_exit.py
@@ -27,8 +27,8 @@
 _MEANINGS = {
     ExitCode.OK: "done",
     ExitCode.FAILED: "a job failed or its outcome is unknown",
-    ExitCode.USAGE: "a wrong flag, argument or settings file",
-    ExitCode.REFUSED: "refused; of a job nothing was run if its body says so",
+    ExitCode.USAGE: "an invalid flag, argument or settings file",
+    ExitCode.REFUSED: "refused; no task ran if the reply says so",
     ExitCode.UNREACHABLE: "the entry host did not answer",
     ExitCode.BROKEN: "an invariant was broken",
     ExitCode.INTERRUPTED: "interrupted",
--- a/jackdawspur/cli/_http.py
+++ b/jackdawspur/cli/_http.py
@@ -31,7 +31,7 @@
     body: bytes = b"",
     key: str | None = None,
 ) -> Reply | None:
-    """Send a request to an entry host; return its reply, or None without one."""
+    """Send a request to an entry host; return its reply, or None if there is none."""
     address, _, port = host.rpartition(":")
     if not address or not port.isdigit():
         raise UsageError(f"--host: expected IP:port, got {host!r}")
@@ -49,14 +49,14 @@
         connection.close()
 
 
-def read_input(name: str) -> bytes:
+def read_input(path: str) -> bytes:
     """Return the content of a file, or of standard input for ``-``."""
-    if name == "-":
+    if path == "-":
         return sys.stdin.buffer.read()
     try:
-        return Path(name).read_bytes()
+        return Path(path).read_bytes()
     except OSError as error:
-        raise UsageError(f"{name}: {error.strerror}") from error
+        raise UsageError(f"{path}: {error.strerror}") from error
 
 
 def single_argument(positional: list[str], expected: str) -> str:
--- a/jackdawspur/cli/_load.py
+++ b/jackdawspur/cli/_load.py
@@ -1,4 +1,4 @@
-"""Command that puts load on a deployment."""
+"""Command that generates load on a deployment."""
 
 import sys
 from collections.abc import Sequence
@@ -22,12 +22,19 @@
     flags.DEFINE_string(
         "deployment", None, "Configuration file of the deployment.", flag_values=values
     )
-    flags.DEFINE_string("mix", "ramdenee", "Mix of jobs.", flag_values=values)
+    flags.DEFINE_string(
+        "mix", "ramdenee", "Name of the mix of jobs.", flag_values=values
+    )
     flags.DEFINE_string(
         "token", "example-roster-token", "Customer's token.", flag_values=values
     )
     flags.DEFINE_float(
-        "seconds", 20.0, "How long to submit.", 0.1, 3600.0, flag_values=values
+        "seconds",
+        20.0,
+        "Seconds for which jobs are submitted.",
+        0.1,
+        3600.0,
+        flag_values=values,
     )
     flags.DEFINE_float(
         "load",
--- a/jackdawspur/cli/_logs.py
+++ b/jackdawspur/cli/_logs.py
@@ -1,4 +1,4 @@
-"""Set-up of logging as JSON lines."""
+"""Configuration of logging as JSON lines."""
 
 import logging
 
--- a/jackdawspur/cli/_main.py
+++ b/jackdawspur/cli/_main.py
@@ -21,6 +21,8 @@
 class Command:
     """A subcommand; `examples` are command lines without the program name.
 
+    `define_function` and `run_function` are names of functions in its `module`.
+
     Its module is imported on first use: importing the modules of all commands would
     delay the start of a host by half a second, and a zone that lost power waits for its
     hosts.
@@ -29,19 +31,19 @@
     name: str
     summary: str
     module: str
-    definer: str
-    runner: str
+    define_function: str
+    run_function: str
     examples: tuple[str, ...]
 
     def define(self, values: flags.FlagValues) -> None:
         """Define the flags of the command."""
-        getattr(self._loaded(), self.definer)(values)
+        getattr(self._load_module(), self.define_function)(values)
 
     def run(self, values: flags.FlagValues, positional: Sequence[str]) -> ExitCode:
         """Run the command."""
-        return getattr(self._loaded(), self.runner)(values, positional)
+        return getattr(self._load_module(), self.run_function)(values, positional)
 
-    def _loaded(self) -> ModuleType:
+    def _load_module(self) -> ModuleType:
         return import_module(f"jackdawspur.cli.{self.module}")
 
 
@@ -83,7 +85,7 @@
     ),
     Command(
         "status",
-        "Show an entry host as its operators see it.",
+        "Show the status of an entry host.",
         "_operator",
         "define",
         "run_status",
@@ -115,7 +117,7 @@
     ),
     Command(
         "load",
-        "Put load on a deployment and check its invariants.",
+        "Generate load on a deployment and check its invariants.",
         "_load",
         "define",
         "run",
@@ -153,7 +155,7 @@
     if command is None:
         names = ", ".join(c.name for c in COMMANDS)
         return _print_usage_error(
-            f"no command {arguments[0]!r}; expected one of {names}"
+            f"unknown command {arguments[0]!r}; expected one of {names}"
         )
     return _run(command, arguments[1:])
 
--- a/jackdawspur/cli/tests/test_bounded_output.py
+++ b/jackdawspur/cli/tests/test_bounded_output.py
@@ -1,4 +1,4 @@
-"""Log output has a bounded rate and never blocks the process."""
+"""Tests that log output has a bounded rate and never blocks the process."""
 
 import json
 import logging
--- a/jackdawspur/cli/tests/test_start.py
+++ b/jackdawspur/cli/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A host imports only the modules that it uses when it starts."""
+"""Tests that a host imports only the modules that it uses when it starts."""
 
 import os
 import subprocess
@@ -33,11 +33,11 @@
     # most of the time until a host serves.
     root = Path(jackdawspur.__file__).parent.parent
     paths = (str(root), sysconfig.get_path("purelib"))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-S", "-c", IMPORTS],
         env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)},
         capture_output=True,
         text=True,
         check=True,
     )
-    assert UNUSED.isdisjoint(done.stdout.split())
+    assert UNUSED.isdisjoint(completed.stdout.split())
