--- a/jackdawspur/load/_closed_loop.py
+++ b/jackdawspur/load/_closed_loop.py
@@ -1,4 +1,7 @@
-"""Callers of the speed measurement: identical jobs, in a closed loop or at a rate."""
+"""Callers of the speed measurement; they submit identical jobs.
+
+Each submits its next job after an answer (a closed loop), or jobs arrive at a rate.
+"""
 
 import math
 import random
@@ -22,7 +25,7 @@
 __all__ = ["CallersPlan", "CallersReport", "IdenticalJobCallers", "percentile"]
 
 CALL_TIMEOUT_S = 40.0
-MS = 1000.0
+MS_PER_S = 1000.0
 COMPLETE = "complete"
 
 
@@ -65,7 +68,7 @@
     code: str | None = None
 
 
-_ANSWERS = msgspec.json.Decoder(_Answer)
+_ANSWER_DECODER = msgspec.json.Decoder(_Answer)
 
 
 class IdenticalJobCallers(BaseComponent):
@@ -93,7 +96,7 @@
         self._headers = (("Authorization", f"Bearer {plan.token}"),)
         self._open_jobs = 0
         self._jobs = 0
-        self._in_window = 0
+        self._jobs_in_window = 0
         self._added_ms: list[float] = []
         self._failures: Counter[str] = Counter()
         timer_queue.call_later(0.0, self._start)
@@ -108,16 +111,16 @@
             self._plan.warm_up_s + self._plan.seconds, self._finish
         )
         if self._plan.rate:
-            self._arrive()
+            self._on_arrival()
         else:
             for _ in range(self._plan.callers):
                 self._submit()
 
-    def _arrive(self) -> None:
+    def _on_arrival(self) -> None:
         if self._timer_queue.now < self._window[1]:
             self._submit()
             gap = self._rng.expovariate(self._plan.rate)
-            self._timer_queue.call_later(gap, self._arrive)
+            self._timer_queue.call_later(gap, self._on_arrival)
 
     def _submit(self) -> None:
         submitted_at = self._timer_queue.now
@@ -150,19 +153,22 @@
         if not isinstance(result, Ok):
             self._failures[type(result.err_value).__name__] += 1
             return
-        answer = _ANSWERS.decode(result.ok_value.body)
+        answer = _ANSWER_DECODER.decode(result.ok_value.body)
         if answer.state != COMPLETE or len(answer.outputs) != self._plan.tasks:
             self._failures[answer.code or answer.state] += 1
         elif self._window[0] <= now < self._window[1]:
-            self._in_window += 1
-            self._added_ms.append((now - submitted_at) * MS - self._plan.run_ms)
+            self._jobs_in_window += 1
+            self._added_ms.append((now - submitted_at) * MS_PER_S - self._plan.run_ms)
 
     def _finish(self) -> None:
         if self._open_jobs:
             self._timer_queue.call_later(0.05, self._finish)
             return
         report = CallersReport(
-            self._in_window, self._jobs, tuple(self._added_ms), dict(self._failures)
+            self._jobs_in_window,
+            self._jobs,
+            tuple(self._added_ms),
+            dict(self._failures),
         )
         self._on_finished(report)
 
--- a/jackdawspur/load/_driver.py
+++ b/jackdawspur/load/_driver.py
@@ -100,16 +100,16 @@
 
     def _start(self) -> None:
         self._next_arrival()
-        self._progress()
+        self._report_periodically()
 
     def _next_arrival(self) -> None:
         if self._timer_queue.now >= self._submit_until:
             self._wait_for_open_jobs()
             return
         gap = self._rng.expovariate(self._plan.rate)
-        self._timer_queue.call_later(gap, self._arrive)
+        self._timer_queue.call_later(gap, self._on_arrival)
 
-    def _arrive(self) -> None:
+    def _on_arrival(self) -> None:
         self._counters.jobs += 1
         job = plan_job(self._plan.mix, self._counters.jobs, self._rng)
         self._counters.tasks_submitted += len(job.outputs)
@@ -172,7 +172,7 @@
         else:
             counters.failed += 1
 
-    def _progress(self) -> None:
+    def _report_periodically(self) -> None:
         counters = self._counters
         self._report_progress(
             f"jobs {counters.jobs}, complete {counters.complete}, "
@@ -180,7 +180,7 @@
             f"open {counters.jobs - counters.ended}"
         )
         if self._timer_queue.now < self._submit_until:
-            self._timer_queue.call_later(PROGRESS_INTERVAL_S, self._progress)
+            self._timer_queue.call_later(PROGRESS_INTERVAL_S, self._report_periodically)
 
     def _wait_for_open_jobs(self) -> None:
         open_jobs = self._counters.jobs - self._counters.ended
--- a/jackdawspur/load/_mix.py
+++ b/jackdawspur/load/_mix.py
@@ -7,8 +7,8 @@
 
 __all__ = ["DEPLOYMENT_MIXES", "JobKind", "Mix", "PlannedJob", "plan_job"]
 
-# One of this number of tasks takes several seconds, as the users report of their jobs.
-LONG_TASK_EVERY = 400
+# One in this many tasks takes several seconds, as users report for their jobs.
+LONG_TASK_INTERVAL = 400
 LONG_TASK_MS = (2000.0, 4000.0)
 # Long enough that no deadline hides how long a job waits.
 DEADLINE_MS = 20_000.0
@@ -106,12 +106,12 @@
 
 
 def _run_ms(kind: JobKind, rng: random.Random) -> float:
-    bounds = LONG_TASK_MS if rng.randrange(LONG_TASK_EVERY) == 0 else kind.run_ms
+    bounds = LONG_TASK_MS if rng.randrange(LONG_TASK_INTERVAL) == 0 else kind.run_ms
     return round(rng.uniform(*bounds), 1)
 
 
 def _slot_seconds(kind: JobKind) -> float:
-    usual = sum(kind.run_ms) / 2
-    long = sum(LONG_TASK_MS) / 2
-    mean_ms = usual + (long - usual) / LONG_TASK_EVERY
+    usual_ms = sum(kind.run_ms) / 2
+    long_ms = sum(LONG_TASK_MS) / 2
+    mean_ms = usual_ms + (long_ms - usual_ms) / LONG_TASK_INTERVAL
     return sum(kind.tasks) / 2 * mean_ms / 1000.0
--- a/jackdawspur/load/_report.py
+++ b/jackdawspur/load/_report.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Latencies:
-    """Percentiles of the ratio of response times to ideal ones."""
+    """Percentiles of response times divided by the ideal ones."""
 
     p50: float
     p99: float
@@ -100,7 +100,7 @@
         other_tasks: int = 0,
     ) -> LoadReport:
         """Return the result of the run; other callers submitted `other_tasks`."""
-        possible = self.tasks_submitted - self.tasks_not_run + other_tasks
+        max_starts = self.tasks_submitted - self.tasks_not_run + other_tasks
         wasted = upstreams.refused + upstreams.status_queries + upstreams.stops
         return LoadReport(
             deployment=deployment,
@@ -114,7 +114,7 @@
             task_starts=upstreams.starts,
             tasks_started_twice=upstreams.started_twice,
             # More starts than tasks that may have run: a "not run" answer was wrong.
-            not_run_but_started=max(0, upstreams.starts - possible),
+            not_run_but_started=max(0, upstreams.starts - max_starts),
             wasted_messages_per_job=round(wasted / max(1, self.jobs), 5),
             response_over_ideal=self._latencies(),
             codes=dict(self.codes),
--- a/jackdawspur/load/_speed_processes.py
+++ b/jackdawspur/load/_speed_processes.py
@@ -51,7 +51,7 @@
             "entry",
             "entry",
             settings=self._entry_settings(log),
-            before=["-m", "cProfile", "-o", str(profile)] if profile else [],
+            interpreter_flags=["-m", "cProfile", "-o", str(profile)] if profile else [],
         )
         self.entry = psutil.Process(entry.pid)
 
@@ -77,14 +77,16 @@
                 process.wait(TIMEOUT_S)
             process.kill()
 
-    def _start(self, name, *arguments, settings, before=()) -> subprocess.Popen:
+    def _start(
+        self, name, *arguments, settings, interpreter_flags=()
+    ) -> subprocess.Popen:
         path = self._folder / f"{name}.json"
         path.write_text(json.dumps(settings))
         with (self._folder / f"{name}.log").open("w") as log:
             process = subprocess.Popen(
                 [
                     sys.executable,
-                    *before,
+                    *interpreter_flags,
                     "-m",
                     "jackdawspur",
                     *arguments,
@@ -98,7 +100,7 @@
 
     def _entry_settings(self, log: str) -> dict:
         self._link = _free_address()
-        operator = {"name": "ann", "token_sha256": _sha(OPERATOR)}
+        operator = {"name": "ann", "token_sha256": _sha256(OPERATOR)}
         return {
             "zone": ZONE,
             "name": "e1",
@@ -155,14 +157,14 @@
         contract = {"tail_over_ideal": 100.0, "max_wait_ms": 60_000.0}
         customer = {
             "name": "speed",
-            "token_sha256": [_sha(TOKEN)],
+            "token_sha256": [_sha256(TOKEN)],
             "quota_slots": 1_000_000,
             "contract": contract,
             "classes": [{"name": JOB_CLASS, "deadline_ms": 60_000.0}],
         }
         operator = {
             "name": "ann",
-            "token_sha256": [_sha(OPERATOR)],
+            "token_sha256": [_sha256(OPERATOR)],
             "rights": ["view", "plan", "confirm"],
         }
         host = {"zone": ZONE, "name": "e1", "http": self.http, "link": self._link}
@@ -187,11 +189,11 @@
         }
 
 
-def _sha(text: str) -> str:
+def _sha256(text: str) -> str:
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def _free_address() -> str:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{free.getsockname()[1]}"
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{sock.getsockname()[1]}"
--- a/jackdawspur/load/speed.py
+++ b/jackdawspur/load/speed.py
@@ -101,18 +101,18 @@
     plan = CallersPlan(
         deployment.http, TOKEN, JOB_CLASS, tasks, RUN_MS, callers, 0.0, 1.0, seconds, 0
     )
-    before, since = deployment.cpu_s(), time.monotonic()
-    full_load = _run_caller_processes(plan)
-    cpu_s = deployment.cpu_s() - before
-    cores = cpu_s / (time.monotonic() - since)
-    jobs = max(1, sum(report.jobs for report in full_load))
-    rate = sum(report.jobs_in_window for report in full_load) / seconds
-    half_load = _run_caller_processes(
+    cpu_before_s, started_at = deployment.cpu_s(), time.monotonic()
+    full_load_reports = _run_caller_processes(plan)
+    cpu_s = deployment.cpu_s() - cpu_before_s
+    cores = cpu_s / (time.monotonic() - started_at)
+    jobs = max(1, sum(report.jobs for report in full_load_reports))
+    rate = sum(report.jobs_in_window for report in full_load_reports) / seconds
+    half_load_reports = _run_caller_processes(
         replace(plan, rate=max(1.0, rate / 2), callers=64)
     )
-    added = [each for report in half_load for each in report.added_ms]
+    added_ms = [value for report in half_load_reports for value in report.added_ms]
     failures: dict[str, int] = {}
-    for report in full_load + half_load:
+    for report in full_load_reports + half_load_reports:
         for code, count in report.failures.items():
             failures[code] = failures.get(code, 0) + count
     return SizeFigures(
@@ -122,29 +122,29 @@
         round(cpu_s * 1000 / jobs, 3),
         round(cpu_s * 1000 / jobs / tasks, 4),
         round(cores, 2),
-        round(percentile(added, 0.5), 2),
-        round(percentile(added, 0.99), 2),
-        round(sum(report.jobs_in_window for report in half_load) / seconds, 1),
+        round(percentile(added_ms, 0.5), 2),
+        round(percentile(added_ms, 0.99), 2),
+        round(sum(report.jobs_in_window for report in half_load_reports) / seconds, 1),
         failures,
     )
 
 
 def _measure_direct_added_ms(deployment: Deployment) -> float:
-    """Return the p50 that one start and one poll at a stand-in add to a task's time."""
+    """Return the p50 of the time that a start and a poll add to a task's run time."""
     connection = HTTPConnection(*split_address(deployment.upstreams[0]))
-    added, cursor = [], 0
+    added_ms, cursor = [], 0
     for index in range(DIRECT_STARTS):
         start = {"task": f"z1.x.1.1/{index}", "lease_ms": 5000.0}
         payload = json.dumps({"run_ms": RUN_MS})
         starts = {"holder": "z1.x.1", "starts": [{**start, "payload": payload}]}
-        since = time.monotonic()
+        started_at = time.monotonic()
         connection.request("POST", "/v1/starts", json.dumps(starts))
         connection.getresponse().read()
         query = f"holder=z1.x.1&after={cursor}&wait_ms=2000"
         connection.request("GET", f"/v1/results?{query}")
         cursor = json.loads(connection.getresponse().read())["cursor"]
-        added.append((time.monotonic() - since) * 1000 - RUN_MS)
-    return percentile(added, 0.5)
+        added_ms.append((time.monotonic() - started_at) * 1000 - RUN_MS)
+    return percentile(added_ms, 0.5)
 
 
 def _measure_memory_mb(deployment: Deployment) -> float:
