--- a/jackdawspur/standins/_fenced_worker.py
+++ b/jackdawspur/standins/_fenced_worker.py
@@ -61,7 +61,7 @@
     ) -> None:
         self.name = name
         self.cpu = cpu
-        self.silent = False
+        self.unresponsive = False
         self._counters = counters
         self._clock = clock
         self._fence = 0
@@ -82,15 +82,15 @@
         return len(self._unacknowledged_ends)
 
     def start(
-        self, task: str, run: int, spec: str, until_ms: int, fence: int, cpu: int
+        self, task: str, run: int, spec: str, lease_until_ms: int, fence: int, cpu: int
     ) -> str:
         """Start a run; return the reason of a refusal, or an empty string."""
         if fence < self._fence:
             return "fence"
         self._fence = fence
-        if until_ms <= self.clock_ms:
+        if lease_until_ms <= self.clock_ms:
             return "late"
-        self._lease_ms = max(self._lease_ms, until_ms)
+        self._lease_ms = max(self._lease_ms, lease_until_ms)
         if (task, run) in self._tasks:
             return ""
         if run <= self._last_run.get(task, 0):
@@ -126,7 +126,7 @@
             self._end_run(self._tasks[task, run], "stopped")
         return ""
 
-    def poll(self, fence: int, last_seen: int, until_ms: int | None) -> str:
+    def poll(self, fence: int, last_seen: int, lease_until_ms: int | None) -> str:
         """Acknowledge ends up to `last_seen` and extend the lease.
 
         Returns the reason of a refusal, or an empty string.
@@ -137,8 +137,8 @@
         self._unacknowledged_ends = [
             row for row in self._unacknowledged_ends if row[0] > last_seen
         ]
-        if until_ms is not None:
-            self._lease_ms = max(self._lease_ms, until_ms)
+        if lease_until_ms is not None:
+            self._lease_ms = max(self._lease_ms, lease_until_ms)
         return ""
 
     def encode_runs(self) -> tuple[list, list]:
--- a/jackdawspur/standins/_hostlist.py
+++ b/jackdawspur/standins/_hostlist.py
@@ -9,7 +9,7 @@
 
 __all__ = ["HostListFaults", "HostListSettings", "LaggingList"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
 
 class LaggingList:
-    """Recent versions of the list, of which readers get the one a lag ago."""
+    """Recent versions of the list; readers get the version of one lag ago."""
 
     def __init__(self, settings: HostListSettings, now: float) -> None:
         self._settings = settings
@@ -68,11 +68,11 @@
         lag_ms = self._faults.lag_ms
         if lag_ms is None:
             lag_ms = self._settings.lag_ms
-        while len(self._lists) > 1 and self._lists[1][0] <= now - lag_ms / MS:
+        while len(self._lists) > 1 and self._lists[1][0] <= now - lag_ms / MS_PER_S:
             self._lists.popleft()
         return self._lists[0][1]
 
     def _without(self, host: HostBody) -> tuple[HostBody, ...]:
         name = (host.zone, host.name)
         current = self._lists[-1][1].hosts
-        return tuple(each for each in current if (each.zone, each.name) != name)
+        return tuple(other for other in current if (other.zone, other.name) != name)
--- a/jackdawspur/standins/_http_service.py
+++ b/jackdawspur/standins/_http_service.py
@@ -143,13 +143,15 @@
     exchange.reply(ErrorBody(f"nothing at {exchange.path}"), HTTPStatus.NOT_FOUND)
 
 
-def serve_until_stopped(make: Callable[[Manager, TimerQueue], object]) -> None:
-    """Run an event loop with the components that `make` registers.
+def serve_until_stopped(
+    register_components: Callable[[Manager, TimerQueue], object],
+) -> None:
+    """Run an event loop with the components that `register_components` registers.
 
     It uses epoll: the default poller of circuits is select, which fails beyond 1,024
     connections.
     """
     root = Manager()
     EPoll().register(root)
-    make(root, TimerQueue().register(root))
+    register_components(root, TimerQueue().register(root))
     root.run()
--- a/jackdawspur/standins/_keyed_store.py
+++ b/jackdawspur/standins/_keyed_store.py
@@ -29,13 +29,13 @@
         return stored.end - 1
 
     def newest(self, topic: str) -> tuple[dict[str, bytes], int]:
-        """Return the newest value of each key unless it is empty, and the end."""
+        """Return the newest value of each key unless empty, and the end offset."""
         stored = self._topics.get(topic, _Topic())
         values = dict(stored.records)
         return {key: value for key, value in values.items() if value}, stored.end
 
     def read(self, topic: str, offset: int) -> tuple[bytes, int, int] | None:
-        """Return encoded records from an offset, the end and the first offset.
+        """Return encoded records from an offset, the end offset and the first offset.
 
         Return None if the offset has expired.
         """
--- a/jackdawspur/standins/_log_service.py
+++ b/jackdawspur/standins/_log_service.py
@@ -21,7 +21,7 @@
 
 __all__ = ["LogService", "make_log", "run_log"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 FAULTS = "/faults"
 STREAMS = "/v1/streams/"
 
@@ -66,7 +66,7 @@
 
     def on_caller_disconnected(self, call_id: int) -> None:
         """Drop the reads of a closed connection."""
-        for poll in [each for each in self._polls if each.exchange.call_id == call_id]:
+        for poll in [p for p in self._polls if p.exchange.call_id == call_id]:
             self._drop_poll(poll)
 
     def _append(self, exchange: Exchange, stream: str) -> None:
@@ -78,7 +78,7 @@
             exchange.reply(body, HTTPStatus.TOO_MANY_REQUESTS)
         else:
             delay_ms = self._store.settings.append_delay_ms
-            delay_s = delay_ms * self._store.faults.slow_factor / MS
+            delay_s = delay_ms * self._store.faults.slow_factor / MS_PER_S
             text = _decode_text(exchange.body)
             self._timer_queue.call_later(
                 delay_s, lambda: self._complete_append(exchange, stream, text)
@@ -87,7 +87,7 @@
     def _complete_append(self, exchange: Exchange, stream: str, text: str) -> None:
         offset = self._store.append(stream, text, self._timer_queue.now)
         self._reply(exchange, AppendReply(offset))
-        for poll in [each for each in self._polls if each.stream == stream]:
+        for poll in [p for p in self._polls if p.stream == stream]:
             self._drop_poll(poll)
             self._answer(poll, final=True)
 
@@ -97,7 +97,7 @@
         if not self._answer(poll, final=wait_ms <= 0):
             self._polls.append(poll)
             poll.timer = self._timer_queue.call_later(
-                wait_ms / MS, lambda: self._on_timeout(poll)
+                wait_ms / MS_PER_S, lambda: self._on_timeout(poll)
             )
 
     def _on_timeout(self, poll: _Poll) -> None:
--- a/jackdawspur/standins/_platform_service.py
+++ b/jackdawspur/standins/_platform_service.py
@@ -31,8 +31,9 @@
 class PlatformSettings:
     """Addresses of the store and the workers, and the configuration in the store.
 
-    Each worker has `cpu` thousandths of a core; `zones` are assigned to workers round
-    robin. `announced` are the workers' addresses in the store, if not their own.
+    Each worker has `cpu` thousandths of a core; `zones` are assigned to workers in
+    rotation. `announced` are the workers' addresses in the store, if they differ from
+    `workers`.
     """
 
     store: str
@@ -115,7 +116,7 @@
 
     def serve(self, exchange: Exchange) -> None:
         """Answer a request, unless the worker is set to be unresponsive."""
-        if self.worker.silent:
+        if self.worker.unresponsive:
             return
         if exchange.path == "/run-start":
             request = msgspec.json.decode(exchange.body, type=_Start)
@@ -171,7 +172,7 @@
 
     def _tick(self) -> None:
         self.worker.tick()
-        if not self.worker.silent:
+        if not self.worker.unresponsive:
             self._answer_polls()
         self._timer_queue.call_later(TICK_S, self._tick)
 
@@ -237,12 +238,12 @@
             not_found(exchange)
 
     def _set_faults(self, exchange: Exchange) -> None:
-        before = self._faults.unlisted
+        previously_unlisted = self._faults.unlisted
         self._faults = msgspec.json.decode(exchange.body, type=_Faults)
         for index, worker in enumerate(self.workers):
-            worker.silent = index in self._faults.silent
+            worker.unresponsive = index in self._faults.silent
             unlisted = index in self._faults.unlisted
-            if unlisted != (index in before):
+            if unlisted != (index in previously_unlisted):
                 entry = b"" if unlisted else self._entries[index]
                 self._store.append(SERVERS, worker.name, entry)
         if self._faults.forget:
--- a/jackdawspur/standins/_start_costs.py
+++ b/jackdawspur/standins/_start_costs.py
@@ -27,8 +27,8 @@
 PAYLOAD = '{"run_ms":0,"output":"x"}'
 LEASE_MS = 60000.0
 TIMEOUT_S = 5.0
-MICRO = 1e6
-MILLI = 1e3
+US_PER_S = 1e6
+MS_PER_S = 1e3
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,9 +86,9 @@
         return BatchCost(
             tasks=tasks,
             requests=requests,
-            client_us=client_s / requests * MICRO,
-            worker_us=worker_s / requests * MICRO,
-            p50_ms=statistics.median(times) * MILLI,
+            client_us=client_s / requests * US_PER_S,
+            worker_us=worker_s / requests * US_PER_S,
+            p50_ms=statistics.median(times) * MS_PER_S,
         )
 
     def _start(self, tasks: int) -> float:
@@ -101,7 +101,7 @@
         started_at = time.perf_counter()
         reply = self._wait_for_result(lambda done: self._upstream.start(starts, done))
         elapsed_s = time.perf_counter() - started_at
-        refused = [each for each in reply.unwrap().verdicts if each.refusal]
+        refused = [verdict for verdict in reply.unwrap().verdicts if verdict.refusal]
         if refused:
             raise PlatformError(f"the worker refused a start: {refused[0]}")
         return elapsed_s
--- a/jackdawspur/standins/_worker.py
+++ b/jackdawspur/standins/_worker.py
@@ -22,7 +22,7 @@
 
 __all__ = ["Worker"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 # The first cursor of an incarnation exceeds all cursors of earlier ones, as long as an
 # incarnation has fewer than this number of results per millisecond of its life.
 CURSORS_PER_INCARNATION = 1000
@@ -69,7 +69,7 @@
         if not self._running:
             return None
         return min(
-            min(each.ends_at, each.lease_expires_at) for each in self._running.values()
+            min(task.ends_at, task.lease_expires_at) for task in self._running.values()
         )
 
     def set_faults(self, faults: WorkerFaults, now: float) -> None:
@@ -147,7 +147,8 @@
         self._record_usage(now)
         history = self._usage_history
         while (
-            len(history) > 1 and history[1][0] <= now - self._settings.usage_lag_ms / MS
+            len(history) > 1
+            and history[1][0] <= now - self._settings.usage_lag_ms / MS_PER_S
         ):
             history.popleft()
         _, busy, leaving = history[0]
@@ -167,8 +168,8 @@
         if refusal is not None:
             self._refusals[refusal.value] += 1
             return refusal
-        # A second start of a task runs as well, and the first gets another key: a
-        # worker that ignored it would hide the fault that this stand-in counts.
+        # A second start of a task runs as well, and the first run gets another key: if
+        # the second were ignored, the stand-in would hide the fault that it counts.
         earlier_starts = self._count_start(start.task)
         if start.task in self._running:
             earlier_task = self._running.pop(start.task)
@@ -205,7 +206,7 @@
         if holder in self._results or len(self._results) < self._settings.max_holders:
             return True
         busy = {task.holder for task in self._running.values()}
-        idle = next((each for each in self._results if each not in busy), None)
+        idle = next((other for other in self._results if other not in busy), None)
         if idle is None:
             return False
         del self._results[idle]
@@ -259,8 +260,8 @@
             self._usage_history.popleft()
 
 
-def _stopped(task: RunningTask, why: str) -> OutcomeBody:
-    return OutcomeBody(task.outcome.task, TaskState.STOPPED, error=why)
+def _stopped(task: RunningTask, reason: str) -> OutcomeBody:
+    return OutcomeBody(task.outcome.task, TaskState.STOPPED, error=reason)
 
 
 def _evict_oldest(entries: OrderedDict, limit: int) -> None:
--- a/jackdawspur/standins/_worker_service.py
+++ b/jackdawspur/standins/_worker_service.py
@@ -25,7 +25,7 @@
 
 __all__ = ["WorkerService", "make_worker_pool", "run_worker"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 STARTS = "/v1/starts"
 RESULTS = "/v1/results"
 STATUS = "/v1/status"
@@ -94,7 +94,7 @@
 
     def on_caller_disconnected(self, call_id: int) -> None:
         """Drop the poll of a caller that disconnected."""
-        for poll in [each for each in self._polls if each.exchange.call_id == call_id]:
+        for poll in [p for p in self._polls if p.exchange.call_id == call_id]:
             poll.timer.cancel()
             self._polls.remove(poll)
 
@@ -112,7 +112,7 @@
         action()
         # Any request may have ended tasks that were due.
         self._answer_polls()
-        self._set_wake()
+        self._schedule_wake()
 
     def _starts(self, exchange: Exchange) -> None:
         request = msgspec.json.decode(exchange.body, type=StartsRequest)
@@ -124,7 +124,7 @@
         if not self._answer_poll(poll, final=wait_ms <= 0):
             self._polls.append(poll)
             poll.timer = self._timer_queue.call_later(
-                wait_ms / MS,
+                wait_ms / MS_PER_S,
                 lambda: self._run_or_defer(lambda: self._on_poll_timeout(poll)),
             )
 
@@ -175,8 +175,8 @@
         self._replies_to_drop[RESULTS] = faults.lose_results
         self._replies_to_drop[STATUS] = faults.lose_status
         self._replies_to_drop[STOP] = faults.lose_stops
-        self._frozen_until = now + faults.frozen_ms / MS
-        self._timer_queue.call_later(faults.frozen_ms / MS, self._thaw)
+        self._frozen_until = now + faults.frozen_ms / MS_PER_S
+        self._timer_queue.call_later(faults.frozen_ms / MS_PER_S, self._thaw)
         while self._held_replies and not faults.hold_replies:
             self._held_replies.popleft()()
         exchange.reply(faults)
@@ -194,9 +194,9 @@
             return
         self._worker.advance(self._timer_queue.now)
         self._answer_polls()
-        self._set_wake()
+        self._schedule_wake()
 
-    def _set_wake(self) -> None:
+    def _schedule_wake(self) -> None:
         next_change = self._worker.next_change
         if next_change is None or (
             self._wake_at is not None and self._wake_at <= next_change
@@ -213,10 +213,10 @@
     settings: WorkerPoolSettings, root: Manager, timer_queue: TimerQueue
 ) -> tuple[WorkerService, ...]:
     """Register the workers of one process with its event loop."""
-    incarnation = int(time.time() * MS)
+    incarnation = int(time.time() * MS_PER_S)
     return tuple(
-        _make_service(settings, index, text, timer_queue, incarnation).register(root)
-        for index, text in enumerate(settings.addresses)
+        _make_service(settings, index, address, timer_queue, incarnation).register(root)
+        for index, address in enumerate(settings.addresses)
     )
 
 
--- a/jackdawspur/standins/_worker_task.py
+++ b/jackdawspur/standins/_worker_task.py
@@ -11,7 +11,7 @@
 
 __all__ = ["RunningTask", "TaskBehaviour"]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 class Payload(msgspec.Struct, frozen=True):
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A task in its slot; times in seconds, `outcome` is that at its regular end."""
+    """A task in its slot; times in seconds, `outcome` applies unless it is stopped."""
 
     holder: str
     ends_at: float
@@ -34,7 +34,7 @@
 
 
 class TaskBehaviour:
-    """Run time and outcome of tasks, from their payloads and the faults."""
+    """Simulates run times and outcomes of tasks by their payloads and the faults."""
 
     def __init__(self, default_run_ms: float, seed: int) -> None:
         self.faults = WorkerFaults()
@@ -48,8 +48,8 @@
         payload = _payload(start.payload)
         return RunningTask(
             holder=holder,
-            ends_at=now + self._run_ms(payload) / MS,
-            lease_expires_at=now + start.lease_ms / MS,
+            ends_at=now + self._run_ms(payload) / MS_PER_S,
+            lease_expires_at=now + start.lease_ms / MS_PER_S,
             outcome=self._outcome(start, payload),
             order=order,
         )
--- a/jackdawspur/standins/tests/__init__.py
+++ b/jackdawspur/standins/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this package."""
+"""Tests of the stand-ins."""
--- a/jackdawspur/standins/tests/test_worker.py
+++ b/jackdawspur/standins/tests/test_worker.py
@@ -20,11 +20,11 @@
         StartBody(task, f'{{"run_ms":{run_ms}}}', lease_ms, **sizes) for task in tasks
     )
     reply = worker.start(StartsRequest(HOLDER, starts), now)
-    return [each.refusal for each in reply.verdicts]
+    return [verdict.refusal for verdict in reply.verdicts]
 
 
 def states(reply):
-    return [each.state for each in reply.outcomes]
+    return [outcome.state for outcome in reply.outcomes]
 
 
 def test_expired_lease_stops_the_task_and_frees_its_slot(worker):
@@ -35,7 +35,7 @@
 
 
 def test_second_start_of_a_task_runs_and_is_counted(worker):
-    """The worker must not hide a double start, because its purpose is to count them."""
+    """The worker must not hide double starts, because its purpose is to count them."""
     start(worker, "s/0")
     start(worker, "s/0")
     start(worker, "s/1")
