--- a/jackdawspur/limits/_quotas.py
+++ b/jackdawspur/limits/_quotas.py
@@ -140,9 +140,13 @@
         )
         for name in self._advertised.keys() - names:
             self._record_advertised_need(name, 0, now)
-        for item in usage:
-            self._record_advertised_need(item.customer, _need(item), now)
-        self._advertised = {item.customer: item for item in usage}
+        for customer_usage in usage:
+            self._record_advertised_need(
+                customer_usage.customer, _need(customer_usage), now
+            )
+        self._advertised = {
+            customer_usage.customer: customer_usage for customer_usage in usage
+        }
         self._advertised_at = now
         return usage
 
--- a/jackdawspur/limits/_retries.py
+++ b/jackdawspur/limits/_retries.py
@@ -4,8 +4,8 @@
 
 __all__ = ["RetryBudget"]
 
-# Retries add at most a tenth to the starts of a customer and of the host, so a storm of
-# refusals increases the number of messages by a tenth and doesn't multiply it.
+# Retries add at most a tenth to the starts of a customer and of the host, so if
+# many starts are refused, the number of messages grows by a tenth and doesn't multiply.
 RETRY_FRACTION = 0.1
 # Retries allowed at once, so that a single full upstream makes no job fail.
 CUSTOMER_BURST = 20.0
--- a/jackdawspur/limits/tests/conftest.py
+++ b/jackdawspur/limits/tests/conftest.py
@@ -43,8 +43,10 @@
 class Hosts:
     """Simulated hosts and their heartbeats, which don't cross a partition."""
 
-    def __init__(self, quota: int, zones: int = 3, in_zone: int = 2) -> None:
-        host_keys = [(f"z{z}", f"e{h}") for z in range(zones) for h in range(in_zone)]
+    def __init__(self, quota: int, zones: int = 3, hosts_per_zone: int = 2) -> None:
+        host_keys = [
+            (f"z{z}", f"e{h}") for z in range(zones) for h in range(hosts_per_zone)
+        ]
         entries = tuple(EntryHost(zone, name, "", "") for zone, name in host_keys)
         cluster_spec = ClusterSpec(1, (Customer("a", quota),), entries)
         self.hosts = [
--- a/jackdawspur/limits/tests/test_quotas.py
+++ b/jackdawspur/limits/tests/test_quotas.py
@@ -100,7 +100,7 @@
 
 
 def test_host_that_receives_no_heartbeats_keeps_its_even_share(make_hosts):
-    hosts = make_hosts(QUOTA, zones=6, in_zone=1)
+    hosts = make_hosts(QUOTA, zones=6, hosts_per_zone=1)
     hosts.partitioned_zones = {"z0"}
     hosts.hosts[0].wanted = 500
     hosts.run(6.0)
