--- a/jackdawspur/scheduling/_run_times.py
+++ b/jackdawspur/scheduling/_run_times.py
@@ -17,7 +17,7 @@
 # Minimum weight of a task in the moving averages, so that about the last fifty tasks
 # determine an estimate.
 MIN_TASK_WEIGHT = 0.02
-# Weight of the prior estimate, in ended tasks.
+# Weight of the prior estimate, as a number of ended tasks.
 PRIOR_WEIGHT = 2.0
 # A class with more ended tasks than CLASS_LEARNED_AFTER no longer uses its customer's
 # overall history as prior. It updates that history only at every
@@ -94,8 +94,9 @@
         if self.count > CLIP_RESIDUALS_AFTER:
             expected = self.expected(declared)
             run = min(expected + MAX_RESIDUAL, max(expected - MAX_RESIDUAL, run))
-        # Each mean moves by `step` times the distance. The second moments follow by the
-        # usual incremental update, which multiplies that with the remaining distance.
+        # Each mean moves by `step` times the distance of the new value. The second
+        # moments follow by the usual incremental update, which multiplies this distance
+        # by the distance that remains.
         declared_difference = declared - self.declared
         run_difference = run - self.run
         self.declared += step * declared_difference
--- a/jackdawspur/scheduling/tests/trial.py
+++ b/jackdawspur/scheduling/tests/trial.py
@@ -51,7 +51,10 @@
 
 
 class KeyedQueue:
-    """A baseline that orders whole jobs by a key."""
+    """A baseline that orders whole jobs by a key.
+
+    With `together` a job starts only when there are free slots for all its tasks.
+    """
 
     def __init__(self, key: Callable[[QueuedJob], float], together: bool = False):
         self._key = key
@@ -177,21 +180,23 @@
 def _is_admitted(
     admission: AdmissionController, queue: JobQueue, job: QueuedJob, free: int
 ) -> bool:
-    name = job.customer
-    request = JobRequest(name, "", job.tasks, NO_DEADLINE)
-    weight = queue.weight(name)
-    others = queue.active_weight() - (weight if queue.waiting(name) else 0.0)
+    customer_name = job.customer
+    request = JobRequest(customer_name, "", job.tasks, NO_DEADLINE)
+    weight = queue.weight(customer_name)
+    others_weight = queue.active_weight() - (
+        weight if queue.waiting(customer_name) else 0.0
+    )
     load = LocalLoad(
         SLOTS,
         free,
         queue.waiting(),
         queue.backlog_ms(),
-        queue.backlog_ms(name),
+        queue.backlog_ms(customer_name),
         SLOTS,
-        weight / (weight + others),
+        weight / (weight + others_weight),
         (SLOTS - free) * MEAN_REMAINING_MS,
     )
-    customer = Customer(name, SLOTS)
+    customer = Customer(customer_name, SLOTS)
     return isinstance(
         admission.evaluate(request, job.estimates_ms, customer, load), Admit
     )
