--- a/jackdawspur/platform/_callers.py
+++ b/jackdawspur/platform/_callers.py
@@ -186,12 +186,10 @@
 
 
 def _caller_timeout_s(text: str | None) -> float | None:
-    digits = (text or "").strip()
-    if not (
-        digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMEOUT_DIGITS
-    ):
+    value = (text or "").strip()
+    if not (value.isascii() and value.isdigit() and len(value) <= MAX_TIMEOUT_DIGITS):
         return None
-    return int(digits) / MS_PER_S
+    return int(value) / MS_PER_S
 
 
 def _error_response(status: int, text: str) -> HttpResponse:
--- a/jackdawspur/platform/_topics.py
+++ b/jackdawspur/platform/_topics.py
@@ -84,8 +84,8 @@
             self._on_reachability(False, f"{self._topic}: {error}")
             self._timer_queue.call_later(RETRY_DELAY_S, self.start)
             return
-        # Pages are not a snapshot. Records written while they are read are followed
-        # from the end offset of the first page.
+        # The pages may be of different times. Records written while they are read are
+        # read again from the end offset of the first page on.
         self._page_end = self._page_end or page.end
         self._page.update({item.key: item.value for item in page.items})
         if page.more and page.items:
