--- a/jackdawspur/settings/_standins.py
+++ b/jackdawspur/settings/_standins.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogStandinSettings:
-    """Settings of the stand-in log; the delay is in milliseconds."""
+    """Settings of the stand-in log; delay in milliseconds, retention in seconds."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
