--- a/jackdawspur/adapters/_links.py
+++ b/jackdawspur/adapters/_links.py
@@ -36,12 +36,12 @@
         bind: str,
         poller: BasePoller,
         deliver: Callable[[HostId, Message], None],
-        bytes_sent: Callable[[int], None],
+        on_bytes_sent: Callable[[int], None],
     ) -> None:
         super().__init__()
         self._local_id = local_id
         self._deliver = deliver
-        self._bytes_sent = bytes_sent
+        self._on_bytes_sent = on_bytes_sent
         self._stale_filter = StaleFilter()
         self._addresses: dict[str, str] = {}
         self._outboxes: dict[str, Outbox] = {}
@@ -79,7 +79,7 @@
         if not outbox.send(data):
             self.dropped_messages += 1
             return False
-        self._bytes_sent(len(data))
+        self._on_bytes_sent(len(data))
         return True
 
     def _receive(self, data: bytes) -> None:
--- a/jackdawspur/adapters/_reply_reader.py
+++ b/jackdawspur/adapters/_reply_reader.py
@@ -11,6 +11,7 @@
 
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 MAX_HEAD_BYTES = 65536
+# Value for the parameter `kind` of `HttpParser`.
 RESPONSES_ONLY = 1
 END_OF_HEAD = b"\r\n\r\n"
 # Heads are cached: those of upstreams differ in little more than the length of the
--- a/jackdawspur/adapters/_requests.py
+++ b/jackdawspur/adapters/_requests.py
@@ -18,6 +18,7 @@
 
 MAX_BODY_BYTES = 1_048_576
 MAX_HEAD_BYTES = 65_536
+# Value for the parameter `kind` of `HttpParser`.
 REQUESTS_ONLY = 0
 END_OF_HEAD = b"\r\n\r\n"
 HTTP_1 = 1
@@ -61,7 +62,7 @@
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
-        self._searched = 0
+        self._searched_until = 0
         self._head: _Head | None = None
         self._continue_sent = False
 
@@ -104,18 +105,18 @@
         return self._continue_sent
 
     def _read_head(self) -> _Head | None:
-        end = self._buffer.find(END_OF_HEAD, self._searched)
+        end = self._buffer.find(END_OF_HEAD, self._searched_until)
         if max(end, len(self._buffer) if end < 0 else 0) > MAX_HEAD_BYTES:
             text = f"the head of a request may have at most {MAX_HEAD_BYTES} bytes"
             raise RequestError(text, FailureCode.TOO_LARGE)
         if end < 0:
             # Searching the whole buffer again for each byte of a slow sender is costly.
-            self._searched = max(0, len(self._buffer) - len(END_OF_HEAD) + 1)
+            self._searched_until = max(0, len(self._buffer) - len(END_OF_HEAD) + 1)
             return None
         end += len(END_OF_HEAD)
         parser = _parse(bytes(self._buffer[:end]))
         del self._buffer[:end]
-        self._searched = 0
+        self._searched_until = 0
         return _Head(parser, _body_length(parser.get_headers(), self._max_body_bytes))
 
 
--- a/jackdawspur/adapters/_web.py
+++ b/jackdawspur/adapters/_web.py
@@ -30,6 +30,7 @@
 # any further one is closed without a reply.
 MAX_REFUSED_CONNECTIONS = 64
 REQUEST_TIME_LIMIT_S = 10.0
+# Time to wait for the peer's close after the sending side was shut down.
 LINGER_S = 2.0
 SWEEP_INTERVAL_S = 1.0
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -83,9 +84,10 @@
 class _Connection:
     """State of one connection.
 
-    `since` is when it was accepted, its unfinished request started or its last reply
-    was sent, whichever is latest. `half_closed` means that the peer has shut down its
-    sending side.
+    `since` is the time when it was accepted, when its unfinished request started or
+    when its last reply was sent, whichever is latest. `half_closed` means that the
+    peer has shut down its sending side, `lingering` that this side has and only waits
+    for the peer's close.
     """
 
     sock: socket
--- a/jackdawspur/adapters/tests/conftest.py
+++ b/jackdawspur/adapters/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: an event loop with real loopback sockets and a clock set by the tests."""
+"""Fixtures of an event loop with loopback sockets and a clock set by the tests."""
 
 from collections.abc import Callable
 
--- a/jackdawspur/adapters/tests/test_http_client.py
+++ b/jackdawspur/adapters/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Each request is sent at most once and gets its own reply or a precise error."""
+"""Tests that each request is sent at most once and gets its own reply or an error."""
 
 import socket
 
@@ -110,8 +110,8 @@
     """Guards against a task that runs twice after a close by the upstream.
 
     The upstream closes a persistent connection while a start is written to it. If the
-    client takes the start for unsent, it sends it again. The kernel had accepted the
-    bytes, so the outcome is unknown.
+    client assumed that the start wasn't sent, it would send it again. The kernel had
+    accepted the bytes, so the outcome is unknown.
     """
     peer.answers = [[OK_REPLY]]
     client = loop.client(address(peer), max_connections=1)
--- a/jackdawspur/adapters/tests/test_timer_queue.py
+++ b/jackdawspur/adapters/tests/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers call back once, in order, and keep the poller from waiting afterwards."""
+"""Tests that timers call back once, in order, and keep the poller from waiting."""
 
 from circuits.core.events import generate_events
 
