--- a/jackdawspur/load/_driver.py
+++ b/jackdawspur/load/_driver.py
@@ -1,4 +1,4 @@
-"""Callers on one circuits loop that submit at random times and check the answers."""
+"""Callers on one event loop that submit jobs at random times and check the answers."""
 
 import random
 from collections.abc import Callable
--- a/jackdawspur/load/_mix.py
+++ b/jackdawspur/load/_mix.py
@@ -93,16 +93,16 @@
     """Return a random job of a mix; `number` makes its outputs unique."""
     kind = rng.choices(mix.kinds, [k.weight for k in mix.kinds])[0]
     count = rng.randint(*kind.tasks)
-    times = [_run_ms(kind, rng) for _ in range(count)]
+    run_times_ms = [_run_ms(kind, rng) for _ in range(count)]
     outputs = tuple(f"{number}/{index}" for index in range(count))
     tasks = tuple(
         _Task(msgspec.json.encode(_Payload(run_ms, output)).decode(), run_ms)
-        for run_ms, output in zip(times, outputs, strict=True)
+        for run_ms, output in zip(run_times_ms, outputs, strict=True)
     )
     body = msgspec.json.encode(
         _Job(kind.job_class, tasks, kind.idempotent, DEADLINE_MS)
     )
-    return PlannedJob(kind, body, outputs, max(times))
+    return PlannedJob(kind, body, outputs, max(run_times_ms))
 
 
 def _run_ms(kind: JobKind, rng: random.Random) -> float:
--- a/jackdawspur/load/_report.py
+++ b/jackdawspur/load/_report.py
@@ -35,7 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Result of a run, printed as its last line."""
+    """Result of a run, printed as its last line.
+
+    `partial` counts complete answers with a wrong number of outputs, `wrong` those with
+    any difference from the expected outputs. Wasted messages are refused starts, status
+    queries and stops.
+    """
 
     deployment: str
     jobs: int
@@ -101,7 +106,7 @@
     ) -> LoadReport:
         """Return the result of the run; other callers submitted `other_tasks`."""
         max_starts = self.tasks_submitted - self.tasks_not_run + other_tasks
-        wasted = upstreams.refused + upstreams.status_queries + upstreams.stops
+        wasted_messages = upstreams.refused + upstreams.status_queries + upstreams.stops
         return LoadReport(
             deployment=deployment,
             jobs=self.jobs,
@@ -115,7 +120,7 @@
             tasks_started_twice=upstreams.started_twice,
             # More starts than tasks that may have run: a "not run" answer was wrong.
             not_run_but_started=max(0, upstreams.starts - max_starts),
-            wasted_messages_per_job=round(wasted / max(1, self.jobs), 5),
+            wasted_messages_per_job=round(wasted_messages / max(1, self.jobs), 5),
             response_over_ideal=self._latencies(),
             codes=dict(self.codes),
         )
