--- a/jackdawspur/standins/_log.py
+++ b/jackdawspur/standins/_log.py
@@ -23,8 +23,8 @@
     records_kept: int = 100000
     seconds_kept: float = 86400.0
     records_per_reply: int = 1000
-    record_bytes: int = 1024 * 1024
-    streams: int = 64
+    max_record_bytes: int = 1024 * 1024
+    max_streams: int = 64
 
 
 class LogFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -88,7 +88,7 @@
         self._tokens = min(rate, tokens)
         self._tokens_at = now
         allowed = stream in self._streams or (
-            len(self._streams) < self._settings.streams
+            len(self._streams) < self._settings.max_streams
         )
         if self._tokens < 1.0 or not allowed:
             return False
--- a/jackdawspur/standins/_log_service.py
+++ b/jackdawspur/standins/_log_service.py
@@ -70,7 +70,7 @@
             self._drop_poll(poll)
 
     def _append(self, exchange: Exchange, stream: str) -> None:
-        if len(exchange.body) > self._store.settings.record_bytes:
+        if len(exchange.body) > self._store.settings.max_record_bytes:
             body = ErrorBody("the record is too large")
             exchange.reply(body, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         elif not self._store.admit(stream, self._timer_queue.now):
--- a/jackdawspur/standins/_start_costs.py
+++ b/jackdawspur/standins/_start_costs.py
@@ -80,7 +80,7 @@
             self._start(tasks)
         worker_s = self._counters().processor_s
         client_s = time.process_time()
-        times = [self._start(tasks) for _ in range(requests)]
+        durations_s = [self._start(tasks) for _ in range(requests)]
         client_s = time.process_time() - client_s
         worker_s = self._counters().processor_s - worker_s
         return BatchCost(
@@ -88,7 +88,7 @@
             requests=requests,
             client_us=client_s / requests * US_PER_S,
             worker_us=worker_s / requests * US_PER_S,
-            p50_ms=statistics.median(times) * MS_PER_S,
+            p50_ms=statistics.median(durations_s) * MS_PER_S,
         )
 
     def _start(self, tasks: int) -> float:
--- a/jackdawspur/standins/_worker_service.py
+++ b/jackdawspur/standins/_worker_service.py
@@ -1,4 +1,4 @@
-"""HTTP service of stand-in workers, many of them in one process."""
+"""HTTP service of stand-in workers; one process may serve many."""
 
 import time
 from collections import Counter, deque
