--- a/jackdawspur/adapters/tests/conftest.py
+++ b/jackdawspur/adapters/tests/conftest.py
@@ -37,7 +37,7 @@
         self.poller = EPoll().register(self.root)
         self.timer_queue = TimerQueue(clock=lambda: self.now).register(self.root)
 
-    def until(self, condition: Callable[[], object]) -> None:
+    def run_until(self, condition: Callable[[], object]) -> None:
         for _ in range(MAX_TICKS):
             if condition():
                 return
@@ -48,7 +48,7 @@
         for _ in range(ticks):
             self.root.tick(0.0)
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.now += seconds
         self.settle()
 
@@ -56,11 +56,11 @@
         client = HttpClient(address, self.timer_queue, HttpClientLimits(**limits))
         return client.register(self.root)
 
-    def ask(self, function, *args):
+    def call_and_wait(self, function, *args):
         """Call a function whose last argument is a callback, and return the result."""
         results = []
         function(*args, results.append)
-        self.until(lambda: results)
+        self.run_until(lambda: results)
         assert len(results) == 1
         return results[0]
 
@@ -68,7 +68,7 @@
         """Post a body and wait for a successful reply."""
         client = self.client(address)
         encoded = msgspec.json.encode(body)
-        reply = self.ask(client.request, "POST", path, encoded, 1.0)
+        reply = self.call_and_wait(client.request, "POST", path, encoded, 1.0)
         assert reply.unwrap().status == 200
         client.close()
 
@@ -82,14 +82,14 @@
         super().__init__(("127.0.0.1", 0), channel=self.channel, bufsize=READ_BYTES)
         self.requests: list[bytes] = []
         self.socks = []
-        self.answers: list[list[bytes]] = []
+        self.replies: list[list[bytes]] = []
 
     @handler("read")
     def _on_data(self, sock, data) -> None:
         self.requests.append(data)
         self.socks.append(sock)
-        if self.answers:
-            for part in self.answers.pop(0):
+        if self.replies:
+            for part in self.replies.pop(0):
                 self.fire(write(sock, part))
 
     def send_bytes(self, sock, data: bytes) -> None:
--- a/jackdawspur/adapters/tests/test_http_client.py
+++ b/jackdawspur/adapters/tests/test_http_client.py
@@ -30,7 +30,7 @@
         unused.bind(("127.0.0.1", 0))
         client = loop.client(unused.getsockname())
     results = get(client)
-    loop.until(lambda: results)
+    loop.run_until(lambda: results)
     assert isinstance(results[0].unwrap_err(), Unavailable)
     assert client.waiting == client.in_flight == 0
 
@@ -46,7 +46,7 @@
         ]
         results = [get(client, 9.0) for client in clients]
         loop.settle()
-        loop.pass_time(0.6)
+        loop.advance(0.6)
         failed = [result[0] for result in results if result]
         assert failed and all(
             isinstance(result.unwrap_err(), Unavailable) for result in failed
@@ -62,46 +62,46 @@
     client = loop.client(address(peer), max_connections=1)
     first, second = [], []
 
-    def ask_again(result):
+    def send_second(result):
         first.append(result)
         client.request("GET", "/", b"", 1.0, second.append)
 
-    client.request("GET", "/", b"", 1.0, ask_again)
-    loop.until(lambda: peer.requests)
+    client.request("GET", "/", b"", 1.0, send_second)
+    loop.run_until(lambda: peer.requests)
     peer.socks[0].send(OK_REPLY)
-    loop.pass_time(1.1)
+    loop.advance(1.1)
     assert isinstance(first[0].unwrap_err(), OutcomeUnknown)
-    loop.until(lambda: len(peer.requests) == 2)
+    loop.run_until(lambda: len(peer.requests) == 2)
     assert not second
     peer.send_bytes(peer.socks[1], OK_REPLY.replace(b"A1", b"B2"))
-    loop.until(lambda: second)
+    loop.run_until(lambda: second)
     assert second[0].unwrap().body == b"B2"
     assert len(first) == 1
 
 
 def test_connection_with_an_unrequested_reply_is_not_reused(loop, peer):
     """An upstream sends a reply twice; the copy would answer the next request."""
-    peer.answers = [[EMPTY_REPLY], [OK_REPLY.replace(b"A1", b"B2")]]
+    peer.replies = [[EMPTY_REPLY], [OK_REPLY.replace(b"A1", b"B2")]]
     client = loop.client(address(peer), max_connections=1)
     first = get(client)
-    loop.until(lambda: first)
+    loop.run_until(lambda: first)
     peer.send_bytes(peer.socks[0], OK_REPLY)
     loop.settle()
     second = get(client)
-    loop.until(lambda: second)
+    loop.run_until(lambda: second)
     assert second[0].unwrap().body == b"B2"
     assert peer.socks[0] is not peer.socks[1]
 
 
 def test_connection_closed_while_idle_is_replaced(loop, peer):
-    peer.answers = [[OK_REPLY], [OK_REPLY]]
+    peer.replies = [[OK_REPLY], [OK_REPLY]]
     client = loop.client(address(peer), max_connections=1)
     first = get(client)
-    loop.until(lambda: first)
+    loop.run_until(lambda: first)
     peer.hang_up(peer.socks[0])
     loop.settle()
     second = get(client)
-    loop.until(lambda: second)
+    loop.run_until(lambda: second)
     assert second[0].is_ok()
     assert len(peer.requests) == 2
 
@@ -113,13 +113,13 @@
     client assumed that the start wasn't sent, it would send it again. The kernel had
     accepted the bytes, so the outcome is unknown.
     """
-    peer.answers = [[OK_REPLY]]
+    peer.replies = [[OK_REPLY]]
     client = loop.client(address(peer), max_connections=1)
     first = get(client)
-    loop.until(lambda: first)
+    loop.run_until(lambda: first)
     peer.socks[0].shutdown(socket.SHUT_RDWR)
     second = get(client)
-    loop.until(lambda: second)
+    loop.run_until(lambda: second)
     loop.settle()
     assert isinstance(second[0].unwrap_err(), OutcomeUnknown)
     assert len(peer.requests) == 1
@@ -128,16 +128,16 @@
 def test_request_that_waits_too_long_is_unavailable_and_never_sent(loop, peer):
     client = loop.client(address(peer), max_connections=1, max_pending_requests=2)
     results = [get(client, 5.0)]
-    loop.until(lambda: peer.requests)
+    loop.run_until(lambda: peer.requests)
     results += [get(client, timeout_s) for timeout_s in (1.0, 5.0, 5.0)]
     loop.settle()
     overflow = results[3]
     assert isinstance(overflow[0].unwrap_err(), Unavailable)
-    loop.pass_time(1.1)
+    loop.advance(1.1)
     assert isinstance(results[1][0].unwrap_err(), Unavailable)
-    peer.answers = [[OK_REPLY]]
+    peer.replies = [[OK_REPLY]]
     peer.send_bytes(peer.socks[0], OK_REPLY)
-    loop.until(lambda: results[2])
+    loop.run_until(lambda: results[2])
     assert results[0][0].is_ok() and results[2][0].is_ok()
     assert len(peer.requests) == 2
 
@@ -150,18 +150,18 @@
     ],
 )
 def test_reply_that_closes_its_connection_is_accepted(loop, peer, last):
-    peer.answers = [[last], [OK_REPLY]]
+    peer.replies = [[last], [OK_REPLY]]
     client = loop.client(address(peer), max_connections=1)
     both = [get(client), get(client)]
-    loop.until(lambda: all(both))
+    loop.run_until(lambda: all(both))
     assert [results[0].unwrap().body for results in both] == [b"A1", b"A1"]
     assert peer.socks[0] is not peer.socks[1]
 
 
 def test_reply_in_single_bytes_is_read_completely(loop, peer):
-    peer.answers = [[OK_REPLY[index : index + 1] for index in range(len(OK_REPLY))]]
+    peer.replies = [[OK_REPLY[index : index + 1] for index in range(len(OK_REPLY))]]
     results = get(loop.client(address(peer)))
-    loop.until(lambda: results)
+    loop.run_until(lambda: results)
     assert results[0].unwrap().body == b"A1"
 
 
@@ -170,9 +170,9 @@
     results = []
     client = loop.client(address(peer))
     client.request("POST", "/", b"x" * 4_000_000, 5.0, results.append)
-    loop.until(lambda: sum(map(len, peer.requests)) > 4_000_000)
+    loop.run_until(lambda: sum(map(len, peer.requests)) > 4_000_000)
     peer.send_bytes(peer.socks[0], OK_REPLY)
-    loop.until(lambda: results)
+    loop.run_until(lambda: results)
     assert results[0].unwrap().body == b"A1"
 
 
@@ -190,31 +190,31 @@
     ],
 )
 def test_malformed_reply_ends_in_outcome_unknown(loop, peer, malformed):
-    peer.answers = [[malformed]]
+    peer.replies = [[malformed]]
     client = loop.client(address(peer), max_connections=1)
     results = get(client)
-    loop.until(lambda: results)
+    loop.run_until(lambda: results)
     assert isinstance(results[0].unwrap_err(), OutcomeUnknown)
-    peer.answers = [[OK_REPLY]]
+    peer.replies = [[OK_REPLY]]
     after = get(client)
-    loop.until(lambda: after)
+    loop.run_until(lambda: after)
     assert after[0].unwrap().body == b"A1"
 
 
 def test_reply_beyond_the_size_limit_is_aborted(loop, peer):
-    peer.answers = [[b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"]]
+    peer.replies = [[b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"]]
     results = get(loop.client(address(peer)))
-    loop.until(lambda: peer.socks)
+    loop.run_until(lambda: peer.socks)
     for _ in range(10):
         peer.send_bytes(peer.socks[0], b"x" * 1024 * 1024)
-    loop.until(lambda: results)
+    loop.run_until(lambda: results)
     assert isinstance(results[0].unwrap_err(), OutcomeUnknown)
 
 
 def test_close_ends_every_request(loop, peer):
     client = loop.client(address(peer), max_connections=1)
     results = [get(client), get(client)]
-    loop.until(lambda: peer.requests)
+    loop.run_until(lambda: peer.requests)
     client.close()
     assert isinstance(results[0][0].unwrap_err(), OutcomeUnknown)
     assert isinstance(results[1][0].unwrap_err(), Unavailable)
@@ -230,9 +230,11 @@
     # new one and walked all components again for each event of each connection.
     client = loop.client(address(peer), max_connections=4)
     get(client)
-    loop.until(lambda: peer.requests)
+    loop.run_until(lambda: peer.requests)
     before = count_components(loop.root)
     client.connect_all()
-    loop.until(lambda: all(connection.connected for connection in client._connections))
+    loop.run_until(
+        lambda: all(connection.connected for connection in client._connections)
+    )
     assert len(client._connections) == 4
     assert count_components(loop.root) == before
--- a/jackdawspur/adapters/tests/test_log_and_list_http.py
+++ b/jackdawspur/adapters/tests/test_log_and_list_http.py
@@ -39,7 +39,7 @@
 
 
 @pytest.fixture
-def fault(loop, service):
+def inject_faults(loop, service):
     def post(**faults):
         loop.post(service.address, "/faults", LogFaults(**faults))
 
@@ -50,13 +50,13 @@
     results = []
     log.append(Stream.CLAIMS, body, results.append)
     loop.settle()
-    loop.pass_time(DELAY_S)
-    loop.until(lambda: results)
+    loop.advance(DELAY_S)
+    loop.run_until(lambda: results)
     return results[0]
 
 
 def read(loop, log, offset, wait_ms=0.0):
-    return loop.ask(log.read, Stream.CLAIMS, offset, wait_ms)
+    return loop.call_and_wait(log.read, Stream.CLAIMS, offset, wait_ms)
 
 
 def test_a_waiting_reader_gets_the_appended_record(loop, log):
@@ -64,54 +64,54 @@
     log.read(Stream.CLAIMS, 0, WAIT_MS, waiting.append)
     loop.settle()
     assert append(loop, log, '{"ä": 1}').unwrap() == 0
-    loop.until(lambda: waiting)
+    loop.run_until(lambda: waiting)
     assert waiting[0].unwrap() == (LogRecord(0, '{"ä": 1}'),)
     assert append(loop, log, "{}").unwrap() == 1
     assert read(loop, log, 1).unwrap() == (LogRecord(1, "{}"),)
-    assert loop.ask(log.read, Stream.CONFIGURATION, 0, 0.0).unwrap() == ()
+    assert loop.call_and_wait(log.read, Stream.CONFIGURATION, 0, 0.0).unwrap() == ()
 
 
-def test_append_with_a_lost_reply_is_in_the_log(loop, log, fault):
+def test_append_with_a_lost_reply_is_in_the_log(loop, log, inject_faults):
     """An operator's confirm gets no answer although it takes effect on all hosts.
 
     The log appends the record, then its reply is lost; readers get the record.
     """
-    fault(lose_appends=1)
+    inject_faults(lose_appends=1)
     assert isinstance(append(loop, log, "a").unwrap_err(), OutcomeUnknown)
     assert read(loop, log, 0).unwrap() == (LogRecord(0, "a"),)
 
 
-def test_reads_of_trimmed_offsets_report_the_first_offset(loop, log, fault):
+def test_reads_of_trimmed_offsets_report_the_first_offset(loop, log, inject_faults):
     for body in "abcd":
         append(loop, log, body)
-    fault(records_kept=2)
+    inject_faults(records_kept=2)
     error = read(loop, log, 0).unwrap_err()
     assert isinstance(error, LogTrimmed) and error.first_offset == 2
     assert [record.body for record in read(loop, log, 2).unwrap()] == ["c", "d"]
-    fault(seconds_kept=60.0)
-    loop.pass_time(61.0)
+    inject_faults(seconds_kept=60.0)
+    loop.advance(61.0)
     assert read(loop, log, 2).unwrap_err().first_offset == 4
 
 
-def test_nothing_is_appended_during_an_outage(loop, log, fault):
-    fault(outage=True)
+def test_nothing_is_appended_during_an_outage(loop, log, inject_faults):
+    inject_faults(outage=True)
     assert isinstance(append(loop, log, "a").unwrap_err(), OutcomeUnknown)
-    fault(silent=True)
+    inject_faults(silent=True)
     unanswered = []
     log.append(Stream.CLAIMS, "b", unanswered.append)
     loop.settle()
-    loop.pass_time(2.1)
+    loop.advance(2.1)
     assert isinstance(unanswered[0].unwrap_err(), OutcomeUnknown)
-    fault()
+    inject_faults()
     assert append(loop, log, "c").unwrap() == 0
 
 
-def test_rate_limited_append_is_unavailable(loop, log, fault):
-    fault(appends_per_s=2.0)
+def test_rate_limited_append_is_unavailable(loop, log, inject_faults):
+    inject_faults(appends_per_s=2.0)
     outcomes = [append(loop, log, str(index)) for index in range(3)]
     assert [outcome.is_ok() for outcome in outcomes] == [True, True, False]
     assert isinstance(outcomes[2].unwrap_err(), Unavailable)
-    loop.pass_time(1.0)
+    loop.advance(1.0)
     assert append(loop, log, "3").unwrap() == 2
 
 
@@ -124,10 +124,12 @@
     hosts = HttpHostList(loop.client(service.address))
     leaving = HostBody("z1", "w1", HostRole.UPSTREAM, leaving=True)
     loop.post(service.address, "/v1/host", leaving)
-    assert [host.leaving for host in loop.ask(hosts.fetch).unwrap()] == [False]
-    loop.pass_time(5.0)
-    assert [host.leaving for host in loop.ask(hosts.fetch).unwrap()] == [True]
+    assert [host.leaving for host in loop.call_and_wait(hosts.fetch).unwrap()] == [
+        False
+    ]
+    loop.advance(5.0)
+    assert [host.leaving for host in loop.call_and_wait(hosts.fetch).unwrap()] == [True]
     loop.post(service.address, "/v1/hosts", HostsBody(()))
     loop.post(service.address, "/faults", HostListFaults(lag_ms=0.0, lose_replies=1))
-    assert isinstance(loop.ask(hosts.fetch).unwrap_err(), OutcomeUnknown)
-    assert loop.ask(hosts.fetch).unwrap() == ()
+    assert isinstance(loop.call_and_wait(hosts.fetch).unwrap_err(), OutcomeUnknown)
+    assert loop.call_and_wait(hosts.fetch).unwrap() == ()
--- a/jackdawspur/entry/tests/raw_callers.py
+++ b/jackdawspur/entry/tests/raw_callers.py
@@ -89,7 +89,7 @@
             head, found, body = self.data.partition(b"\r\n\r\n")
             return bool(found) and len(body) >= _length(head)
 
-        self._loop.until(whole)
+        self._loop.run_until(whole)
         head, _, body = self.data.partition(b"\r\n\r\n")
         length = _length(head)
         self.data = body[length:]
@@ -101,7 +101,7 @@
             self.receive()
             return self.closed
 
-        self._loop.until(closed)
+        self._loop.run_until(closed)
 
 
 def _length(head: bytes) -> int:
--- a/jackdawspur/entry/tests/test_bad_input.py
+++ b/jackdawspur/entry/tests/test_bad_input.py
@@ -225,7 +225,7 @@
     caller = call()
     host.answers_at_once = False
     caller.send(request(JOB))
-    loop.until(lambda: host.submitted)
+    loop.run_until(lambda: host.submitted)
     host.now += 60.0
     host.server.fire(web.sweep())
     loop.settle()
@@ -239,7 +239,7 @@
     host.answers_at_once = False
     caller.send(request(JOB))
     caller.sock.shutdown(socket.SHUT_WR)
-    loop.until(lambda: host.submitted)
+    loop.run_until(lambda: host.submitted)
     loop.settle()
     host.answer(host.submitted[0].call)
     assert caller.reply().status == 200
@@ -262,12 +262,12 @@
     caller = call()
     host.answers_at_once = False
     caller.send(request(JOB) + request([]) + request(JOB))
-    loop.until(lambda: host.submitted)
+    loop.run_until(lambda: host.submitted)
     loop.settle()
     assert len(host.submitted) == 1
     host.answer(host.submitted[0].call)
     assert [caller.reply().status, caller.reply().status] == [200, 400]
-    loop.until(lambda: len(host.submitted) == 2)
+    loop.run_until(lambda: len(host.submitted) == 2)
     host.answer(host.submitted[1].call)
     assert caller.reply().status == 200
 
@@ -281,7 +281,7 @@
     caller = call()
     host.answers_at_once = False
     caller.send(request(JOB))
-    loop.until(lambda: host.submitted)
+    loop.run_until(lambda: host.submitted)
     flood, sent = request(JOB) * 100, 0
     for _ in range(2000):
         try:
@@ -313,7 +313,7 @@
         caller.receive()
         return caller.data.startswith(b"HTTP/1.1 100 ")
 
-    loop.until(continued)
+    loop.run_until(continued)
     caller.data = b""
     caller.send(data[end:])
     assert caller.reply().status == 200
@@ -334,7 +334,7 @@
     host.answers_at_once = False
     for caller in idle[2:]:
         caller.send(request(JOB))
-    loop.until(lambda: len(host.submitted) == 5)
+    loop.run_until(lambda: len(host.submitted) == 5)
     reply = call().reply()
     assert (reply.status, reply.body["not_run"]) == (503, True)
 
@@ -342,7 +342,7 @@
 def reset_during_reply(loop, host, caller: Caller) -> None:
     """Reset the connection while a part of the reply is still in the host's buffer."""
     caller.send(request(JOB))
-    loop.until(lambda: host.server.open_calls)
+    loop.run_until(lambda: host.server.open_calls)
     large = Answer(JobState.COMPLETE, outputs=("x" * 8_000_000,))
     host.reply(host.submitted[-1].call, answer_response(large))
     loop.settle()
