--- a/jackdawspur/platform/tests/test_evacuated.py
+++ b/jackdawspur/platform/tests/test_evacuated.py
@@ -1,4 +1,4 @@
-"""Tests that evacuated zones are read from the store until the operator ends that."""
+"""Tests that zones are reported as evacuated until an operator ends the evacuation."""
 
 from types import SimpleNamespace
 
--- a/jackdawspur/platform/tests/test_reading.py
+++ b/jackdawspur/platform/tests/test_reading.py
@@ -27,7 +27,7 @@
 
 
 class Timers:
-    """A timer queue in virtual time, which `pass_s` advances."""
+    """A timer queue in virtual time, which `advance` advances."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -36,7 +36,7 @@
     def call_later(self, seconds: float, action: Callable[[], None]) -> None:
         self._scheduled.append((self.now + seconds, action))
 
-    def pass_s(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         end = self.now + seconds
         while self._scheduled and min(due for due, _ in self._scheduled) <= end:
             self.now, action = min(self._scheduled, key=lambda scheduled: scheduled[0])
@@ -67,9 +67,9 @@
         lambda reachable, reason: None,
         lambda: interval_s[0],
     ).start()
-    timers.pass_s(6.1)
+    timers.advance(6.1)
     first_reads = len(store.paths)
     assert first_reads == 1 + 5
     interval_s[0] = 0.5
-    timers.pass_s(6.1)
+    timers.advance(6.1)
     assert 10 <= len(store.paths) - first_reads <= 13
