--- a/jackdawspur/health/tests/test_health.py
+++ b/jackdawspur/health/tests/test_health.py
@@ -12,7 +12,7 @@
 FAULTY = UPSTREAMS[0]
 
 
-def _job(host, number):
+def _submission(host, number):
     return SubmissionId(host, number)
 
 
@@ -42,7 +42,7 @@
     if not probe and not state.allows(FAULTY, now):
         return 0
     state.started(FAULTY)
-    state.failed(FAULTY, _job(host, number), "maps", now)
+    state.failed(FAULTY, _submission(host, number), "maps", now)
     return 1
 
 
@@ -71,7 +71,7 @@
     for number in range(2):
         state.started(FAULTY)
         state.started(FAULTY)
-        state.failed(FAULTY, _job(hosts[0], number), "maps", 1.0 + number)
+        state.failed(FAULTY, _submission(hosts[0], number), "maps", 1.0 + number)
         state.succeeded(FAULTY, "maps", 1.0, 1.5 + number, sent_at=0.5)
     assert state.condition(FAULTY, 3.0) is Condition.EJECTED
 
@@ -84,9 +84,9 @@
     """
     other_zone_host = HostId("zone-2", "entry-0", 1)
     state = health_by_host[hosts[0]]
-    state.peer_task_failed(FAULTY, _job(other_zone_host, 1), "maps", 1.0)
+    state.peer_task_failed(FAULTY, _submission(other_zone_host, 1), "maps", 1.0)
     assert state.condition(FAULTY, 1.0) is Condition.SUSPECT
-    state.peer_task_failed(FAULTY, _job(other_zone_host, 2), "maps", 1.1)
+    state.peer_task_failed(FAULTY, _submission(other_zone_host, 2), "maps", 1.1)
     assert state.condition(FAULTY, 1.1) is Condition.EJECTED
 
 
@@ -116,16 +116,19 @@
     for host in hosts:
         _send_failing_task(health_by_host, host, 0, 0.0)
     _exchange_reports(health_by_host, 0.1)
-    times = []
+    failure_times = []
     for step in range(1, 600):
         now = step * 0.1
         _exchange_reports(health_by_host, now)
         for host in hosts:
             if _send_failing_task(health_by_host, host, step, now):
-                times.append(now)
-    gaps = [later - sooner for sooner, later in zip(times, times[1:], strict=False)]
-    assert len(times) <= 4
-    assert times[0] >= BASE_BACKOFF_S
+                failure_times.append(now)
+    gaps = [
+        later - earlier
+        for earlier, later in zip(failure_times, failure_times[1:], strict=False)
+    ]
+    assert len(failure_times) <= 4
+    assert failure_times[0] >= BASE_BACKOFF_S
     assert all(b > a for a, b in zip(gaps, gaps[1:], strict=False))
 
 
@@ -133,7 +136,7 @@
     state = health_by_host[hosts[0]]
     for number in range(2):
         state.started(FAULTY)
-        state.failed(FAULTY, _job(hosts[0], number), "maps", 0.0)
+        state.failed(FAULTY, _submission(hosts[0], number), "maps", 0.0)
     assert state.condition(FAULTY, 0.0) is Condition.EJECTED
     assert not state.probe_allowed(FAULTY, BASE_BACKOFF_S - 0.1)
     assert state.probe_allowed(FAULTY, BASE_BACKOFF_S)
@@ -157,7 +160,7 @@
         upstream = UPSTREAMS[number % len(UPSTREAMS)]
         now = number * 0.05
         state.started(upstream)
-        state.failed(upstream, _job(hosts[0], number), "broken", now)
+        state.failed(upstream, _submission(hosts[0], number), "broken", now)
         state.started(upstream)
         state.succeeded(upstream, "maps", 1.0, now)
     assert not state.ejected()
@@ -168,7 +171,7 @@
     for _ in range(8):
         state.started(FAULTY)
     for _ in range(8):
-        state.failed(FAULTY, _job(hosts[0], 1), "maps", 0.0)
+        state.failed(FAULTY, _submission(hosts[0], 1), "maps", 0.0)
     assert state.condition(FAULTY, 0.0) is Condition.SUSPECT
 
 
@@ -218,7 +221,7 @@
     for number in range(3):
         assert state.condition(FAULTY, 0.0) is not Condition.EJECTED
         state.started(FAULTY)
-        state.failed(FAULTY, _job(HostId("north", "e1", 1), number), "maps", 0.0)
+        state.failed(FAULTY, _submission(HostId("north", "e1", 1), number), "maps", 0.0)
     assert state.condition(FAULTY, 0.0) is Condition.EJECTED
     assert not state.probe_allowed(FAULTY, 59.0)
     assert state.probe_allowed(FAULTY, 60.0)
