--- a/jackdawspur/standins/_http_service.py
+++ b/jackdawspur/standins/_http_service.py
@@ -47,24 +47,24 @@
         self._query = parse_qs(call.query)
         self._service = service
 
-    def text(self, name: str) -> str:
-        """Return a query parameter; raise `BadQuery`."""
+    def query_text(self, name: str) -> str:
+        """Return a query parameter; raise `BadQuery` if it is missing."""
         values = self._query.get(name)
         if not values:
             raise BadQuery(f"missing query parameter: {name}")
         return values[0]
 
-    def number(self, name: str) -> float:
-        """Return a query parameter as a number; raise `BadQuery`."""
+    def query_number(self, name: str) -> float:
+        """Return a query parameter as a number; raise `BadQuery` if it isn't one."""
         try:
-            return float(self.text(name))
+            return float(self.query_text(name))
         except ValueError as error:
             raise BadQuery(f"not a number: {name}") from error
 
-    def integer(self, name: str) -> int:
-        """Return a query parameter as an integer; raise `BadQuery`."""
+    def query_integer(self, name: str) -> int:
+        """Return a query parameter as an integer; raise `BadQuery` if it isn't one."""
         try:
-            return int(self.text(name))
+            return int(self.query_text(name))
         except ValueError as error:
             raise BadQuery(f"not an integer: {name}") from error
 
--- a/jackdawspur/standins/_log_service.py
+++ b/jackdawspur/standins/_log_service.py
@@ -92,8 +92,8 @@
             self._answer(poll, final=True)
 
     def _read(self, exchange: Exchange, stream: str) -> None:
-        poll = _Poll(exchange, stream, exchange.integer("from"))
-        wait_ms = exchange.number("wait_ms")
+        poll = _Poll(exchange, stream, exchange.query_integer("from"))
+        wait_ms = exchange.query_number("wait_ms")
         if not self._answer(poll, final=wait_ms <= 0):
             self._polls.append(poll)
             poll.timer = self._timer_queue.call_later(
--- a/jackdawspur/standins/_platform_service.py
+++ b/jackdawspur/standins/_platform_service.py
@@ -252,14 +252,14 @@
         exchange.reply(self._faults)
 
     def _append(self, exchange: Exchange) -> None:
-        topic, offset = exchange.text("topic"), 0
+        topic, offset = exchange.query_text("topic"), 0
         for key, value in split_records(exchange.body):
             offset = self._store.append(topic, key, value)
         exchange.reply({"offset": offset, "end": offset + 1})
         self._answer_readers()
 
     def _newest(self, exchange: Exchange) -> None:
-        values, end = self._store.newest(exchange.text("topic"))
+        values, end = self._store.newest(exchange.query_text("topic"))
         items = [
             {"key": key, "value": base64.b64encode(value).decode(), "offset": 0}
             for key, value in values.items()
@@ -267,9 +267,9 @@
         exchange.reply({"items": items, "more": False, "end": end})
 
     def _read(self, exchange: Exchange) -> None:
-        deadline = self._timer_queue.now + exchange.number("wait_ms") / MS_PER_S
+        deadline = self._timer_queue.now + exchange.query_number("wait_ms") / MS_PER_S
         pending = _PendingExchange(exchange, deadline)
-        entry = (pending, exchange.text("topic"), exchange.integer("from"))
+        entry = (pending, exchange.query_text("topic"), exchange.query_integer("from"))
         self._pending.append(entry)
         self._answer_readers()
 
--- a/jackdawspur/standins/_worker_service.py
+++ b/jackdawspur/standins/_worker_service.py
@@ -119,8 +119,10 @@
         self._reply(exchange, self._worker.start(request, self._timer_queue.now))
 
     def _results(self, exchange: Exchange) -> None:
-        poll = _Poll(exchange, exchange.text("holder"), exchange.integer("after"))
-        wait_ms = exchange.number("wait_ms")
+        poll = _Poll(
+            exchange, exchange.query_text("holder"), exchange.query_integer("after")
+        )
+        wait_ms = exchange.query_number("wait_ms")
         if not self._answer_poll(poll, final=wait_ms <= 0):
             self._polls.append(poll)
             poll.timer = self._timer_queue.call_later(
