--- a/jackdawspur/health/_record.py
+++ b/jackdawspur/health/_record.py
@@ -10,7 +10,7 @@
 
 
 class Condition(enum.StrEnum):
-    """Health of an upstream: whether, and how fast, it may get tasks."""
+    """Health of an upstream, which limits the number of tasks that it may run."""
 
     HEALTHY = "healthy"
     SUSPECT = "suspect"
