--- a/jackdawspur/settings/_load.py
+++ b/jackdawspur/settings/_load.py
@@ -31,5 +31,6 @@
 def _describe(error: ValidationError) -> str:
     details = error.errors(include_url=False, include_input=False)
     return "; ".join(
-        f"{'.'.join(map(str, d['loc'])) or 'file'}: {d['msg']}" for d in details
+        f"{'.'.join(map(str, detail['loc'])) or 'file'}: {detail['msg']}"
+        for detail in details
     )
