--- a/jackdawspur/platform/tests/test_reading.py
+++ b/jackdawspur/platform/tests/test_reading.py
@@ -27,7 +27,7 @@
 
 
 class Timers:
-    """A timer queue in virtual time, which `advance` advances."""
+    """A timer queue in virtual time, which tests advance."""
 
     def __init__(self) -> None:
         self.now = 0.0
