--- a/jackdawspur/adapters/_reply_reader.py
+++ b/jackdawspur/adapters/_reply_reader.py
@@ -11,6 +11,7 @@
 
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 MAX_HEAD_BYTES = 65536
+# Value for the parameter `kind` of `HttpParser`.
 RESPONSES_ONLY = 1
 END_OF_HEAD = b"\r\n\r\n"
 # Heads are cached: those of upstreams differ in little more than the length of the
@@ -63,7 +64,7 @@
     def feed(self, data: bytes) -> ClientResponse | None:
         """Process a part; return the reply once it is complete, else None.
 
-        Errors: `ReplyDecodeError`.
+        Raise `ReplyDecodeError` if it is malformed or too large.
         """
         self._data += data
         if len(self._data) > MAX_REPLY_BYTES:
@@ -111,8 +112,10 @@
 def _declared_length(parser: HttpParser) -> int | None:
     headers = parser.get_headers()
     text = headers.get("Content-Length", "")
-    plain = text.isascii() and text.isdigit() and not headers.get("Transfer-Encoding")
-    if not plain or headers.get("Content-Encoding"):
+    has_plain_length = (
+        text.isascii() and text.isdigit() and not headers.get("Transfer-Encoding")
+    )
+    if not has_plain_length or headers.get("Content-Encoding"):
         return None
     if len(text) > len(str(MAX_REPLY_BYTES)) or int(text) > MAX_REPLY_BYTES:
         raise ReplyDecodeError("the reply exceeds the size limit")
@@ -123,8 +126,8 @@
     try:
         parser.execute(data, len(data))
     except Exception as error:
-        # On malformed input the parser lets through any exception of its regular
-        # expressions, decoders and arithmetic; each means that this isn't HTTP.
+        # On malformed input the parser raises any exception of its regular expressions,
+        # decoders and arithmetic; each means that the data isn't HTTP.
         raise ReplyDecodeError(str(error)) from error
     if parser.errno is not None:
         raise ReplyDecodeError(str(parser.errstr))
--- a/jackdawspur/adapters/_requests.py
+++ b/jackdawspur/adapters/_requests.py
@@ -18,6 +18,7 @@
 
 MAX_BODY_BYTES = 1_048_576
 MAX_HEAD_BYTES = 65_536
+# Value for the parameter `kind` of `HttpParser`.
 REQUESTS_ONLY = 0
 END_OF_HEAD = b"\r\n\r\n"
 HTTP_1 = 1
@@ -61,7 +62,7 @@
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
-        self._searched = 0
+        self._searched_until = 0
         self._head: _Head | None = None
         self._continue_sent = False
 
@@ -82,7 +83,7 @@
     def next_request(self) -> HttpRequest | None:
         """Remove and return the next request, or None if it isn't complete.
 
-        Errors: `RequestError`.
+        Raise `RequestError` if it isn't accepted.
         """
         if self._head is None:
             self._head = self._read_head()
@@ -104,18 +105,18 @@
         return self._continue_sent
 
     def _read_head(self) -> _Head | None:
-        end = self._buffer.find(END_OF_HEAD, self._searched)
+        end = self._buffer.find(END_OF_HEAD, self._searched_until)
         if max(end, len(self._buffer) if end < 0 else 0) > MAX_HEAD_BYTES:
             text = f"the head of a request may have at most {MAX_HEAD_BYTES} bytes"
             raise RequestError(text, FailureCode.TOO_LARGE)
         if end < 0:
             # Searching the whole buffer again for each byte of a slow sender is costly.
-            self._searched = max(0, len(self._buffer) - len(END_OF_HEAD) + 1)
+            self._searched_until = max(0, len(self._buffer) - len(END_OF_HEAD) + 1)
             return None
         end += len(END_OF_HEAD)
         parser = _parse(bytes(self._buffer[:end]))
         del self._buffer[:end]
-        self._searched = 0
+        self._searched_until = 0
         return _Head(parser, _body_length(parser.get_headers(), self._max_body_bytes))
 
 
@@ -124,8 +125,8 @@
     try:
         parser.execute(head, len(head))
     except Exception as error:
-        # On malformed input the parser lets through any exception of its regular
-        # expressions and decoders; circuits would drop it, and no reply would be sent.
+        # On malformed input the parser raises any exception of its regular expressions
+        # and decoders; circuits would drop it, and no reply would be sent.
         raise RequestError("the HTTP request could not be read") from error
     if parser.errno is not None or not parser.is_headers_complete():
         raise RequestError(f"the HTTP request could not be read: {parser.errstr}")
--- a/jackdawspur/fuzz/tests/test_entries.py
+++ b/jackdawspur/fuzz/tests/test_entries.py
@@ -31,10 +31,12 @@
     store._listener = SimpleNamespace(
         on_upstreams=upstreams.extend, on_hosts=hosts.extend
     )
-    store._servers_wrote(
+    store._on_server_records(
         {name: data, VALID_NAME: with_changes(VALID_UPSTREAM_ENTRY)}, True
     )
-    store._hosts_wrote({name: data, VALID_NAME: with_changes(VALID_HOST_ENTRY)}, True)
+    store._on_host_records(
+        {name: data, VALID_NAME: with_changes(VALID_HOST_ENTRY)}, True
+    )
     assert all(isinstance(entry, UpstreamEntry) for entry in upstreams)
     assert all(isinstance(host, HostAddress) for host in hosts)
     assert any(entry.id.name == VALID_NAME for entry in upstreams)
--- a/jackdawspur/limits/_retries.py
+++ b/jackdawspur/limits/_retries.py
@@ -4,8 +4,8 @@
 
 __all__ = ["RetryBudget"]
 
-# Retries add at most a tenth to the starts of a customer and of the host, so a storm of
-# refusals increases the number of messages by a tenth and doesn't multiply it.
+# Retries add at most a tenth to the starts of a customer and of the host, so if
+# many starts are refused, the number of messages grows by a tenth and doesn't multiply.
 RETRY_FRACTION = 0.1
 # Retries allowed at once, so that a single full upstream makes no job fail.
 CUSTOMER_BURST = 20.0
@@ -28,7 +28,7 @@
         self._customers: dict[str, TokenBucket] = {}
 
     def started(self, customer: str, now: float) -> None:
-        """Add a fraction of a retry to both budgets for a first start."""
+        """Credit both budgets with a fraction of a retry for a first start."""
         self._customer(customer).add_tokens(RETRY_FRACTION, now)
         self._host.add_tokens(RETRY_FRACTION, now)
 
--- a/jackdawspur/load/_mix.py
+++ b/jackdawspur/load/_mix.py
@@ -7,8 +7,8 @@
 
 __all__ = ["DEPLOYMENT_MIXES", "JobKind", "Mix", "PlannedJob", "plan_job"]
 
-# One of this number of tasks takes several seconds, as the users report of their jobs.
-LONG_TASK_EVERY = 400
+# One in this many tasks takes several seconds, as users report for their jobs.
+LONG_TASK_INTERVAL = 400
 LONG_TASK_MS = (2000.0, 4000.0)
 # Long enough that no deadline hides how long a job waits.
 DEADLINE_MS = 20_000.0
@@ -93,25 +93,25 @@
     """Return a random job of a mix; `number` makes its outputs unique."""
     kind = rng.choices(mix.kinds, [k.weight for k in mix.kinds])[0]
     count = rng.randint(*kind.tasks)
-    times = [_run_ms(kind, rng) for _ in range(count)]
+    run_times_ms = [_run_ms(kind, rng) for _ in range(count)]
     outputs = tuple(f"{number}/{index}" for index in range(count))
     tasks = tuple(
         _Task(msgspec.json.encode(_Payload(run_ms, output)).decode(), run_ms)
-        for run_ms, output in zip(times, outputs, strict=True)
+        for run_ms, output in zip(run_times_ms, outputs, strict=True)
     )
     body = msgspec.json.encode(
         _Job(kind.job_class, tasks, kind.idempotent, DEADLINE_MS)
     )
-    return PlannedJob(kind, body, outputs, max(times))
+    return PlannedJob(kind, body, outputs, max(run_times_ms))
 
 
 def _run_ms(kind: JobKind, rng: random.Random) -> float:
-    bounds = LONG_TASK_MS if rng.randrange(LONG_TASK_EVERY) == 0 else kind.run_ms
+    bounds = LONG_TASK_MS if rng.randrange(LONG_TASK_INTERVAL) == 0 else kind.run_ms
     return round(rng.uniform(*bounds), 1)
 
 
 def _slot_seconds(kind: JobKind) -> float:
-    usual = sum(kind.run_ms) / 2
-    long = sum(LONG_TASK_MS) / 2
-    mean_ms = usual + (long - usual) / LONG_TASK_EVERY
+    usual_ms = sum(kind.run_ms) / 2
+    long_ms = sum(LONG_TASK_MS) / 2
+    mean_ms = usual_ms + (long_ms - usual_ms) / LONG_TASK_INTERVAL
     return sum(kind.tasks) / 2 * mean_ms / 1000.0
--- a/jackdawspur/load/_report.py
+++ b/jackdawspur/load/_report.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Latencies:
-    """Percentiles of the ratio of response times to ideal ones."""
+    """Percentiles of response times divided by the ideal ones."""
 
     p50: float
     p99: float
@@ -35,7 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Result of a run, printed as its last line."""
+    """Result of a run, printed as its last line.
+
+    `partial` counts complete answers with a wrong number of outputs, `wrong` those with
+    any difference from the expected outputs. Wasted messages are refused starts, status
+    queries and stops.
+    """
 
     deployment: str
     jobs: int
@@ -100,8 +105,8 @@
         other_tasks: int = 0,
     ) -> LoadReport:
         """Return the result of the run; other callers submitted `other_tasks`."""
-        possible = self.tasks_submitted - self.tasks_not_run + other_tasks
-        wasted = upstreams.refused + upstreams.status_queries + upstreams.stops
+        max_starts = self.tasks_submitted - self.tasks_not_run + other_tasks
+        wasted_messages = upstreams.refused + upstreams.status_queries + upstreams.stops
         return LoadReport(
             deployment=deployment,
             jobs=self.jobs,
@@ -114,8 +119,8 @@
             task_starts=upstreams.starts,
             tasks_started_twice=upstreams.started_twice,
             # More starts than tasks that may have run: a "not run" answer was wrong.
-            not_run_but_started=max(0, upstreams.starts - possible),
-            wasted_messages_per_job=round(wasted / max(1, self.jobs), 5),
+            not_run_but_started=max(0, upstreams.starts - max_starts),
+            wasted_messages_per_job=round(wasted_messages / max(1, self.jobs), 5),
             response_over_ideal=self._latencies(),
             codes=dict(self.codes),
         )
--- a/jackdawspur/scheduling/_run_times.py
+++ b/jackdawspur/scheduling/_run_times.py
@@ -17,11 +17,11 @@
 # Minimum weight of a task in the moving averages, so that about the last fifty tasks
 # determine an estimate.
 MIN_TASK_WEIGHT = 0.02
-# Weight of the prior estimate, in ended tasks.
+# Weight of the prior estimate, as a number of ended tasks.
 PRIOR_WEIGHT = 2.0
-# A class with more ended tasks no longer uses its customer's overall history as prior,
-# and updates that only at every OVERALL_UPDATE_INTERVAL-th task, which halves the cost
-# of an ended task.
+# A class with more ended tasks than CLASS_LEARNED_AFTER no longer uses its customer's
+# overall history as prior. It updates that history only at every
+# OVERALL_UPDATE_INTERVAL-th task, which halves the cost of an ended task.
 CLASS_LEARNED_AFTER = 32
 OVERALL_UPDATE_INTERVAL = 8
 # Limits the influence of one straggler: once a history has more than
@@ -94,8 +94,9 @@
         if self.count > CLIP_RESIDUALS_AFTER:
             expected = self.expected(declared)
             run = min(expected + MAX_RESIDUAL, max(expected - MAX_RESIDUAL, run))
-        # Each mean moves by `step` times the distance. The second moments follow by the
-        # usual incremental update, which multiplies that with the remaining distance.
+        # Each mean moves by `step` times the distance of the new value. The second
+        # moments follow by the usual incremental update, which multiplies this distance
+        # by the distance that remains.
         declared_difference = declared - self.declared
         run_difference = run - self.run
         self.declared += step * declared_difference
@@ -112,7 +113,7 @@
 
 
 class RunTimeEstimator:
-    """Estimate run times by customer and class from ended tasks.
+    """Estimates run times by customer and class from ended tasks.
 
     A regression on log scale corrects a constant factor in declarations and ignores
     uninformative ones. A new class starts from the history of all its customer's tasks,
@@ -163,7 +164,7 @@
             self._history(self._customers, customer).add(declared, run)
 
     def moments(self) -> Iterator[tuple[tuple[str, str], Moments]]:
-        """Yield keys (customer, class) with moments, the latest updated first.
+        """Yield keys (customer, class) with moments, the most recently updated first.
 
         The empty class name stands for all classes of the customer.
         """
@@ -210,7 +211,7 @@
 
 
 def _blend(history: _History | None, declared: float, prior: float) -> float:
-    """Return the history's log estimate, weighted with the prior one."""
+    """Return the weighted mean of the history's log estimate and the prior one."""
     if history is None:
         return prior
     learned = history.expected(declared) + history.noise / 2
--- a/jackdawspur/standins/_platform_service.py
+++ b/jackdawspur/standins/_platform_service.py
@@ -31,8 +31,9 @@
 class PlatformSettings:
     """Addresses of the store and the workers, and the configuration in the store.
 
-    Each worker has `cpu` thousandths of a core; `zones` are assigned to workers round
-    robin. `announced` are the workers' addresses in the store, if not their own.
+    Each worker has `cpu` thousandths of a core; `zones` are assigned to workers in
+    rotation. `announced` are the workers' addresses in the store, if they differ from
+    `workers`.
     """
 
     store: str
@@ -115,7 +116,7 @@
 
     def serve(self, exchange: Exchange) -> None:
         """Answer a request, unless the worker is set to be unresponsive."""
-        if self.worker.silent:
+        if self.worker.unresponsive:
             return
         if exchange.path == "/run-start":
             request = msgspec.json.decode(exchange.body, type=_Start)
@@ -171,7 +172,7 @@
 
     def _tick(self) -> None:
         self.worker.tick()
-        if not self.worker.silent:
+        if not self.worker.unresponsive:
             self._answer_polls()
         self._timer_queue.call_later(TICK_S, self._tick)
 
@@ -237,12 +238,12 @@
             not_found(exchange)
 
     def _set_faults(self, exchange: Exchange) -> None:
-        before = self._faults.unlisted
+        previously_unlisted = self._faults.unlisted
         self._faults = msgspec.json.decode(exchange.body, type=_Faults)
         for index, worker in enumerate(self.workers):
-            worker.silent = index in self._faults.silent
+            worker.unresponsive = index in self._faults.silent
             unlisted = index in self._faults.unlisted
-            if unlisted != (index in before):
+            if unlisted != (index in previously_unlisted):
                 entry = b"" if unlisted else self._entries[index]
                 self._store.append(SERVERS, worker.name, entry)
         if self._faults.forget:
@@ -251,14 +252,14 @@
         exchange.reply(self._faults)
 
     def _append(self, exchange: Exchange) -> None:
-        topic, offset = exchange.text("topic"), 0
+        topic, offset = exchange.query_text("topic"), 0
         for key, value in split_records(exchange.body):
             offset = self._store.append(topic, key, value)
         exchange.reply({"offset": offset, "end": offset + 1})
         self._answer_readers()
 
     def _newest(self, exchange: Exchange) -> None:
-        values, end = self._store.newest(exchange.text("topic"))
+        values, end = self._store.newest(exchange.query_text("topic"))
         items = [
             {"key": key, "value": base64.b64encode(value).decode(), "offset": 0}
             for key, value in values.items()
@@ -266,9 +267,9 @@
         exchange.reply({"items": items, "more": False, "end": end})
 
     def _read(self, exchange: Exchange) -> None:
-        deadline = self._timer_queue.now + exchange.number("wait_ms") / MS_PER_S
+        deadline = self._timer_queue.now + exchange.query_number("wait_ms") / MS_PER_S
         pending = _PendingExchange(exchange, deadline)
-        entry = (pending, exchange.text("topic"), exchange.integer("from"))
+        entry = (pending, exchange.query_text("topic"), exchange.query_integer("from"))
         self._pending.append(entry)
         self._answer_readers()
 
--- a/jackdawspur/standins/_start_costs.py
+++ b/jackdawspur/standins/_start_costs.py
@@ -27,8 +27,8 @@
 PAYLOAD = '{"run_ms":0,"output":"x"}'
 LEASE_MS = 60000.0
 TIMEOUT_S = 5.0
-MICRO = 1e6
-MILLI = 1e3
+US_PER_S = 1e6
+MS_PER_S = 1e3
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,15 +80,15 @@
             self._start(tasks)
         worker_s = self._counters().processor_s
         client_s = time.process_time()
-        times = [self._start(tasks) for _ in range(requests)]
+        durations_s = [self._start(tasks) for _ in range(requests)]
         client_s = time.process_time() - client_s
         worker_s = self._counters().processor_s - worker_s
         return BatchCost(
             tasks=tasks,
             requests=requests,
-            client_us=client_s / requests * MICRO,
-            worker_us=worker_s / requests * MICRO,
-            p50_ms=statistics.median(times) * MILLI,
+            client_us=client_s / requests * US_PER_S,
+            worker_us=worker_s / requests * US_PER_S,
+            p50_ms=statistics.median(durations_s) * MS_PER_S,
         )
 
     def _start(self, tasks: int) -> float:
@@ -101,7 +101,7 @@
         started_at = time.perf_counter()
         reply = self._wait_for_result(lambda done: self._upstream.start(starts, done))
         elapsed_s = time.perf_counter() - started_at
-        refused = [each for each in reply.unwrap().verdicts if each.refusal]
+        refused = [verdict for verdict in reply.unwrap().verdicts if verdict.refusal]
         if refused:
             raise PlatformError(f"the worker refused a start: {refused[0]}")
         return elapsed_s
