--- a/jackdawspur/dispatch/_core.py
+++ b/jackdawspur/dispatch/_core.py
@@ -28,7 +28,7 @@
     UsageReplied,
 )
 from jackdawspur.dispatch._in_flight import record_incarnation
-from jackdawspur.dispatch._loads import divide_slots, refresh_view
+from jackdawspur.dispatch._loads import apply_view_changes, divide_slots
 from jackdawspur.dispatch._peers import (
     grant_urgent_requests,
     handle_peer_message,
@@ -66,8 +66,8 @@
     """Turn the events of an entry host into effects for its adapters.
 
     All times are seconds on one monotonic clock; `rng` is the only source of
-    randomness. `crosses_zones` requires that upstreams of other zones can be reached
-    from this host.
+    randomness. With `crosses_zones` the host also uses slots of other zones, whose
+    upstreams it must be able to reach.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         return is_drained(self._state)
 
     def next_wake(self) -> float | None:
-        """Return the latest time of the next `Tick`, or None if none is needed."""
+        """Return the time by which the next `Tick` must arrive, or None."""
         return self._state.next_wake()
 
     def handle(self, event: Event, now: float) -> list[Effect]:
@@ -138,7 +138,7 @@
         gap = now - state.last_event_at
         state.last_event_at = now
         if state.view.reset_after_pause(now, gap):
-            refresh_view(state, now)
+            apply_view_changes(state, now)
             # Within this time the heartbeats of hosts in the zone report which
             # upstreams started to leave during the pause.
             state.starts_held_until = now + STARTS_HOLD_S
@@ -152,7 +152,7 @@
     ):
         return
     state.set_cluster_spec(event.cluster_spec, now)
-    refresh_view(state, now)
+    apply_view_changes(state, now)
     divide_slots(state, now)
 
 
@@ -168,7 +168,7 @@
 
 def _tick(state: State, _event: Tick, now: float) -> None:
     state.view.tick(now)
-    refresh_view(state, now)
+    apply_view_changes(state, now)
     state.slots.reclaim_expired(now)
     state.queue.quotas_changed()
     send_heartbeats(state, now)
--- a/jackdawspur/dispatch/_delegate.py
+++ b/jackdawspur/dispatch/_delegate.py
@@ -1,4 +1,4 @@
-"""Delegation of whole jobs, none of whose tasks was sent, to another entry host."""
+"""Delegation of whole jobs, before any task is sent, to another entry host."""
 
 from jackdawspur.dispatch._answers import abort_job, end_job
 from jackdawspur.dispatch._effects import SendPeerMessage
@@ -15,7 +15,7 @@
 
 
 def delegate_job(state: State, job: Job, to: HostId, now: float) -> None:
-    """Delegate a job none of whose tasks was sent, and wait for the answer.
+    """Delegate a job before any of its tasks is sent, and wait for the answer.
 
     From now on only this incarnation of that host may start its tasks. The message is
     repeated to that host only; the submission id makes it idempotent there.
--- a/jackdawspur/dispatch/_effects.py
+++ b/jackdawspur/dispatch/_effects.py
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryTaskStatus:
-    """Query the status of tasks, and seal those that the upstream has not started."""
+    """Query the status of tasks, and seal those that the upstream has not started.
+
+    Sealing tombstones a task id, so that the task can never start.
+    """
 
     upstream: UpstreamId
     tasks: tuple[TaskId, ...]
--- a/jackdawspur/dispatch/_ends.py
+++ b/jackdawspur/dispatch/_ends.py
@@ -67,17 +67,17 @@
     job = in_flight.job
     upstream = in_flight.placement.upstream
     run_ms = (now - in_flight.placement.sent_at) * MS_PER_S
-    name = job.request.job_class
+    job_class = job.request.job_class
     if outcome.state is TaskState.DONE:
         estimate = max(1.0, job.queued.estimates_ms[in_flight.index])
         sent_at = in_flight.placement.sent_at
-        state.health.succeeded(upstream, name, run_ms / estimate, now, sent_at)
+        state.health.succeeded(upstream, job_class, run_ms / estimate, now, sent_at)
         spec = job.spec(in_flight.index)
-        state.run_times.observe(job.customer, name, spec, run_ms)
+        state.run_times.observe(job.customer, job_class, spec, run_ms)
     elif outcome.state is TaskState.FAILED:
-        state.health.failed(upstream, job.submission, name, now)
-        failed = FailedTask(upstream, job.submission, name)
-        state.failed.setdefault(upstream, []).append(failed)
+        state.health.failed(upstream, job.submission, job_class, now)
+        failed = FailedTask(upstream, job.submission, job_class)
+        state.recent_failures.setdefault(upstream, []).append(failed)
     else:
         state.health.record_inconclusive(upstream)
     state.queue.task_ended(job.queued, in_flight.index, run_ms)
--- a/jackdawspur/dispatch/_events.py
+++ b/jackdawspur/dispatch/_events.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Polled:
-    """A caller requests the state of a submission; `wait` delays it until the end."""
+    """A caller requests the state of a submission; with `wait`, at the job's end."""
 
     call: int
     customer: str
--- a/jackdawspur/dispatch/_forward.py
+++ b/jackdawspur/dispatch/_forward.py
@@ -3,7 +3,7 @@
 from jackdawspur.dispatch._answers import answer_call
 from jackdawspur.dispatch._effects import SendPeerMessage
 from jackdawspur.dispatch._events import CancelRequested, Polled, Submitted
-from jackdawspur.dispatch._state import Forwarded, RemoteCall, State
+from jackdawspur.dispatch._state import PendingForward, RemoteCall, State
 from jackdawspur.membership import OwnerState
 from jackdawspur.messages import CancelForward, Forward, ForwardAnswer
 from jackdawspur.model import Answer, FailureCode, HostId, JobState, SubmissionId
@@ -28,8 +28,8 @@
     """Forward a submission to the host that owns its id."""
     request = event.request
     message = Forward(event.call, request.customer, submission, event.wait, request)
-    limit = now + request.deadline_ms / MS_PER_S
-    _forward(state, event.call, submission, message, limit, now)
+    deadline = now + request.deadline_ms / MS_PER_S
+    _forward(state, event.call, submission, message, deadline, now)
 
 
 def forward_poll(state: State, event: Polled, now: float) -> None:
@@ -49,10 +49,10 @@
     call: int,
     submission: SubmissionId,
     message: Forward | CancelForward,
-    limit: float,
+    deadline: float,
     now: float,
 ) -> None:
-    state.pending_forwards[call] = Forwarded(submission, message, limit)
+    state.pending_forwards[call] = PendingForward(submission, message, deadline)
     _send_forward(state, call, now)
 
 
@@ -60,7 +60,7 @@
     """Send or repeat a forward, or end it if the owner is gone.
 
     A dead or restarted owner has lost its state. Whether the job ran can no longer be
-    determined, so the caller gets exactly this answer and nothing runs again.
+    determined, so the answer states just that, and the job does not run again.
     """
     forwarded = state.pending_forwards.get(call)
     if forwarded is None:
@@ -70,12 +70,12 @@
         _fail_forward(
             state, call, FailureCode.OWNER_LOST, "the owner of this id is gone"
         )
-    elif now >= forwarded.limit:
+    elif now >= forwarded.deadline:
         text = "the owner of this id did not answer in time"
         _fail_forward(state, call, FailureCode.OUTCOME_UNKNOWN, text)
     else:
         state.emit(SendPeerMessage(owner, forwarded.message))
-        retry_at = min(now + FORWARD_RETRY_S, forwarded.limit)
+        retry_at = min(now + FORWARD_RETRY_S, forwarded.deadline)
         state.schedule(retry_at, lambda at: _send_forward(state, call, at))
 
 
@@ -98,7 +98,7 @@
 
 
 def open_remote_call(state: State, host: HostId, call: int) -> int | None:
-    """Return a local call for a call of a peer, or None if it is open already."""
+    """Return a new local call for a call of a peer, or None if that is open already."""
     remote = RemoteCall(host, call)
     if remote in state.remote_calls.values():
         return None
--- a/jackdawspur/dispatch/_in_flight.py
+++ b/jackdawspur/dispatch/_in_flight.py
@@ -56,7 +56,7 @@
 def record_incarnation(
     state: State, upstream: UpstreamId, incarnation: int, now: float
 ) -> None:
-    """Record the incarnation of an upstream; fail the jobs it lost by a restart.
+    """Record the incarnation of an upstream; fail jobs whose tasks a restart lost.
 
     A restarted upstream has lost its tasks and would report them as never started,
     although they may have run. So they are neither waited for nor sent again.
--- a/jackdawspur/dispatch/_job.py
+++ b/jackdawspur/dispatch/_job.py
@@ -19,7 +19,11 @@
 
 
 class Stage(enum.Enum):
-    """Stage of a job between its arrival and its answer."""
+    """Stage of a job between its arrival and its answer.
+
+    `CLAIMING`: the log has not confirmed the claim of its key. `DELEGATED`: another
+    entry host runs it.
+    """
 
     CLAIMING = "claiming"
     QUEUED = "queued"
@@ -28,7 +32,11 @@
 
 
 class TaskPhase(enum.Enum):
-    """State of one task as known to this host."""
+    """State of one task as known to this host.
+
+    `SENT`: its start has no reply yet. `UNSURE`: the reply to its start was lost, so
+    the task may be running.
+    """
 
     SENT = "sent"
     RUNNING = "running"
@@ -58,8 +66,8 @@
     stage: Stage = Stage.QUEUED
     delegate: HostId | None = None
     no_delegation: bool = False
-    # A repeat may run: this job's claim of the key came first, nothing ran, and the
-    # answer was not "not run".
+    # A repeat of the request may run: this job claimed the key first but started
+    # nothing, and its answer did not state "not run".
     may_rerun: bool = False
     # The log has not confirmed the key, so a request with it may run at another host.
     unclaimed: bool = False
--- a/jackdawspur/dispatch/_loads.py
+++ b/jackdawspur/dispatch/_loads.py
@@ -8,7 +8,7 @@
 from jackdawspur.model import HostId
 from jackdawspur.scheduling import HostLoad
 
-__all__ = ["update_peer_loads", "refresh_view"]
+__all__ = ["update_peer_loads", "apply_view_changes"]
 
 SIBLING_ROUND_TRIP_MS = 1.0
 ZONE_ROUND_TRIP_MS = 2.0
@@ -16,8 +16,8 @@
 ASSUMED_TASK_MS = 300.0
 
 
-def refresh_view(state: State, now: float) -> None:
-    """Divide slots and quotas again if the view has changed."""
+def apply_view_changes(state: State, now: float) -> None:
+    """Divide slots and quotas again if hosts joined or left the membership view."""
     slot_holders = state.view.slot_holders()
     if slot_holders != state.slot_holders:
         state.slot_holders = slot_holders
--- a/jackdawspur/dispatch/_peers.py
+++ b/jackdawspur/dispatch/_peers.py
@@ -19,7 +19,7 @@
 from jackdawspur.dispatch._state import State
 from jackdawspur.dispatch._submit import (
     cancel_job,
-    expire,
+    expire_job,
     poll,
     request_cancel,
     submit,
@@ -58,7 +58,9 @@
         handler(state, event.sender, event.message, now)
 
 
-def _heartbeat(state: State, sender: HostId, heartbeat: Heartbeat, now: float) -> None:
+def _handle_heartbeat(
+    state: State, sender: HostId, heartbeat: Heartbeat, now: float
+) -> None:
     state.view.record_heartbeat(heartbeat, now)
     if sender.zone == state.local_id.zone:
         state.health.apply_peer_report(sender, heartbeat.bad_upstreams, now)
@@ -67,13 +69,13 @@
     update_peer_loads(state, now)
 
 
-def _pulse(state: State, sender: HostId, pulse: Pulse, now: float) -> None:
+def _handle_pulse(state: State, sender: HostId, pulse: Pulse, now: float) -> None:
     state.view.record_pulse(sender, pulse, now)
     update_peer_loads(state, now)
 
 
-def _forward(state: State, sender: HostId, message: Forward, now: float) -> None:
-    """Handle a forwarded call like a local one; it is answered through its host."""
+def _handle_forward(state: State, sender: HostId, message: Forward, now: float) -> None:
+    """Handle a forwarded call like a local one; the answer goes to its sender."""
     call = open_remote_call(state, sender, message.call)
     if call is None:
         return
@@ -85,7 +87,7 @@
     submit(state, Submitted(call, request, message.wait), now)
 
 
-def _forwarded_cancel(
+def _handle_forwarded_cancel(
     state: State, sender: HostId, message: CancelForward, now: float
 ) -> None:
     job = state.jobs.get(message.submission)
@@ -99,14 +101,16 @@
         )
 
 
-def _forward_answer(
+def _handle_forward_answer(
     state: State, sender: HostId, message: ForwardAnswer, _now: float
 ) -> None:
     receive_forward_answer(state, sender, message)
 
 
-def _delegate(state: State, sender: HostId, message: Delegate, now: float) -> None:
-    """Run a job for its owner, once even if the owner repeats the message."""
+def _handle_delegate(
+    state: State, sender: HostId, message: Delegate, now: float
+) -> None:
+    """Run a job for its owner, but only once if the owner repeats the message."""
     if message.submission.owner != sender:
         return
     if message.submission in state.dropped_delegations:
@@ -121,7 +125,7 @@
     deadline = now + message.remaining_ms / MS_PER_S
     job = Job(message.submission, message.request, now, deadline, origin=sender)
     state.jobs[job.submission] = job
-    state.schedule(deadline, lambda at: expire(state, job, at))
+    state.schedule(deadline, lambda at: expire_job(state, job, at))
     refused = refuse_at_ingress(state, message.request, now)
     if refused is not None:
         end_job(state, job, refused, now)
@@ -135,7 +139,7 @@
     return DelegateAnswer(submission, failure(code, text, submission))
 
 
-def _delegate_answer(
+def _handle_delegate_answer(
     state: State, sender: HostId, message: DelegateAnswer, now: float
 ) -> None:
     returned = receive_delegate_answer(state, sender, message, now)
@@ -143,7 +147,7 @@
         enqueue(state, returned, now)
 
 
-def _slot_request(
+def _handle_slot_request(
     state: State, sender: HostId, message: SlotRequest, now: float
 ) -> None:
     waiting = state.queue.waiting()
@@ -154,13 +158,17 @@
         state.emit(SendPeerMessage(sender, grant))
 
 
-def _slot_grant(state: State, sender: HostId, message: SlotGrant, now: float) -> None:
+def _handle_slot_grant(
+    state: State, sender: HostId, message: SlotGrant, now: float
+) -> None:
     for outgoing in state.slots.accept_grant(sender, message, now):
         state.emit(SendPeerMessage(outgoing.to, outgoing.message))
     state.queue.capacity_changed()
 
 
-def _slot_return(state: State, sender: HostId, message: SlotReturn, now: float) -> None:
+def _handle_slot_return(
+    state: State, sender: HostId, message: SlotReturn, now: float
+) -> None:
     for task in message.failed:
         state.health.peer_task_failed(
             task.upstream, task.submission, task.job_class, now
@@ -169,16 +177,16 @@
 
 
 _HANDLERS = {
-    Heartbeat: _heartbeat,
-    Pulse: _pulse,
-    Forward: _forward,
-    CancelForward: _forwarded_cancel,
-    ForwardAnswer: _forward_answer,
-    Delegate: _delegate,
-    DelegateAnswer: _delegate_answer,
-    SlotRequest: _slot_request,
-    SlotGrant: _slot_grant,
-    SlotReturn: _slot_return,
+    Heartbeat: _handle_heartbeat,
+    Pulse: _handle_pulse,
+    Forward: _handle_forward,
+    CancelForward: _handle_forwarded_cancel,
+    ForwardAnswer: _handle_forward_answer,
+    Delegate: _handle_delegate,
+    DelegateAnswer: _handle_delegate_answer,
+    SlotRequest: _handle_slot_request,
+    SlotGrant: _handle_slot_grant,
+    SlotReturn: _handle_slot_return,
 }
 
 
@@ -187,7 +195,7 @@
     return {
         upstream
         for upstream in state.slots.available_slots(now)
-        if (state.reserved and state.reserved.upstream == upstream)
+        if (state.reservation and state.reservation.upstream == upstream)
         or state.view.is_upstream_leaving(upstream)
         or state.health.concurrency_limit(upstream, now) < UNLIMITED
     }
@@ -211,7 +219,7 @@
         state.emit(SendPeerMessage(outgoing.to, outgoing.grant))
 
 
-def _startable(state: State, now: float) -> int:
+def _count_startable(state: State, now: float) -> int:
     """Return the number of waiting tasks that the quotas of their customers allow."""
     return sum(
         min(count, state.quotas.headroom(customer, now))
@@ -221,7 +229,7 @@
 
 def request_and_return_slots(state: State, now: float) -> None:
     """Request missing slots from other hosts, and return borrowed ones not needed."""
-    waiting = _startable(state, now)
+    waiting = _count_startable(state, now)
     if waiting and now >= state.starts_held_until:
         urgency = state.queue.most_urgent()
         demand = (
@@ -240,18 +248,18 @@
         state.emit(
             SendPeerMessage(outgoing.to, _with_failures(state, outgoing.message))
         )
-    state.failed.clear()
+    state.recent_failures.clear()
 
 
 def _with_failures(state: State, message: SlotReturn) -> SlotReturn:
-    """Add the failed tasks to a return, or the lender would lend these slots again."""
-    failed = (state.failed.get(item.upstream, ()) for item in message.slots)
+    """Add the failed tasks; unaware of them, the lender would lend the slots again."""
+    failed = (state.recent_failures.get(item.upstream, ()) for item in message.slots)
     return replace(message, failed=tuple(task for tasks in failed for task in tasks))
 
 
 def send_heartbeats(state: State, now: float) -> None:
     """Send the heartbeats that are due."""
-    state.heartbeats += 1
+    state.heartbeat_sequence += 1
     for outgoing in state.view.heartbeats_due(_local_heartbeat(state, now), now):
         state.emit(SendPeerMessage(outgoing.to, outgoing.message))
 
@@ -260,7 +268,7 @@
     waiting = state.queue.waiting_by_customer()
     return Heartbeat(
         state.local_id,
-        state.heartbeats,
+        state.heartbeat_sequence,
         state.cluster_spec is not None,
         state.draining,
         state.cluster_spec.version if state.cluster_spec else NO_VERSION,
--- a/jackdawspur/dispatch/_place.py
+++ b/jackdawspur/dispatch/_place.py
@@ -1,4 +1,4 @@
-"""Placement of an admitted job: in the local queue, or at another entry host."""
+"""Placement of an accepted job: in the local queue, or at another entry host."""
 
 from jackdawspur.dispatch._answers import abort_job
 from jackdawspur.dispatch._delegate import delegate_job
@@ -19,10 +19,10 @@
 # Factor on the work ahead of a job, since more urgent later jobs start before it.
 OVERTAKING_FACTOR = 4.0
 # Bound on the work of other hosts counted as ahead of a job, as a multiple of its own.
-MAX_REMOTE_AHEAD = 20.0
+MAX_REMOTE_AHEAD_FACTOR = 20.0
 # Fraction of the work waiting at other hosts that counts as ahead of a job when no
 # local work waits.
-UNKNOWN_FRACTION = 0.5
+DEFAULT_AHEAD_FRACTION = 0.5
 
 
 def enqueue(state: State, job: Job, now: float) -> None:
@@ -69,8 +69,8 @@
 ) -> bool:
     """Delegate the job if another host would serve it clearly sooner.
 
-    A job is delegated once: hosts that act on the same outdated loads would pass it
-    around.
+    A job is delegated only once. Otherwise hosts with outdated loads of each other
+    could delegate it in a circle.
     """
     if job.origin is not None or job.no_delegation:
         return False
@@ -93,11 +93,11 @@
         competing += weight
     ahead_ms = queue.ahead_ms(job)
     backlog_ms = queue.backlog_ms()
-    fraction = ahead_ms / backlog_ms if backlog_ms else UNKNOWN_FRACTION
+    fraction = ahead_ms / backlog_ms if backlog_ms else DEFAULT_AHEAD_FRACTION
     # Work waiting at other hosts is assumed to be as urgent as the local work.
     waiting = state.remote_waiting_tasks()
     # A few large jobs can make up most of the waiting work; small jobs start first.
-    max_ms = MAX_REMOTE_AHEAD * sum(job.estimates_ms)
+    max_ms = MAX_REMOTE_AHEAD_FACTOR * sum(job.estimates_ms)
     remote_ms = min(fraction * waiting * ASSUMED_TASK_MS, max_ms)
     ahead_ms += remote_ms
     fair_share = weight / competing
--- a/jackdawspur/dispatch/_resolve.py
+++ b/jackdawspur/dispatch/_resolve.py
@@ -29,13 +29,13 @@
     attempt: int,
     now: float,
 ) -> None:
-    """Query the status of tasks whose live jobs still need it."""
-    open_tasks = tuple(task for task in tasks if _is_uncertain(state, task))
-    if not open_tasks:
+    """Query the status of the tasks that are unconfirmed and whose jobs are live."""
+    unconfirmed = tuple(task for task in tasks if _is_unconfirmed(state, task))
+    if not unconfirmed:
         return
     state.status_attempts[upstream] = attempt
     state.counters.status_queries += 1
-    state.emit(QueryTaskStatus(upstream, open_tasks))
+    state.emit(QueryTaskStatus(upstream, unconfirmed))
 
 
 def handle_status_failure(state: State, event: StatusQueryFailed, now: float) -> None:
@@ -112,7 +112,7 @@
         abort_job(state, job, FailureCode.OUTCOME_UNKNOWN, text, now)
 
 
-def _is_uncertain(state: State, task: TaskId) -> bool:
+def _is_unconfirmed(state: State, task: TaskId) -> bool:
     in_flight = state.in_flight_tasks.get(task)
     if in_flight is None or in_flight.job.stage is Stage.ENDED:
         return False
--- a/jackdawspur/dispatch/_resource_tracker.py
+++ b/jackdawspur/dispatch/_resource_tracker.py
@@ -73,10 +73,12 @@
         self, upstreams: Iterable[UpstreamId], spec: TaskSpec
     ) -> UpstreamId | None:
         """Return the least utilized upstream that could fit the task, or None."""
-        suitable = [name for name in upstreams if self.fits_when_empty(name, spec)]
+        suitable = [
+            upstream for upstream in upstreams if self.fits_when_empty(upstream, spec)
+        ]
         return min(
             suitable,
-            key=lambda name: (self._utilization(name, spec), name),
+            key=lambda upstream: (self._utilization(upstream, spec), upstream),
             default=None,
         )
 
--- a/jackdawspur/dispatch/_run.py
+++ b/jackdawspur/dispatch/_run.py
@@ -13,7 +13,7 @@
 from jackdawspur.dispatch._in_flight import add_in_flight, record_incarnation
 from jackdawspur.dispatch._job import TaskPhase
 from jackdawspur.dispatch._resolve import query_task_status
-from jackdawspur.dispatch._state import InFlightTask, Reserved, State
+from jackdawspur.dispatch._state import InFlightTask, Reservation, State
 from jackdawspur.external import RefusalReason, StartVerdict, TaskStart
 from jackdawspur.health import UNLIMITED
 from jackdawspur.model import JobRequest, TaskId, UpstreamId
@@ -39,16 +39,16 @@
     open_slots = _open_slots(state, now)
     probes = _probes(state, now)
     while open_slots:
-        found = _next_task(state, open_slots, now)
-        if found is None:
+        next_task = _next_task(state, open_slots, now)
+        if next_task is None:
             break
-        request = state.jobs[found.job.submission].request
-        if probes and _may_probe(request):
+        request = state.jobs[next_task.job.submission].request
+        if probes and _can_be_probe(request):
             upstream = probes.pop()
         else:
-            upstream = state.resource_tracker.first_fit(open_slots, found.spec)
+            upstream = state.resource_tracker.first_fit(open_slots, next_task.spec)
             open_slots.remove(upstream)
-        batches[upstream].append(_commit_start(state, found, upstream, now))
+        batches[upstream].append(_commit_start(state, next_task, upstream, now))
     for upstream, starts in batches.items():
         state.counters.starts += len(starts)
         state.emit(StartTasks(upstream, tuple(starts)))
@@ -79,9 +79,9 @@
     """
     wanted = state.queue.reservation(now)
     if wanted is None:
-        state.reserved = None
+        state.reservation = None
         return set()
-    reservation = state.reserved
+    reservation = state.reservation
     if reservation is None or reservation.submission != wanted.job.submission:
         upstreams = [
             upstream
@@ -93,7 +93,9 @@
         least_utilized = state.resource_tracker.least_utilized(upstreams, wanted.spec)
         if least_utilized is None:
             return set()
-        reservation = state.reserved = Reserved(wanted.job.submission, least_utilized)
+        reservation = state.reservation = Reservation(
+            wanted.job.submission, least_utilized
+        )
     if state.resource_tracker.fits(reservation.upstream, wanted.spec):
         state.queue.capacity_changed()
         return set()
@@ -111,8 +113,8 @@
     )
 
 
-def _may_probe(request: JobRequest) -> bool:
-    """Return whether a job may be used as a probe: a repeat is harmless and cheap."""
+def _can_be_probe(request: JobRequest) -> bool:
+    """Return whether the job may be a probe, as its repeat is harmless and cheap."""
     return request.idempotent and len(request.tasks) <= MAX_PROBE_TASKS
 
 
@@ -127,15 +129,15 @@
 
 
 def _commit_start(
-    state: State, found: NextTask, upstream: UpstreamId, now: float
+    state: State, next_task: NextTask, upstream: UpstreamId, now: float
 ) -> TaskStart:
     """Record the start of a task and return it; from now on the task may have run."""
-    job = state.jobs[found.job.submission]
-    add_in_flight(state, job, found.index, upstream, now)
-    spec = found.spec
+    job = state.jobs[next_task.job.submission]
+    add_in_flight(state, job, next_task.index, upstream, now)
+    spec = next_task.spec
     lease_ms = max(1.0, (job.deadline - now) * MS_PER_S)
     return TaskStart(
-        job.task(found.index),
+        job.task(next_task.index),
         spec.payload,
         lease_ms,
         spec.cpus,
@@ -158,9 +160,9 @@
             state.slots.reset_backoff(reply.upstream)
         elif verdict.refusal is RefusalReason.DUPLICATE:
             # The upstream knows the id, so an earlier start may have reached it.
-            _query_uncertain_starts(state, (verdict.task,), reply.upstream, now)
+            _query_unconfirmed_starts(state, (verdict.task,), reply.upstream, now)
         else:
-            _refused(state, in_flight, verdict, now)
+            _handle_refusal(state, in_flight, verdict, now)
 
 
 def _awaiting_reply(
@@ -177,7 +179,7 @@
     return in_flight if in_flight.placement.upstream == upstream else None
 
 
-def _refused(
+def _handle_refusal(
     state: State, in_flight: InFlightTask, verdict: StartVerdict, now: float
 ) -> None:
     upstream = in_flight.placement.upstream
@@ -194,7 +196,7 @@
     """Handle starts without a reply; only those certainly not sent are requeued."""
     state.counters.starts_lost += len(event.tasks)
     if event.maybe_sent:
-        _query_uncertain_starts(state, event.tasks, event.upstream, now)
+        _query_unconfirmed_starts(state, event.tasks, event.upstream, now)
         return
     state.slots.start_backoff(event.upstream, now)
     for task in event.tasks:
@@ -204,7 +206,7 @@
             requeue_task(state, task, in_flight, now)
 
 
-def _query_uncertain_starts(
+def _query_unconfirmed_starts(
     state: State, tasks: Iterable[TaskId], upstream: UpstreamId, now: float
 ) -> None:
     """Query the status of starts that may have reached the upstream.
@@ -212,14 +214,14 @@
     The reply was lost, so the tasks may be running. A second start could run them
     twice; a status query, which also seals tasks against late starts, can't.
     """
-    uncertain = []
+    unconfirmed = []
     for task in tasks:
         in_flight = _awaiting_reply(state, task, upstream)
         if in_flight is not None:
             in_flight.placement.phase = TaskPhase.UNSURE
-            uncertain.append(task)
-    if uncertain:
-        query_task_status(state, upstream, tuple(uncertain), 0, now)
+            unconfirmed.append(task)
+    if unconfirmed:
+        query_task_status(state, upstream, tuple(unconfirmed), 0, now)
 
 
 def handle_results(state: State, event: ResultsReplied, now: float) -> None:
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -32,7 +32,14 @@
 )
 from jackdawspur.sharing import SlotPool
 
-__all__ = ["Action", "Forwarded", "InFlightTask", "RemoteCall", "Reserved", "State"]
+__all__ = [
+    "Action",
+    "PendingForward",
+    "InFlightTask",
+    "RemoteCall",
+    "Reservation",
+    "State",
+]
 
 ANSWER_TTL_S = 600.0
 MAX_ANSWER_BYTES = 8_388_608
@@ -54,16 +61,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forwarded:
-    """Call forwarded to another host, until `limit`, a time in seconds."""
+class PendingForward:
+    """Call forwarded to another host, and repeated until its deadline, in seconds."""
 
     submission: SubmissionId
     message: Forward | CancelForward
-    limit: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Reserved:
+class Reservation:
     """Reservation of an upstream, which gets no other starts, for a large task."""
 
     submission: SubmissionId
@@ -107,19 +114,19 @@
         self.claims_incomplete_until = now
         self.log_retry_ms = LOG_RETRY_MS
         self.draining = False
-        self.heartbeats = 0
+        self.heartbeat_sequence = 0
         self.slot_holders: tuple[HostId, ...] = ()
         self.peers: tuple[HostId, ...] = ()
         self.starts_held_until = now
         self.counters = Counters()
         self._effects: list[Effect] = []
         self._timers = Timers()
-        self._remote_number = 0
+        self._last_remote_call = 0
         self._stored_answers: OrderedDict[SubmissionId, int] = OrderedDict()
         self._stored_bytes = 0
 
     def _init_calls(self) -> None:
-        self.pending_forwards: dict[int, Forwarded] = {}
+        self.pending_forwards: dict[int, PendingForward] = {}
         self.remote_calls: dict[int, RemoteCall] = {}
         self.no_wait_calls: set[int] = set()
         self._job_of_call: dict[int, Job] = {}
@@ -127,8 +134,8 @@
     def _init_components(
         self, local_id: HostId, rng: random.Random, now: float
     ) -> None:
-        self.reserved: Reserved | None = None
-        self.failed: dict[UpstreamId, list[FailedTask]] = {}
+        self.reservation: Reservation | None = None
+        self.recent_failures: dict[UpstreamId, list[FailedTask]] = {}
         self.ids = IdIssuer(local_id)
         self.claims = IdempotencyKeyTable()
         self.view = View(local_id, now)
@@ -190,11 +197,11 @@
 
     def next_remote_call(self) -> int:
         """Return a negative number for a forwarded call; local calls are positive."""
-        self._remote_number -= 1
-        return self._remote_number
+        self._last_remote_call -= 1
+        return self._last_remote_call
 
     def latest_attempt(self, submission: SubmissionId) -> SubmissionId:
-        """Return the newest attempt of a submission whose claim was abandoned."""
+        """Return the newest attempt to run a submission, or the submission itself."""
         while submission in self.newer_attempts:
             submission = self.newer_attempts[submission]
         return submission
@@ -215,7 +222,7 @@
         return spare_slots
 
     def pool_slots(self) -> int:
-        """Return the total slots of the zones that share slots with this host."""
+        """Return the total slots of all zones whose slots this host can use."""
         if not self.crosses_zones:
             return self.zone_slots[self.local_id.zone]
         zones = {host.zone for host in self.peers} | {self.local_id.zone}
@@ -231,7 +238,7 @@
         return waiting
 
     def find_job(self, submission: SubmissionId) -> Job | None:
-        """Return a live job or one whose answer is still stored, or None."""
+        """Return a job that is live or whose answer is still stored, or None."""
         return self.jobs.get(submission)
 
     def find_claiming(self, customer: str, key: str) -> Job | None:
--- a/jackdawspur/dispatch/_submit.py
+++ b/jackdawspur/dispatch/_submit.py
@@ -41,7 +41,7 @@
     "cancel_job",
     "close_call",
     "handle_claim_appended",
-    "expire",
+    "expire_job",
     "issue_ids",
     "poll",
     "handle_claims_read",
@@ -91,16 +91,16 @@
     paused in between.
     """
     request = event.request
-    owner = state.claims.find(request.customer, request.key, now)
-    if owner is not None:
-        _submit_by_id(state, event, owner, now)
+    key_submission = state.claims.find(request.customer, request.key, now)
+    if key_submission is not None:
+        _submit_by_id(state, event, key_submission, now)
         return
     waiting = state.find_claiming(request.customer, request.key)
     if waiting is not None:
         _answer_repeat(state, event, waiting, now)
         return
     if not state.log_up and request.idempotent:
-        # Running without a recorded claim is acceptable only as a repeat is harmless.
+        # The job may run without a claim because a repeat of it is harmless.
         _start_new(state, event, state.ids.new_id(), now, unclaimed=True)
         return
     if not state.log_up or state.claims.is_full or now < state.claims_incomplete_until:
@@ -165,41 +165,43 @@
     if event.gap:
         state.claims_incomplete_until = now + IDEMPOTENCY_KEY_TTL_S
     for claim in event.claims:
-        owner = state.claims.apply_claim(
+        key_submission = state.claims.apply_claim(
             claim.customer, claim.key, claim.submission, now
         )
         job = state.claiming.get(claim.submission)
         if job is None:
-            _allow_rerun(state, claim, owner)
-        elif owner == claim.submission:
+            _allow_rerun(state, claim, key_submission)
+        elif key_submission == claim.submission:
             job.unclaimed = False
             _admit(state, job, now)
         else:
-            _attach_to_owner(state, job, owner, now)
+            _attach_to_key_submission(state, job, key_submission, now)
 
 
-def _allow_rerun(state: State, claim: Claim, owner: SubmissionId) -> None:
+def _allow_rerun(state: State, claim: Claim, key_submission: SubmissionId) -> None:
     """Allow a repeat of a job that ended before its claim was read back.
 
     Its claim is the first one of the key, so nothing has run under the key.
     """
     job = state.jobs.get(claim.submission)
-    if job is None or job.answer is None or owner != claim.submission:
+    if job is None or job.answer is None or key_submission != claim.submission:
         return
     cancelled = job.answer.code is FailureCode.CANCELLED
     if job.nothing_sent and job.unclaimed and not cancelled:
         job.may_rerun = True
 
 
-def _attach_to_owner(state: State, job: Job, owner: SubmissionId, now: float) -> None:
-    """Attach the callers of a job to the submission that claimed its key first."""
+def _attach_to_key_submission(
+    state: State, job: Job, key_submission: SubmissionId, now: float
+) -> None:
+    """Move the callers of a job to the submission that claimed its key first."""
     del state.claiming[job.submission]
     state.jobs.pop(job.submission, None)
     job.stage = Stage.ENDED
     for call in state.detach_all(job):
         wait = call not in state.no_wait_calls
         state.no_wait_calls.discard(call)
-        _submit_by_id(state, Submitted(call, job.request, wait), owner, now)
+        _submit_by_id(state, Submitted(call, job.request, wait), key_submission, now)
 
 
 def _start_new(
@@ -209,7 +211,7 @@
     now: float,
     unclaimed: bool = False,
 ) -> None:
-    """Start a job or refuse it; a refusal is the final answer of its id, too."""
+    """Start a job or refuse it; a refusal is final for its id like any other answer."""
     refused = refuse_at_ingress(state, event.request, now)
     job = _new_job(state, event, submission, now)
     job.unclaimed = unclaimed
@@ -229,7 +231,7 @@
     deadline = now + event.request.deadline_ms / MS_PER_S
     job = Job(submission, event.request, now, deadline)
     state.jobs[submission] = job
-    state.schedule(deadline, lambda at: expire(state, job, at))
+    state.schedule(deadline, lambda at: expire_job(state, job, at))
     return job
 
 
@@ -257,7 +259,7 @@
     enqueue(state, job, now)
 
 
-def expire(state: State, job: Job, now: float) -> None:
+def expire_job(state: State, job: Job, now: float) -> None:
     """End a job at its deadline."""
     if job.stage is Stage.ENDED:
         return
@@ -300,7 +302,7 @@
 
 
 def _id_unusable(submission: SubmissionId) -> Answer:
-    """Return the answer for an id whose job, if any, is no longer known."""
+    """Return the answer for an id that was used or expired and whose job is unknown."""
     return Answer(
         JobState.FAILED,
         submission,
@@ -346,7 +348,7 @@
         forward_cancel(state, event, now)
         return
     job = state.find_job(state.latest_attempt(event.submission))
-    if job is None and _reject_unused_id(state, event, now):
+    if job is None and _cancel_unused_id(state, event, now):
         return
     if job is None or job.customer != event.customer:
         poll(state, Polled(event.call, event.customer, event.submission), now)
@@ -358,11 +360,11 @@
     cancel_job(state, job, now)
 
 
-def _reject_unused_id(state: State, event: CancelRequested, now: float) -> bool:
-    """Mark an issued id as used if it is cancelled before its request arrived.
+def _cancel_unused_id(state: State, event: CancelRequested, now: float) -> bool:
+    """Cancel an issued id whose request has not arrived; return whether it is one.
 
-    The request may be in transit at a paused host, and would run although its caller
-    was told that nothing ran. So the id must not start anything from now on.
+    The request may be in transit at a paused host. If the id stayed usable, the job
+    would run after its caller got the answer that nothing ran.
     """
     known = state.ids.id_state(event.submission, event.customer, now)
     if known is not IdState.UNUSED:
