--- a/jackdawspur/dispatch/_loads.py
+++ b/jackdawspur/dispatch/_loads.py
@@ -10,8 +10,8 @@
 
 __all__ = ["update_peer_loads", "apply_view_changes"]
 
-SIBLING_ROUND_TRIP_MS = 1.0
-ZONE_ROUND_TRIP_MS = 2.0
+ZONE_PEER_ROUND_TRIP_MS = 1.0
+REMOTE_ZONE_ROUND_TRIP_MS = 2.0
 # The summary of a zone counts waiting tasks without their run times.
 ASSUMED_TASK_MS = 300.0
 
@@ -50,17 +50,17 @@
     """Update the loads of peers from the reports of hosts and zones."""
     if state.cluster_spec is None:
         return
-    _update_sibling_loads(state, now)
+    _update_zone_peer_loads(state, now)
     # Sorted for determinism: the order of a set of strings differs by process.
     for zone in sorted(
         {host.zone for host in state.view.peers()} - {state.local_id.zone}
     ):
-        _update_zone_loads(state, state.view.zone_summary(zone), now)
+        _update_remote_zone_loads(state, state.view.zone_summary(zone), now)
 
 
-def _update_sibling_loads(state: State, now: float) -> None:
+def _update_zone_peer_loads(state: State, now: float) -> None:
     share = state.slots.capacity()
-    for host in state.view.siblings():
+    for host in state.view.zone_peers():
         heartbeat = state.view.last_heartbeat(host)
         if heartbeat is None:
             continue
@@ -71,13 +71,13 @@
             heartbeat.free_slots,
             heartbeat.waiting_tasks,
             heartbeat.backlog_ms,
-            SIBLING_ROUND_TRIP_MS,
+            ZONE_PEER_ROUND_TRIP_MS,
             accepts,
         )
         state.peer_selector.update_load(load, now)
 
 
-def _update_zone_loads(state: State, summary: ZoneSummary, now: float) -> None:
+def _update_remote_zone_loads(state: State, summary: ZoneSummary, now: float) -> None:
     hosts = state.view.ready_hosts(summary.zone)
     if not hosts:
         return
@@ -89,7 +89,7 @@
             summary.free_slots // len(hosts),
             waiting,
             waiting * ASSUMED_TASK_MS,
-            ZONE_ROUND_TRIP_MS,
+            REMOTE_ZONE_ROUND_TRIP_MS,
         )
         state.peer_selector.update_load(load, now - summary.age)
     for host, usage in _split_usage(summary.usage, hosts):
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -209,7 +209,7 @@
     def spare_slots(self, now: float) -> dict[HostId, int]:
         """Return the slots that other hosts last reported as lendable."""
         spare_slots = {}
-        for host in self.view.siblings():
+        for host in self.view.zone_peers():
             load = self.view.last_heartbeat(host)
             if load is not None:
                 spare_slots[host] = load.free_slots
@@ -230,7 +230,7 @@
 
     def remote_waiting_tasks(self) -> int:
         """Return the number of tasks that wait at hosts sharing slots with this one."""
-        loads = (self.view.last_heartbeat(host) for host in self.view.siblings())
+        loads = (self.view.last_heartbeat(host) for host in self.view.zone_peers())
         waiting = sum(load.waiting_tasks for load in loads if load is not None)
         if self.crosses_zones:
             zones = {host.zone for host in self.peers} - {self.local_id.zone}
--- a/jackdawspur/membership/__init__.py
+++ b/jackdawspur/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: live hosts by their heartbeats, leaving upstreams by several reports."""
+"""Membership: live hosts, by their heartbeats, and upstreams reported as leaving."""
 
 from jackdawspur.membership._intervals import (
     HeartbeatBandwidth,
--- a/jackdawspur/membership/_heartbeat_sender.py
+++ b/jackdawspur/membership/_heartbeat_sender.py
@@ -1,4 +1,4 @@
-"""Contents and receivers of the heartbeats of a host."""
+"""Composition and addressing of the heartbeats of a host."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -18,7 +18,11 @@
 
 
 class HeartbeatSender:
-    """Compose and address the heartbeats of one host."""
+    """Compose and address the heartbeats of one host.
+
+    Two zones exchange heartbeats through a few linked hosts. These relay what they
+    receive to the peers in their zone.
+    """
 
     def __init__(self, members: Members, reports: ZoneReports) -> None:
         self._members = members
@@ -34,14 +38,16 @@
         due = self._schedule.due(state, self._members.intervals, now)
         outgoing: list[OutgoingHeartbeat] = []
         if due.relay:
-            outgoing.extend(self._address_siblings(self._relay(due.full_relay)))
+            outgoing.extend(
+                self._address_zone_peers(self._relay_heartbeat(due.full_relay))
+            )
         elif due.state_change:
-            outgoing.extend(self._address_siblings(_without_usage(state)))
+            outgoing.extend(self._address_zone_peers(_without_usage(state)))
         elif due.pulse:
-            outgoing.extend(self._address_siblings(_pulse(state)))
+            outgoing.extend(self._address_zone_peers(_pulse(state)))
         if due.links:
             self._round += 1
-            outgoing.extend(self._address_zones(self._link(due.full_links)))
+            outgoing.extend(self._address_zones(self._link_heartbeat(due.full_links)))
         return tuple(outgoing)
 
     def resend_state(self) -> None:
@@ -61,7 +67,7 @@
         ]
         return summarize(self._local_zone, [self._state, *heartbeats])
 
-    def _relay(self, full: bool) -> Heartbeat:
+    def _relay_heartbeat(self, full: bool) -> Heartbeat:
         zones = [zone for zone in self._members.zones() if self._should_relay(zone)]
         reports = [self._reports.latest(zone) for zone in zones]
         if not full:
@@ -75,7 +81,7 @@
             zones=tuple(reports),
         )
 
-    def _link(self, full: bool) -> Heartbeat:
+    def _link_heartbeat(self, full: bool) -> Heartbeat:
         heartbeat = replace(
             _without_usage(self._state), bad_upstreams=(), leaving_upstreams=()
         )
@@ -86,16 +92,18 @@
         seen = tuple(LivePeer(record.host, record.draining) for record in live)
         return replace(heartbeat, reports_usage=True, seen=seen, zones=(summary,))
 
-    def _address_siblings(self, message: Heartbeat | Pulse) -> list[OutgoingHeartbeat]:
+    def _address_zone_peers(
+        self, message: Heartbeat | Pulse
+    ) -> list[OutgoingHeartbeat]:
         hosts = self._members.configured(self._local_zone)
         local_id = self._members.local_id
         return [OutgoingHeartbeat(host, message) for host in hosts if host != local_id]
 
     def _address_zones(self, message: Heartbeat) -> list[OutgoingHeartbeat]:
-        targets = (self._link_to(zone) for zone in self._members.zones())
+        targets = (self._link_target(zone) for zone in self._members.zones())
         return [OutgoingHeartbeat(host, message) for host in targets if host]
 
-    def _link_to(self, zone: str) -> HostId | None:
+    def _link_target(self, zone: str) -> HostId | None:
         rank = self._link_rank(zone)
         if zone == self._local_zone or rank >= LINKS_PER_ZONE_PAIR:
             return None
@@ -125,7 +133,7 @@
         return self._link_rank(zone) == 0 or not relayed
 
     def _linked_peers(self, zone: str) -> list[LivePeer]:
-        since = self._members.now - self._members.intervals.mention_timeout
+        since = self._members.now - self._members.intervals.reported_host_timeout
         return [
             LivePeer(record.host, record.draining)
             for record in self._members.liveness_table.of_zone(zone)
@@ -138,8 +146,8 @@
 
 
 def _largest_usage(usage: tuple[CustomerUsage, ...]) -> tuple[CustomerUsage, ...]:
-    by_weight = sorted(usage, key=lambda entry: -(entry.running + entry.waiting))
-    return tuple(by_weight[:MAX_HOST_USAGE_ENTRIES])
+    by_usage = sorted(usage, key=lambda entry: -(entry.running + entry.waiting))
+    return tuple(by_usage[:MAX_HOST_USAGE_ENTRIES])
 
 
 def _pulse(state: Heartbeat) -> Pulse:
--- a/jackdawspur/membership/_intervals.py
+++ b/jackdawspur/membership/_intervals.py
@@ -6,18 +6,18 @@
 
 from jackdawspur.links import Envelope, encode
 from jackdawspur.membership._limits import (
-    FULL_EVERY,
+    FULL_HEARTBEAT_EVERY,
     LINK_SHARE,
     LINKS_PER_ZONE_PAIR,
     MAX_HOST_USAGE_ENTRIES,
     MAX_ZONE_USAGE_ENTRIES,
     MIN_LINK_INTERVAL,
     MIN_RELAY_INTERVAL,
-    MIN_SIBLING_INTERVAL,
+    MIN_ZONE_PEER_INTERVAL,
     MISSED_HEARTBEATS,
     PACKET_OVERHEAD,
     SENT_BUDGET,
-    SIBLING_BUDGET,
+    ZONE_PEER_BUDGET,
 )
 from jackdawspur.messages import CustomerUsage, Heartbeat, LivePeer, Pulse, ZoneStatus
 from jackdawspur.model import ClusterSpec, HostId
@@ -43,18 +43,18 @@
 class HeartbeatIntervals:
     """Intervals of heartbeats, in seconds.
 
-    `sibling` is for heartbeats within the zone, `link` for those to other zones, and
-    `relay` for those that report other zones within the zone.
+    `zone_peer` is for heartbeats within the zone, `link` for those to other zones, and
+    `relay` for those within the zone that report what arrived from other zones.
     """
 
-    sibling: float = MIN_SIBLING_INTERVAL
+    zone_peer: float = MIN_ZONE_PEER_INTERVAL
     link: float = MIN_LINK_INTERVAL
     relay: float = MIN_RELAY_INTERVAL
 
     @property
-    def sibling_timeout(self) -> float:
-        """Return the timeout of a host of the local zone."""
-        return MISSED_HEARTBEATS * self.sibling
+    def zone_peer_timeout(self) -> float:
+        """Return the timeout of a peer in the same zone."""
+        return MISSED_HEARTBEATS * self.zone_peer
 
     @property
     def link_timeout(self) -> float:
@@ -62,19 +62,22 @@
         return MISSED_HEARTBEATS * self.link
 
     @property
-    def mention_timeout(self) -> float:
-        """Return the timeout of a host that is reported by linked hosts of its zone."""
-        return MISSED_HEARTBEATS * FULL_EVERY * self.link
+    def reported_host_timeout(self) -> float:
+        """Return the timeout of a remote host that linked hosts of its zone report."""
+        return MISSED_HEARTBEATS * FULL_HEARTBEAT_EVERY * self.link
 
     @property
-    def relay_timeout(self) -> float:
-        """Return the timeout of another zone that is reported within the local zone."""
+    def relayed_zone_timeout(self) -> float:
+        """Return the timeout of another zone that peers in this zone report."""
         return self.link_timeout + MISSED_HEARTBEATS * self.relay
 
     @property
-    def relayed_timeout(self) -> float:
-        """Return the timeout of a remote host reported within the local zone."""
-        return self.mention_timeout + MISSED_HEARTBEATS * FULL_EVERY * self.relay
+    def relayed_host_timeout(self) -> float:
+        """Return the timeout of a remote host that peers in this zone report."""
+        return (
+            self.reported_host_timeout
+            + MISSED_HEARTBEATS * FULL_HEARTBEAT_EVERY * self.relay
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Sizes:
-    sibling: float
+    zone_peer: float
     link: float
     relay: float
 
@@ -104,7 +107,7 @@
     intervals = _compute_intervals(zones, hosts, customers)
     sizes = _bytes_per_round(zones, hosts, customers)
     sent = (
-        sizes.sibling / intervals.sibling
+        sizes.zone_peer / intervals.zone_peer
         + sizes.link / intervals.link
         + sizes.relay / intervals.relay
     )
@@ -115,10 +118,10 @@
 @lru_cache
 def _compute_intervals(zones: int, hosts: int, customers: int) -> HeartbeatIntervals:
     sizes = _bytes_per_round(zones, hosts, customers)
-    sibling = max(MIN_SIBLING_INTERVAL, sizes.sibling / SIBLING_BUDGET)
-    remaining = SENT_BUDGET - sizes.sibling / sibling
+    zone_peer = max(MIN_ZONE_PEER_INTERVAL, sizes.zone_peer / ZONE_PEER_BUDGET)
+    remaining = SENT_BUDGET - sizes.zone_peer / zone_peer
     return HeartbeatIntervals(
-        sibling=sibling,
+        zone_peer=zone_peer,
         link=max(MIN_LINK_INTERVAL, sizes.link / (remaining * LINK_SHARE)),
         relay=max(MIN_RELAY_INTERVAL, sizes.relay / (remaining * (1 - LINK_SHARE))),
     )
@@ -141,14 +144,14 @@
         full - bare
     )
     return _Sizes(
-        sibling=(hosts - 1) * (_size(SAMPLE_PULSE) + PACKET_OVERHEAD),
+        zone_peer=(hosts - 1) * (_size(SAMPLE_PULSE) + PACKET_OVERHEAD),
         link=links * (_mean(brief, full) + PACKET_OVERHEAD),
         relay=(hosts - 1) * (_mean(brief_relay, full_relay) + PACKET_OVERHEAD),
     )
 
 
 def _mean(brief: float, full: float) -> float:
-    return (full + (FULL_EVERY - 1) * brief) / FULL_EVERY
+    return (full + (FULL_HEARTBEAT_EVERY - 1) * brief) / FULL_HEARTBEAT_EVERY
 
 
 def _size(message: Heartbeat | Pulse) -> int:
--- a/jackdawspur/membership/_leaving.py
+++ b/jackdawspur/membership/_leaving.py
@@ -14,7 +14,7 @@
 
 
 class LeavingUpstreams:
-    """Leaving upstreams; one report suffices, even if the host list lacks it."""
+    """Leaving upstreams; one report suffices, even if the host list shows none."""
 
     def __init__(self) -> None:
         self._direct: dict[UpstreamId, float] = {}
@@ -22,11 +22,11 @@
         self._listed: frozenset[UpstreamId] = frozenset()
 
     def mark(self, upstream: UpstreamId, now: float) -> None:
-        """Record that the upstream itself reported to be leaving."""
+        """Record that the upstream itself reported that it is leaving."""
         self._direct[upstream] = now
 
     def clear(self, upstream: UpstreamId, now: float) -> None:
-        """Record that the upstream reported to stay, unless the report may be stale."""
+        """Record a report of the upstream that it stays, unless it may be stale."""
         if now - self._direct.get(upstream, now) > MAX_USAGE_LAG:
             del self._direct[upstream]
 
--- a/jackdawspur/membership/_liveness.py
+++ b/jackdawspur/membership/_liveness.py
@@ -1,4 +1,4 @@
-"""Times of the last signals of each entry host, and its incarnation."""
+"""Times of the last direct and indirect signs of life of each entry host."""
 
 import enum
 from collections.abc import Collection, Mapping
@@ -13,7 +13,10 @@
 
 
 class OwnerState(enum.StrEnum):
-    """Whether the owner of a submission can still answer calls for it."""
+    """Whether the owner of a submission can still answer calls for it.
+
+    `UNHEARD`: it is unresponsive but may resume. `GONE`: its state is lost.
+    """
 
     LIVE = "live"
     UNHEARD = "unheard"
@@ -24,9 +27,9 @@
 class LivenessRecord:
     """Latest incarnation of a host and the times of its last signals.
 
-    `direct_at` is the time of its own last message, `linked_at` of the last one from
-    itself or a host of its zone, `relayed_at` of the last report by a host of the local
-    zone.
+    `direct_at` is the time of its last message to this host, `linked_at` of the last
+    message from it or from a host of its zone that reports it, `relayed_at` of the last
+    report by a peer in the local zone.
     """
 
     host: HostId
@@ -92,15 +95,15 @@
                 backlog_ms=pulse.backlog_ms,
             )
 
-    def record_reported(self, seen: LivePeer, linked: bool, now: float) -> None:
+    def record_reported(self, peer: LivePeer, linked: bool, now: float) -> None:
         """Record that another host reported the host as live."""
-        record = self._current_record(seen.host)
+        record = self._current_record(peer.host)
         if record is not None:
             if linked:
                 record.linked_at = now
             else:
                 record.relayed_at = now
-            record.draining = record.draining or seen.draining
+            record.draining = record.draining or peer.draining
 
     def forget(self, known: Mapping[str, Collection[str]]) -> None:
         """Remove all hosts except those named in each zone."""
--- a/jackdawspur/membership/_members.py
+++ b/jackdawspur/membership/_members.py
@@ -22,10 +22,10 @@
         self.intervals = HeartbeatIntervals()
         self.liveness_table = LivenessTable()
         self._names: dict[str, list[str]] = {}
-        # Signals before the first time don't count; the view is settled after the
-        # second one.
+        # Signals from before `_valid_since` are ignored. At `_settled_at` heartbeats of
+        # all live hosts in the zone have had time to arrive.
         self._valid_since = now
-        self._settled_at = now + self.intervals.sibling_timeout
+        self._settled_at = now + self.intervals.zone_peer_timeout
 
     @property
     def settled(self) -> bool:
@@ -43,14 +43,14 @@
         self.intervals = heartbeat_intervals(cluster_spec)
         self.liveness_table.forget(self._names)
         if first:
-            self._settled_at = now + self.intervals.sibling_timeout
+            self._settled_at = now + self.intervals.zone_peer_timeout
 
     def reset_after_pause(self, now: float, gap: float) -> bool:
         """Ignore signals from before a pause; return False if it was negligible."""
         if gap < RESUME_GAP:
             return False
         self._valid_since = now
-        self._settled_at = now + self.intervals.sibling_timeout
+        self._settled_at = now + self.intervals.zone_peer_timeout
         return True
 
     def zones(self) -> list[str]:
@@ -81,7 +81,7 @@
         return tuple(sorted(hosts))
 
     def slot_holders(self) -> tuple[HostId, ...]:
-        """Return the hosts that share the slots of the local zone."""
+        """Return the hosts among which the slots of the local zone are divided."""
         holders = {
             record.host.name: record.host
             for record in self.live_records(self.local_id.zone)
@@ -119,11 +119,12 @@
         record = self.liveness_table.get(owner.zone, owner.name)
         last = record.last_at if record else self._valid_since
         elapsed = self.now - max(last, self._valid_since)
-        # After a network partition a whole zone returns with its hosts and their jobs.
+        # The hosts of a zone without any live host are not gone: after a network
+        # partition they return with their jobs.
         reachable = owner.zone == self.local_id.zone or bool(
             self.live_records(owner.zone)
         )
-        timeout = max(GONE_AFTER, 2 * self.intervals.relayed_timeout)
+        timeout = max(GONE_AFTER, 2 * self.intervals.relayed_host_timeout)
         if owner.zone == self.local_id.zone:
             timeout = GONE_AFTER
         return (
@@ -134,9 +135,9 @@
         if record.last_at < self._valid_since:
             return False
         if record.host.zone == self.local_id.zone:
-            return self.now - record.direct_at < self.intervals.sibling_timeout
+            return self.now - record.direct_at < self.intervals.zone_peer_timeout
         return (
             self.now - record.direct_at < self.intervals.link_timeout
-            or self.now - record.linked_at < self.intervals.mention_timeout
-            or self.now - record.relayed_at < self.intervals.relayed_timeout
+            or self.now - record.linked_at < self.intervals.reported_host_timeout
+            or self.now - record.relayed_at < self.intervals.relayed_host_timeout
         )
--- a/jackdawspur/membership/_schedule.py
+++ b/jackdawspur/membership/_schedule.py
@@ -3,14 +3,14 @@
 from dataclasses import dataclass
 
 from jackdawspur.membership._intervals import HeartbeatIntervals
-from jackdawspur.membership._limits import FULL_EVERY
+from jackdawspur.membership._limits import FULL_HEARTBEAT_EVERY
 from jackdawspur.messages import Heartbeat
 from jackdawspur.model import UpstreamId
 
 __all__ = ["Due", "Schedule"]
 
 # Minimum interval of heartbeats that report a change of state at once, in seconds.
-URGENT_GAP = 0.05
+MIN_URGENT_INTERVAL = 0.05
 NEVER = float("-inf")
 
 
@@ -39,7 +39,7 @@
     """Times of the last rounds of heartbeats."""
 
     def __init__(self) -> None:
-        self._siblings_at = NEVER
+        self._zone_peers_at = NEVER
         self._links_at = NEVER
         self._relay_at = NEVER
         self._links = 0
@@ -47,22 +47,25 @@
         self._sent_state: _UrgentState | None = None
 
     def due(
-        self, own_state: Heartbeat, intervals: HeartbeatIntervals, now: float
+        self, local_state: Heartbeat, intervals: HeartbeatIntervals, now: float
     ) -> Due:
         """Return the rounds to send now, and record them as sent."""
         state = _UrgentState(
-            own_state.ready,
-            own_state.draining,
-            own_state.version,
-            own_state.bad_upstreams,
-            own_state.leaving_upstreams,
+            local_state.ready,
+            local_state.draining,
+            local_state.version,
+            local_state.bad_upstreams,
+            local_state.leaving_upstreams,
+        )
+        urgent = (
+            state != self._sent_state
+            and now - self._zone_peers_at >= MIN_URGENT_INTERVAL
         )
-        urgent = state != self._sent_state and now - self._siblings_at >= URGENT_GAP
         relay = now - self._relay_at >= intervals.relay
-        pulse = now - self._siblings_at >= intervals.sibling
+        pulse = now - self._zone_peers_at >= intervals.zone_peer
         links = now - self._links_at >= intervals.link
         if urgent or relay or pulse:
-            self._siblings_at = now
+            self._zone_peers_at = now
         if urgent or relay:
             self._sent_state = state
         if links:
@@ -75,9 +78,9 @@
             pulse=pulse and not (urgent or relay),
             state_change=urgent and not relay,
             links=links,
-            full_links=links and self._links % FULL_EVERY == 1,
+            full_links=links and self._links % FULL_HEARTBEAT_EVERY == 1,
             relay=relay,
-            full_relay=relay and self._relays % FULL_EVERY == 1,
+            full_relay=relay and self._relays % FULL_HEARTBEAT_EVERY == 1,
         )
 
     def resend_state(self) -> None:
@@ -86,5 +89,5 @@
 
     def reset(self) -> None:
         """Make all rounds due now."""
-        self._siblings_at = self._links_at = self._relay_at = NEVER
+        self._zone_peers_at = self._links_at = self._relay_at = NEVER
         self._links = self._relays = 0
--- a/jackdawspur/membership/_view.py
+++ b/jackdawspur/membership/_view.py
@@ -1,4 +1,4 @@
-"""View that one host has of the others."""
+"""Membership view of one host: which other hosts are live."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -93,7 +93,7 @@
         """Return the live hosts of a zone, including this one, sorted."""
         return self._members.live(zone)
 
-    def siblings(self) -> tuple[HostId, ...]:
+    def zone_peers(self) -> tuple[HostId, ...]:
         """Return the other live hosts of the local zone."""
         return tuple(
             record.host for record in self._members.live_records(self._local_id.zone)
@@ -168,24 +168,24 @@
         return self._leaving.contains(upstream)
 
     def mark_leaving(self, upstream: UpstreamId, now: float) -> None:
-        """Record that an upstream reported to be leaving, by a refusal or its usage."""
+        """Record that an upstream reports by a refusal or its usage that it leaves."""
         self._leaving.mark(upstream, now)
 
     def clear_leaving(self, upstream: UpstreamId, now: float) -> None:
-        """Record that the usage of an upstream, possibly stale, reports it to stay."""
+        """Record that an upstream reports by its usage, maybe stale, that it stays."""
         self._leaving.clear(upstream, now)
 
     def heartbeats_due(
-        self, own_state: Heartbeat, now: float
+        self, local_state: Heartbeat, now: float
     ) -> tuple[OutgoingHeartbeat, ...]:
         """Return the heartbeats to send now, made from the state of this host.
 
-        `own_state` holds an increasing sequence, the load, usage, readiness and bad
-        upstreams; the other fields are filled in.
+        `local_state` holds an increasing sequence, the load, usage, readiness and
+        unhealthy upstreams; the other fields are filled in.
         """
         self._advance_clock(now)
         leaving = self._leaving.to_report()
-        state = replace(own_state, host=self._local_id, leaving_upstreams=leaving)
+        state = replace(local_state, host=self._local_id, leaving_upstreams=leaving)
         return self._heartbeat_sender.due(state, now)
 
     def _advance_clock(self, now: float) -> None:
@@ -206,12 +206,12 @@
         intervals, now = self.intervals, self._members.now
         if self._reports.linked_since(zone, now - intervals.link_timeout):
             return True
-        return self._reports.relayed_since(zone, now - intervals.relay_timeout)
+        return self._reports.relayed_since(zone, now - intervals.relayed_zone_timeout)
 
 
 def _authority_filter(
-    heartbeat: Heartbeat, linked: bool, own_zone: str
+    heartbeat: Heartbeat, linked: bool, local_zone: str
 ) -> Callable[[str], bool]:
     if linked:
         return lambda zone: zone == heartbeat.host.zone
-    return lambda zone: zone != own_zone
+    return lambda zone: zone != local_zone
--- a/jackdawspur/membership/_zones.py
+++ b/jackdawspur/membership/_zones.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingHeartbeat:
-    """Heartbeat to send to a host; incarnation 0 if the present one is unknown."""
+    """Heartbeat to send to a host, whose incarnation is 0 if it is unknown."""
 
     to: HostId
     message: Heartbeat | Pulse
--- a/jackdawspur/membership/tests/test_view.py
+++ b/jackdawspur/membership/tests/test_view.py
@@ -31,27 +31,27 @@
 
     Its heartbeats stop without notice, and the platform's list still contains it.
     """
-    dead, sibling = hosts[:2]
+    dead, zone_peer = hosts[:2]
     network.paused.add(dead)
     listed = ListedHost(dead.zone, dead.name, HostRole.ENTRY)
-    network.views[sibling].record_host_list((listed,), network.now)
+    network.views[zone_peer].record_host_list((listed,), network.now)
     died = network.now
-    while dead in network.views[sibling].slot_holders():
+    while dead in network.views[zone_peer].slot_holders():
         network.run(STEP)
     assert network.now - died <= 1.0
-    assert network.views[sibling].owner_state(dead) is OwnerState.UNHEARD
+    assert network.views[zone_peer].owner_state(dead) is OwnerState.UNHEARD
     network.run(GONE_AFTER)
-    assert network.views[sibling].owner_state(dead) is OwnerState.GONE
+    assert network.views[zone_peer].owner_state(dead) is OwnerState.GONE
 
 
 def test_the_earlier_incarnation_of_a_restarted_host_is_gone_at_once(network, hosts):
     """A job whose owner restarted must be answered as lost, not as pending."""
-    old, sibling = hosts[:2]
+    old, zone_peer = hosts[:2]
     del network.views[old]
     new = replace(old, incarnation=2)
     network.start(new)
     network.run(2 * STEP)
-    view = network.views[sibling]
+    view = network.views[zone_peer]
     assert view.owner_state(old) is OwnerState.GONE
     assert view.latest_incarnation(old.zone, old.name) == new
     stale = Heartbeat(old, 10**9, True, False, 7, 0, 0, 0.0)
@@ -75,22 +75,22 @@
     peer as live, shares slots as if all configured hosts of its zone were live, and
     sends heartbeats at once.
     """
-    paused, sibling = hosts[:2]
+    paused, zone_peer = hosts[:2]
     network.paused.add(paused)
     network.run(20)
-    assert network.views[sibling].slot_holders() == (sibling,)
+    assert network.views[zone_peer].slot_holders() == (zone_peer,)
     network.paused.clear()
     view = network.views[paused]
     assert view.reset_after_pause(network.now, 20.0)
     assert view.peers() == () and not view.settled
-    assert view.slot_holders() == (paused, sibling)
+    assert view.slot_holders() == (paused, zone_peer)
     network.run(3 * STEP)
     assert (
-        network.views[sibling].slot_holders()
+        network.views[zone_peer].slot_holders()
         == view.slot_holders()
-        == (paused, sibling)
+        == (paused, zone_peer)
     )
-    assert view.owner_state(sibling) is OwnerState.LIVE
+    assert view.owner_state(zone_peer) is OwnerState.LIVE
 
 
 def test_a_partitioned_zone_is_unreachable_but_its_owners_are_not_gone(network, hosts):
@@ -107,7 +107,7 @@
         assert network.now - partitioned_at < 6.0
     network.run(120)
     assert network.views[outside].owner_state(inside) is OwnerState.UNHEARD
-    assert network.views[inside].siblings() == (hosts[5],)
+    assert network.views[inside].zone_peers() == (hosts[5],)
     network.partitioned.clear()
     network.run(5)
     for host in hosts:
@@ -136,18 +136,20 @@
     It refuses one host with "leaving", which reports this by heartbeat. A stale list or
     stale usage must not revert it.
     """
-    first, sibling = (network.views[host] for host in hosts[:2])
+    first, zone_peer = (network.views[host] for host in hosts[:2])
     first.mark_leaving(LEAVING, network.now)
     stale = ListedHost(LEAVING.zone, LEAVING.name, HostRole.UPSTREAM)
     reported_at = network.now
-    for view in (first, sibling):
+    for view in (first, zone_peer):
         view.record_host_list((stale,), network.now)
     first.clear_leaving(LEAVING, network.now + 1)
-    while not sibling.is_upstream_leaving(LEAVING) and network.now - reported_at <= 0.3:
+    while (
+        not zone_peer.is_upstream_leaving(LEAVING) and network.now - reported_at <= 0.3
+    ):
         network.run(STEP)
-    assert sibling.is_upstream_leaving(LEAVING) and network.now - reported_at <= 0.3
+    assert zone_peer.is_upstream_leaving(LEAVING) and network.now - reported_at <= 0.3
     network.run(30)
-    assert first.is_upstream_leaving(LEAVING) and sibling.is_upstream_leaving(LEAVING)
+    assert first.is_upstream_leaving(LEAVING) and zone_peer.is_upstream_leaving(LEAVING)
 
 
 def test_a_pause_shorter_than_the_timeout_changes_nothing(network, hosts):
@@ -156,16 +158,16 @@
     If the other hosts dropped the paused one, or it dropped its own view, slots would
     be moved without need and starts would be refused.
     """
-    paused, sibling = hosts[:2]
+    paused, zone_peer = hosts[:2]
     network.paused.add(paused)
     network.run(RESUME_GAP - 2 * STEP)
-    assert network.views[sibling].slot_holders() == (paused, sibling)
+    assert network.views[zone_peer].slot_holders() == (paused, zone_peer)
     network.paused.clear()
     assert not network.views[paused].reset_after_pause(network.now, RESUME_GAP - STEP)
     network.run(STEP)
-    for host in (paused, sibling):
-        assert network.views[host].slot_holders() == (paused, sibling)
-        assert network.views[host].is_live(sibling) and network.views[host].settled
+    for host in (paused, zone_peer):
+        assert network.views[host].slot_holders() == (paused, zone_peer)
+        assert network.views[host].is_live(zone_peer) and network.views[host].settled
 
 
 @pytest.mark.parametrize(("ready", "draining"), [(False, False), (False, True)])
@@ -185,13 +187,13 @@
 
 
 def test_an_upstream_that_returned_is_used_again(network, hosts):
-    first, sibling = (network.views[host] for host in hosts[:2])
+    first, zone_peer = (network.views[host] for host in hosts[:2])
     first.mark_leaving(LEAVING, network.now)
     network.run(11)
     first.clear_leaving(LEAVING, network.now)
     assert not first.is_upstream_leaving(LEAVING)
     network.run(16)
-    assert not sibling.is_upstream_leaving(LEAVING)
+    assert not zone_peer.is_upstream_leaving(LEAVING)
 
 
 def test_an_outdated_heartbeat_changes_nothing(network, hosts):
--- a/jackdawspur/slopes/_messages.py
+++ b/jackdawspur/slopes/_messages.py
@@ -58,9 +58,9 @@
         yield (
             f"control traffic, {zones} zones of {hosts} hosts, {CUSTOMERS} customers: "
             f"{cost.sent:.0f} B/s sent, {cost.received:.0f} B/s received; a sibling "
-            f"is missed after {pace.sibling_timeout:.1f} s, a linked host of another "
+            f"is missed after {pace.zone_peer_timeout:.1f} s, a linked host of another "
             f"zone after {pace.link_timeout:.1f} s, a zone that siblings tell of "
-            f"after {pace.relay_timeout:.1f} s"
+            f"after {pace.relayed_zone_timeout:.1f} s"
         )
 
 
