--- a/jackdawspur/sharing/_borrowing.py
+++ b/jackdawspur/sharing/_borrowing.py
@@ -124,13 +124,13 @@
         if loan_id in self._accepted_grants:
             # A repeated grant: returning it would free slots on which tasks run.
             return True
-        asked_at = self._request_times.get((sender, grant.request))
-        if asked_at is None:
+        requested_at = self._request_times.get((sender, grant.request))
+        if requested_at is None:
             return False
         self._accepted_grants[loan_id] = now
-        # The term counts from the request, which precedes the grant by the lender. So a
-        # grant that was delayed, or read after a pause, ends in time.
-        term_end = asked_at + grant.term_ms / MS_PER_S
+        # The term counts from the request, which was sent before the lender granted it.
+        # So a grant that was delayed, or read after a pause, ends in time.
+        term_end = requested_at + grant.term_ms / MS_PER_S
         for item in grant.slots:
             slot = _BorrowedSlot(loan_id, item.upstream, term_end, now)
             self._idle.setdefault(item.upstream, []).extend([slot] * item.slots)
@@ -163,7 +163,7 @@
         return True
 
     def take_returns(self, now: float, waiting: bool) -> tuple[OutgoingReturn, ...]:
-        """Return the messages that give back used slots and idle ones not needed."""
+        """Return messages that give back used slots and unneeded idle ones."""
         if self._idle:
             self._return_idle(now, waiting)
         if not self._to_return:
@@ -176,14 +176,14 @@
         )
 
     def _return_idle(self, now: float, waiting: bool) -> None:
-        kept: dict[UpstreamId, list[_BorrowedSlot]] = {}
+        retained: dict[UpstreamId, list[_BorrowedSlot]] = {}
         for upstream, slots in self._idle.items():
             for slot in slots:
                 if waiting and not slot.must_return(now):
-                    kept.setdefault(upstream, []).append(slot)
+                    retained.setdefault(upstream, []).append(slot)
                 else:
                     self._queue_return(slot.loan, upstream)
-        self._idle = kept
+        self._idle = retained
 
     def _queue_return(self, loan: LoanId, upstream: UpstreamId) -> None:
         self._to_return.setdefault(loan, Counter())[upstream] += 1
--- a/jackdawspur/sharing/_division.py
+++ b/jackdawspur/sharing/_division.py
@@ -10,7 +10,7 @@
 def divide(
     upstreams: Iterable[Upstream], hosts: Iterable[HostId]
 ) -> Mapping[HostId, Mapping[UpstreamId, int]]:
-    """Return the number of slots of each upstream that each host holds.
+    """Return the number of slots that each host holds of each upstream.
 
     Every slot has one holder. The shares of an upstream differ by at most one, and so
     do the totals. The incarnation is ignored, so a restarted host gets the same slots.
@@ -21,17 +21,17 @@
         return shares
     totals = dict.fromkeys(members, 0)
     for upstream in sorted(upstreams, key=lambda entry: entry.id):
-        each, rest = divmod(upstream.slots, len(members))
-        with_extra_slot = _hosts_with_extra_slot(upstream.id, totals, rest)
+        base_count, remainder = divmod(upstream.slots, len(members))
+        with_extra_slot = _hosts_with_extra_slot(upstream.id, totals, remainder)
         for host in members:
-            count = each + (host in with_extra_slot)
+            count = base_count + (host in with_extra_slot)
             shares[host][upstream.id] = count
             totals[host] += count
     return shares
 
 
 def _hosts_with_extra_slot(
-    upstream: UpstreamId, totals: Mapping[HostId, int], rest: int
+    upstream: UpstreamId, totals: Mapping[HostId, int], remainder: int
 ) -> set[HostId]:
     # Hosts with the lowest totals come first; by the hash alone, one host could get
     # fewer slots than the others by chance.
@@ -39,4 +39,4 @@
         totals,
         key=lambda host: (totals[host], rendezvous_hash(str(upstream), host.name)),
     )
-    return set(order[:rest])
+    return set(order[:remainder])
--- a/jackdawspur/sharing/_limits.py
+++ b/jackdawspur/sharing/_limits.py
@@ -20,15 +20,16 @@
 # Maximum time until a lender reclaims slots whose return was lost. If a task runs for
 # longer on a lent slot, a start on that slot may be refused; no task starts twice.
 MAX_LOAN_TIME = 30.0
-# Minimum interval of requests to the same host for as many slots.
+# Minimum interval between requests to the same host, unless for more slots.
 REPEAT_REQUEST_AFTER = 0.2
 # How long the rest of a partly granted request can be granted, as slots become idle.
 REQUEST_TTL = 0.2
-# Another request is sent early for a task that is this much more urgent.
+# A request is sent before that interval ends if the latest start of its task is
+# earlier by this much than that of the last request.
 URGENCY_MARGIN = 0.02
-# How long requested slots count as pending.
+# How long requested slots count as pending, so that they are not requested again.
 REPLY_TIMEOUT = 0.003
-# Borrowed slots that waiting tasks can't use are returned after this.
+# Unused borrowed slots are returned after this, even while tasks wait.
 IDLE_BEFORE_RETURN = 0.02
 MIN_BACKOFF = 0.05
 MAX_BACKOFF = 0.8
--- a/jackdawspur/sharing/_loans.py
+++ b/jackdawspur/sharing/_loans.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class _Lent:
+class _Loan:
     borrower: HostId
     slots: Counter[UpstreamId]
     reclaim_at: float
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self._next = 1
-        self._grants: dict[int, _Lent] = {}
+        self._grants: dict[int, _Loan] = {}
         self.lent_slots: Counter[UpstreamId] = Counter()
 
     def grant(
@@ -52,25 +52,25 @@
         number = self._next
         self._next += 1
         term_end = now + LOAN_TERM + LOAN_MARGIN
-        self._grants[number] = _Lent(to, +slots, now + MAX_LOAN_TIME, term_end)
+        self._grants[number] = _Loan(to, +slots, now + MAX_LOAN_TIME, term_end)
         self.lent_slots += slots
         return SlotGrant(
             number, LOAN_TERM * MS_PER_S, sorted_slots(slots), request.number
         )
 
     def accept_return(self, sender: HostId, message: SlotReturn) -> Counter[UpstreamId]:
-        """Accept a return of slots, and return those of them that were still lent."""
+        """Accept returned slots, and report which of them were still lent."""
         returned: Counter[UpstreamId] = Counter()
-        lent = self._grants.get(message.grant)
-        if lent is None or lent.borrower != sender:
+        loan = self._grants.get(message.grant)
+        if loan is None or loan.borrower != sender:
             return returned
         for item in message.slots:
-            count = max(0, min(item.slots, lent.slots[item.upstream]))
-            lent.slots[item.upstream] -= count
+            count = max(0, min(item.slots, loan.slots[item.upstream]))
+            loan.slots[item.upstream] -= count
             returned[item.upstream] += count
-        lent.slots = +lent.slots
+        loan.slots = +loan.slots
         self.lent_slots -= returned
-        if not lent.slots:
+        if not loan.slots:
             del self._grants[message.grant]
         return returned
 
@@ -79,12 +79,12 @@
     ) -> Counter[UpstreamId]:
         """Reclaim and return the slots of dead borrowers and of lost returns."""
         returned: Counter[UpstreamId] = Counter()
-        for number, lent in list(self._grants.items()):
+        for number, loan in list(self._grants.items()):
             # A borrower that was only paused starts no task after its term. So the
             # slots of a borrower that is no longer live can be reused after the term.
-            dead = lent.borrower not in members and now >= lent.term_end
-            if dead or now >= lent.reclaim_at:
-                returned += lent.slots
+            dead = loan.borrower not in members and now >= loan.term_end
+            if dead or now >= loan.reclaim_at:
+                returned += loan.slots
                 del self._grants[number]
         self.lent_slots -= returned
         return returned
--- a/jackdawspur/sharing/_requests.py
+++ b/jackdawspur/sharing/_requests.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """Rest of a request for slots; `latest_start` is on the clock of this host."""
+    """Part of a request not granted yet; `latest_start` is by this host's clock."""
 
     sender: HostId
     request: SlotRequest
--- a/jackdawspur/sharing/_slot_pool.py
+++ b/jackdawspur/sharing/_slot_pool.py
@@ -32,8 +32,8 @@
 class SlotPool:
     """Slots that this host holds, borrows, lends and uses.
 
-    Its own slots belong to upstreams of its zone; borrowed ones may belong to upstreams
-    of other zones.
+    Own slots are its share of the slots of its zone. Borrowed ones may belong to
+    upstreams of other zones.
     """
 
     def __init__(self, local_id: HostId) -> None:
@@ -68,8 +68,10 @@
         shares = divide(self._upstreams.values(), self._members)
         self._share = shares[self._local_id]
         self._own_free = {
-            name: count - self._lending.lent_slots[name] - self._running_on_own[name]
-            for name, count in self._share.items()
+            upstream: count
+            - self._lending.lent_slots[upstream]
+            - self._running_on_own[upstream]
+            for upstream, count in self._share.items()
         }
         self.reclaim_expired(now)
 
@@ -100,9 +102,9 @@
     def available_slots(self, now: float) -> dict[UpstreamId, int]:
         """Return the number of slots of each upstream that are free for starts now."""
         free = self._lendable(now, NO_UPSTREAMS)
-        for name, count in self._borrowing.usable(now).items():
-            if not self._is_in_backoff(name, now):
-                free[name] = free.get(name, 0) + count
+        for upstream, count in self._borrowing.usable(now).items():
+            if not self._is_in_backoff(upstream, now):
+                free[upstream] = free.get(upstream, 0) + count
         return free
 
     def select_slots(
@@ -116,22 +118,22 @@
         """Return the upstreams of up to `count` slots, the least busy ones first.
 
         Ties are broken by the load of the rack. `limits` bounds the running tasks of
-        this host on some upstreams. With `pack`, few upstreams are filled up instead,
-        so that starts are sent in common batches.
+        this host on some upstreams. With `pack`, as few upstreams as possible are
+        filled instead, so that fewer batches of starts are sent.
         """
         open_slots = self.available_slots(now)
-        for name in excluded:
-            open_slots.pop(name, None)
-        for name, limit in limits.items():
-            if name in open_slots:
-                headroom = limit - self._running[name]
-                open_slots[name] = min(open_slots[name], headroom)
+        for upstream in excluded:
+            open_slots.pop(upstream, None)
+        for upstream, limit in limits.items():
+            if upstream in open_slots:
+                headroom = limit - self._running[upstream]
+                open_slots[upstream] = min(open_slots[upstream], headroom)
         if pack:
             return self._packed(count, open_slots)
         return self._spread(count, open_slots)
 
     def acquire(self, upstream: UpstreamId, now: float) -> None:
-        """Occupy a slot before the start is sent, preferably an own one."""
+        """Occupy a slot before the start is sent, preferably one not borrowed."""
         self._busy += 1
         self._running[upstream] += 1
         self._rack_running[self._rack(upstream)] += 1
@@ -192,7 +194,7 @@
         self,
         sender: HostId,
         request: SlotRequest,
-        waiting_own: int,
+        local_waiting: int,
         now: float,
         excluded: Collection[UpstreamId] = NO_UPSTREAMS,
     ) -> SlotGrant | None:
@@ -205,12 +207,14 @@
         self._requests.add(sender, request, now)
         for pending in self._requests.by_urgency(now):
             if pending.sender == sender:
-                return self._grant(pending, pending.wanted, waiting_own, now, excluded)
+                return self._grant(
+                    pending, pending.wanted, local_waiting, now, excluded
+                )
         return None
 
     def grant_pending_requests(
         self,
-        waiting_own: int,
+        local_waiting: int,
         now: float,
         excluded: Collection[UpstreamId] = NO_UPSTREAMS,
         latest_start: float | None = None,
@@ -223,7 +227,9 @@
         grants = []
         for pending in self._requests.by_urgency(now):
             if latest_start is None:
-                grant = self._grant(pending, pending.wanted, waiting_own, now, excluded)
+                grant = self._grant(
+                    pending, pending.wanted, local_waiting, now, excluded
+                )
             elif pending.latest_start < latest_start:
                 grant = self._grant(pending, pending.urgent, 0, now, excluded)
             else:
@@ -248,7 +254,7 @@
     def release_idle_slots(
         self, waiting: int, now: float
     ) -> tuple[OutgoingReturn, ...]:
-        """Return the messages that give back borrowed slots not needed or expired."""
+        """Return messages that give back expired and unneeded borrowed slots."""
         if not waiting:
             self._borrowing.clear_requests()
         return self._borrowing.take_returns(now, waiting > 0)
@@ -267,23 +273,23 @@
         self,
         pending: PendingRequest,
         max_count: int,
-        waiting_own: int,
+        local_waiting: int,
         now: float,
         excluded: Collection[UpstreamId],
     ) -> SlotGrant | None:
         spare = self._lendable(now, excluded)
-        count = min(max_count, sum(spare.values()) - waiting_own)
+        count = min(max_count, sum(spare.values()) - local_waiting)
         if count <= 0:
             return None
         pending.count_granted(count)
         chosen = Counter(self._spread(count, spare))
-        for name, slots in chosen.items():
-            self._adjust_free(name, -slots)
+        for upstream, slots in chosen.items():
+            self._adjust_free(upstream, -slots)
         return self._lending.grant(pending.sender, pending.request, chosen, now)
 
     def _add_free(self, slots: Mapping[UpstreamId, int]) -> None:
-        for name, count in slots.items():
-            self._adjust_free(name, count)
+        for upstream, count in slots.items():
+            self._adjust_free(upstream, count)
 
     def _adjust_free(self, upstream: UpstreamId, count: int) -> None:
         # An upstream that was removed from the configuration has no share.
@@ -294,11 +300,13 @@
         self, now: float, excluded: Collection[UpstreamId]
     ) -> dict[UpstreamId, int]:
         if not excluded and not self._backoffs:
-            return {name: n for name, n in self._own_free.items() if n > 0}
+            return {upstream: n for upstream, n in self._own_free.items() if n > 0}
         return {
-            name: count
-            for name, count in self._own_free.items()
-            if count > 0 and name not in excluded and not self._is_in_backoff(name, now)
+            upstream: count
+            for upstream, count in self._own_free.items()
+            if count > 0
+            and upstream not in excluded
+            and not self._is_in_backoff(upstream, now)
         }
 
     def _is_in_backoff(self, upstream: UpstreamId, now: float) -> bool:
@@ -320,16 +328,20 @@
         self, count: int, open_slots: Mapping[UpstreamId, int]
     ) -> tuple[UpstreamId, ...]:
         remaining = dict(open_slots)
-        heap = [(*self._load(name, 0), name) for name, n in remaining.items() if n > 0]
+        heap = [
+            (*self._load(upstream, 0), upstream)
+            for upstream, n in remaining.items()
+            if n > 0
+        ]
         heapq.heapify(heap)
         chosen: list[UpstreamId] = []
         while heap and len(chosen) < count:
-            name = heapq.heappop(heap)[-1]
-            chosen.append(name)
-            remaining[name] -= 1
-            if remaining[name] > 0:
-                added = open_slots[name] - remaining[name]
-                heapq.heappush(heap, (*self._load(name, added), name))
+            upstream = heapq.heappop(heap)[-1]
+            chosen.append(upstream)
+            remaining[upstream] -= 1
+            if remaining[upstream] > 0:
+                added = open_slots[upstream] - remaining[upstream]
+                heapq.heappush(heap, (*self._load(upstream, added), upstream))
         return tuple(chosen)
 
     def _packed(
@@ -337,17 +349,17 @@
     ) -> tuple[UpstreamId, ...]:
         order = sorted(open_slots, key=self._pack_order(open_slots))
         chosen: list[UpstreamId] = []
-        for name in order:
+        for upstream in order:
             if len(chosen) >= count:
                 break
-            chosen.extend([name] * min(open_slots[name], count - len(chosen)))
+            chosen.extend([upstream] * min(open_slots[upstream], count - len(chosen)))
         return tuple(chosen)
 
     def _pack_order(
         self, open_slots: Mapping[UpstreamId, int]
     ) -> Callable[[UpstreamId], tuple[bool, int, UpstreamId]]:
         zone = self._local_id.zone
-        return lambda name: (name.zone != zone, -open_slots[name], name)
+        return lambda upstream: (upstream.zone != zone, -open_slots[upstream], upstream)
 
     def _load(self, upstream: UpstreamId, added: int) -> tuple[bool, int, int, int]:
         # Ties are broken by a hash that differs by host, or all hosts would prefer the
