--- a/jackdawspur/ownership/_ids.py
+++ b/jackdawspur/ownership/_ids.py
@@ -12,7 +12,11 @@
 
 
 class IdState(enum.Enum):
-    """State of a submission id at this host; `FOREIGN` if another host owns it."""
+    """State of a submission id at this host.
+
+    `UNUSED`: issued, not used yet. `SPENT`: used, expired or never issued. `FOREIGN`:
+    owned by another host.
+    """
 
     UNUSED = "unused"
     SPENT = "spent"
@@ -23,7 +27,7 @@
     """Create submission ids, and keep the issued ids that are still unused.
 
     An id that is not among the unused ones was used, has expired or was never issued,
-    and must not run. So a job whose answer is no longer stored cannot run again.
+    and starts nothing. So a job whose answer is no longer stored cannot run again.
     """
 
     def __init__(self, local_id: HostId) -> None:
