--- a/jackdawspur/entry/_claims.py
+++ b/jackdawspur/entry/_claims.py
@@ -1,4 +1,4 @@
-"""Appends and reads the claims of idempotency keys in the platform's log."""
+"""Appends claims of idempotency keys to the platform's log, and reads them."""
 
 import logging
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 SCHEMA = 1
 READ_WAIT_MS = 2000.0
 READ_RETRY_S = 0.3
-# Prevents a tight loop if the log answers with an empty reply before its wait.
+# Prevents a tight loop if the log answers an empty read before the wait has passed.
 EMPTY_READ_GAP_S = 0.02
 RATE_LIMIT_RETRY_S = 0.05
 
@@ -49,7 +49,7 @@
 
 
 class ClaimDriver:
-    """Appends claims in batches, one append at a time, and reads those of all hosts."""
+    """Appends claims in batches, one at a time, and reads the claims of all hosts."""
 
     def __init__(
         self,
@@ -147,6 +147,6 @@
             for c in decoded.claims
         ]
     except (msgspec.MsgspecError, RecursionError, InvalidId) as error:
-        reason = {"offset": record.offset, "reason": str(error)}
-        log.error("claim record skipped", extra=reason)
+        details = {"offset": record.offset, "reason": str(error)}
+        log.error("claim record skipped", extra=details)
         return []
--- a/jackdawspur/entry/_host.py
+++ b/jackdawspur/entry/_host.py
@@ -77,15 +77,15 @@
 HOST_LIST_INTERVAL_S = 1.0
 EXIT_GRACE_S = 0.2
 MS_PER_S = 1000.0
-# Thresholds of `gc.set_threshold`: objects per collection of the youngest
-# generation, then collections of one generation per collection of the next older one.
+# Arguments of `gc.set_threshold`: allocated objects before the youngest generation is
+# collected, then collections of a generation before the next older one is collected.
 GC_THRESHOLDS = (10_000, 20, 100)
 
 log = logging.getLogger(__name__)
 
 
 class flush(LoopEvent):
-    """Make the core process the events collected in this pass of the loop."""
+    """Make the core process the events queued in this pass of the loop."""
 
 
 class EntryHostProcess(Component):
@@ -96,8 +96,8 @@
     def init(self, settings: EntrySettings, poller: EPoll) -> None:
         """Open the sockets; circuits calls it with the arguments of the constructor."""
         self._settings = settings
-        # The time increases from start to start, so a restarted host is a new owner
-        # of jobs.
+        # A restarted host gets a higher incarnation, so it counts as another owner of
+        # jobs.
         incarnation = int(time() * MS_PER_S)
         self._local_id = HostId(settings.zone, settings.name, incarnation)
         rng = random.Random(str(self._local_id))
@@ -132,7 +132,7 @@
         rate_limiter = AppendRateLimiter(len(settings.siblings) + 1, now)
         self._rate_limiter = rate_limiter
         self._replica = ConfigurationReplica(self._local_id, rng, rate_limiter, now)
-        operator_api = OperatorApi(self._replica, _bootstrap(settings))
+        operator_api = OperatorApi(self._replica, _bootstrap_operators(settings))
         self._operator_api = operator_api
         self._configuration = ConfigurationDriver(
             self._replica,
@@ -201,7 +201,7 @@
         self._flush_scheduled = False
         events, self._events = self._events, []
         for effect in self._run_core(tuple(events)):
-            _ACTIONS[type(effect)](self, effect)
+            _EFFECT_HANDLERS[type(effect)](self, effect)
         self._schedule_wake()
         self._exit_when_drained()
 
@@ -328,7 +328,7 @@
             self._timer_queue.call_later(EXIT_GRACE_S, self.root.stop)
 
 
-_ACTIONS = {
+_EFFECT_HANDLERS = {
     StartTasks: EntryHostProcess._start_tasks,
     QueryTaskStatus: EntryHostProcess._query_task_status,
     StopTasks: EntryHostProcess._stop_tasks,
@@ -343,7 +343,7 @@
     return tuple(EntryHost(s.zone, s.name, s.http, s.link) for s in settings.siblings)
 
 
-def _bootstrap(settings: EntrySettings) -> tuple[OperatorEntry, ...]:
+def _bootstrap_operators(settings: EntrySettings) -> tuple[OperatorEntry, ...]:
     """Return the operators that may confirm the first configuration."""
     return tuple(
         OperatorEntry(name=o.name, token_sha256=(o.token_sha256,), rights=tuple(Right))
@@ -361,12 +361,12 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Exclude long-lived objects from garbage collection, make full ones rarer.
+    """Freeze the objects that exist now, and make full garbage collections rarer.
 
     A full collection stopped the loop for 40 to 100 ms and delayed all jobs in flight.
-    Its cost grows with the number of objects that it traverses, so the objects of the
-    modules are frozen. Events of circuits are short-lived reference cycles, so young
-    collections stay frequent.
+    Its cost grows with the number of objects that it traverses, so those of the loaded
+    modules are frozen. Events of circuits are short-lived reference cycles, so
+    collections of the youngest generation stay frequent.
     """
     gc.collect()
     gc.freeze()
--- a/jackdawspur/entry/_keeping.py
+++ b/jackdawspur/entry/_keeping.py
@@ -61,7 +61,7 @@
         self._reply = reply
 
     def handle_event(self, event: ReplicaEvent) -> None:
-        """Process an event, then answer the operators' requests that it resolved."""
+        """Process an event, then answer operators whose requests it resolved."""
         now = monotonic()
         self._execute(self._replica.handle(now, event))
         self._execute(self._operator_api.resolve_pending(now))
@@ -71,12 +71,12 @@
         self._execute(self._operator_api.handle(monotonic(), request))
 
     def tick(self) -> None:
-        """Process the passing of time; called periodically."""
+        """Process a tick; called periodically."""
         self.handle_event(ReplicaTick(time()))
 
     def _execute(self, effects: Iterable[object]) -> None:
         for effect in effects:
-            _ACTIONS[type(effect)](self, effect)
+            _EFFECT_HANDLERS[type(effect)](self, effect)
 
     def _read_log(self, effect: ReadLog) -> None:
         self._log.read(
@@ -134,7 +134,7 @@
         self._reply(effect)
 
 
-_ACTIONS = {
+_EFFECT_HANDLERS = {
     ReadLog: ConfigurationDriver._read_log,
     AppendRecord: ConfigurationDriver._append_record,
     RequestRecords: ConfigurationDriver._request_records,
--- a/jackdawspur/entry/_log_lines.py
+++ b/jackdawspur/entry/_log_lines.py
@@ -15,7 +15,7 @@
 
 
 def log_answer(answer: Answer) -> None:
-    """Log an answer without a result, and its reason."""
+    """Log an answer that carries no result, with its failure code and reason."""
     if answer.code is None:
         return
     log.info(
--- a/jackdawspur/entry/_routes.py
+++ b/jackdawspur/entry/_routes.py
@@ -49,10 +49,10 @@
 
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_LENGTH = 200
-# A key is dropped after its TTL: if its job lived longer, a repeat would run it again.
+# A key expires after its TTL; if its job lived longer, a repeat would run it again.
 # Half of the TTL leaves time for hosts that read the claim late.
 MAX_KEYED_DEADLINE_MS = IDEMPOTENCY_KEY_TTL_S / 2 * 1000.0
-TEXT = "text/plain; charset=utf-8"
+TEXT_CONTENT_TYPE = "text/plain; charset=utf-8"
 
 
 class HostInterface(Protocol):
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Health:
+class _ReadinessBody:
     ready: bool
     reason: str
 
@@ -141,7 +141,9 @@
             self._reply_status(reply, as_text)
         elif as_text:
             body = format_operator_reply(reply).encode()
-            self._host.reply(reply.call, HttpResponse(int(reply.status), body, 0, TEXT))
+            self._host.reply(
+                reply.call, HttpResponse(int(reply.status), body, 0, TEXT_CONTENT_TYPE)
+            )
         else:
             reply_body = _OperatorReplyBody(
                 str(reply.code), reply.message, reply.page, reply.body
@@ -153,14 +155,14 @@
         status = self._host.status()
         if as_text:
             body = (format_status(status) + format_operator_reply(reply)).encode()
-            self._host.reply(reply.call, HttpResponse(200, body, 0, TEXT))
+            self._host.reply(reply.call, HttpResponse(200, body, 0, TEXT_CONTENT_TYPE))
             return
-        reply_body = _FullStatus(status, reply.body)
+        reply_body = _StatusBody(status, reply.body)
         self._host.reply(reply.call, HttpResponse(200, msgspec.json.encode(reply_body)))
 
     def _refuse_unknown_route(self, call: Call, known_path: bool) -> None:
         code = FailureCode.INVALID if known_path else FailureCode.NOT_FOUND
-        text = f"{call.method} {call.path} is not offered here"
+        text = f"{call.method} {call.path} is not supported"
         self._host.reply(call.call_id, refusal_response(code, text))
 
     def _authenticate(self, call: Call) -> CustomerEntry | None:
@@ -250,7 +252,7 @@
 
     def _readyz(self, call: Call, _match: re.Match[str]) -> None:
         readiness = self._host.readiness()
-        body = msgspec.json.encode(_Health(readiness.ready, readiness.message))
+        body = msgspec.json.encode(_ReadinessBody(readiness.ready, readiness.message))
         self._host.reply(
             call.call_id, HttpResponse(200 if readiness.ready else 503, body)
         )
@@ -285,7 +287,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _FullStatus:
+class _StatusBody:
     host: HostStatus
     configuration: object
 
@@ -310,17 +312,17 @@
     return _Route(method, re.compile(path), handle)
 
 
-_ID = r"(?P<id>[A-Za-z0-9._-]{1,200})"
+_ID_PATTERN = r"(?P<id>[A-Za-z0-9._-]{1,200})"
 _ROUTES = (
     _route("POST", r"/v1/jobs", Routes._post_job),
     _route("POST", r"/v1/submissions", Routes._post_submissions),
-    _route("PUT", rf"/v1/submissions/{_ID}", Routes._put_submission),
-    _route("GET", rf"/v1/submissions/{_ID}", Routes._get_submission),
-    _route("DELETE", rf"/v1/submissions/{_ID}", Routes._delete_submission),
+    _route("PUT", rf"/v1/submissions/{_ID_PATTERN}", Routes._put_submission),
+    _route("GET", rf"/v1/submissions/{_ID_PATTERN}", Routes._get_submission),
+    _route("DELETE", rf"/v1/submissions/{_ID_PATTERN}", Routes._delete_submission),
     _route("GET", r"/livez", Routes._livez),
     _route("GET", r"/readyz", Routes._readyz),
     _route("GET", r"/status", Routes._status),
     _route("POST", r"/admin/v1/plans", Routes._plan),
-    _route("POST", rf"/admin/v1/plans/{_ID}/confirm", Routes._confirm),
+    _route("POST", rf"/admin/v1/plans/{_ID_PATTERN}/confirm", Routes._confirm),
     _route("GET", r"/admin/v1/history", Routes._history),
 )
--- a/jackdawspur/entry/_statsd.py
+++ b/jackdawspur/entry/_statsd.py
@@ -11,7 +11,7 @@
 
 
 class StatsdReporter:
-    """Reports metrics about once per second, in one packet."""
+    """Reports metrics in one packet, about once per second at 20 ticks per second."""
 
     def __init__(self, address: str | None, host: str) -> None:
         self._client: StatsClient | None = None
--- a/jackdawspur/entry/_status.py
+++ b/jackdawspur/entry/_status.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostStatus:
-    """Status of one host: membership view, slots, queues and histograms.
+    """Status of one host: membership view, slots, queues, counters and histograms.
 
     `link_bytes` counts the bytes sent to other entry hosts since the host's start.
     """
--- a/jackdawspur/entry/_trial_settings.py
+++ b/jackdawspur/entry/_trial_settings.py
@@ -27,17 +27,17 @@
 )
 
 __all__ = [
-    "CALLER",
+    "CALLER_TOKEN",
     "OPERATORS",
-    "OTHER_CALLER",
+    "OTHER_CALLER_TOKEN",
     "VIEWER",
     "Sizes",
     "TrialSettings",
     "make_settings",
 ]
 
-CALLER = "trial-roster-token"
-OTHER_CALLER = "trial-reporting-token"
+CALLER_TOKEN = "trial-roster-token"
+OTHER_CALLER_TOKEN = "trial-reporting-token"
 OPERATORS = tuple(f"op{number}" for number in range(8))
 VIEWER = "viewer"
 MAX_WORKERS_PER_POOL = 64
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Size of a deployment; the delay and the lag are in milliseconds."""
+    """Size of a deployment; delay of the log and lag of the host list in ms."""
 
     zones: tuple[str, ...] = ("north", "south")
     hosts_per_zone: int = 2
@@ -80,8 +80,8 @@
     """
 
     def __init__(self) -> None:
-        number = os.getpid()
-        self._ip = f"127.{1 + number // 250 % 250}.{number % 250}.7"
+        pid = os.getpid()
+        self._ip = f"127.{1 + pid // 250 % 250}.{pid % 250}.7"
         self._sockets: list[socket.socket] = []
 
     def reserve(self) -> str:
@@ -121,7 +121,7 @@
     addresses.release()
     worker_pools = _worker_pools(sizes, upstreams)
     entries = tuple(
-        _entry(
+        _entry_settings(
             host,
             hosts,
             closed_address if host.zone in sizes.zones_without_log else log.address,
@@ -129,12 +129,14 @@
         )
         for host in hosts
     )
-    configuration = _configuration(sizes, hosts, (*upstreams, *_absent(sizes)))
+    configuration = _configuration(
+        sizes, hosts, (*upstreams, *_absent_upstreams(sizes))
+    )
     return TrialSettings(log, host_list, worker_pools, entries, configuration)
 
 
 def _worker_pools(sizes: Sizes, upstreams) -> tuple[WorkerPoolStandinSettings, ...]:
-    """Return worker pools, each of one zone, of up to `MAX_WORKERS_PER_POOL`."""
+    """Return worker pools, each for up to `MAX_WORKERS_PER_POOL` of one zone."""
     worker_pools = []
     for zone in sizes.zones:
         addresses = [u.address for u in upstreams if u.zone == zone]
@@ -152,7 +154,7 @@
     listed = [ListedHostSettings(h.zone, h.name, "entry") for h in hosts]
     listed += [
         ListedHostSettings(u.zone, u.name, "upstream")
-        for u in (*upstreams, *_absent(sizes))
+        for u in (*upstreams, *_absent_upstreams(sizes))
     ]
     return HostListStandinSettings(address, sizes.lag_ms, tuple(listed))
 
@@ -161,7 +163,7 @@
     return (*sizes.zones, *(f"zone{n}" for n in range(sizes.absent_zones)))
 
 
-def _absent(sizes: Sizes) -> tuple[UpstreamEntry, ...]:
+def _absent_upstreams(sizes: Sizes) -> tuple[UpstreamEntry, ...]:
     """Return upstreams that don't run, spread over the absent zones."""
     ports = count(1)
     zones = _all_zones(sizes)[len(sizes.zones) :]
@@ -175,11 +177,11 @@
     )
 
 
-def _entry(host, hosts, log: str, host_list: str) -> EntrySettings:
+def _entry_settings(host, hosts, log: str, host_list: str) -> EntrySettings:
     siblings = tuple(
         PeerSettings(h.zone, h.name, h.http, h.link) for h in hosts if h is not host
     )
-    first = OperatorSettings(OPERATORS[0], token_hash(OPERATORS[0]))
+    bootstrap_operator = OperatorSettings(OPERATORS[0], token_hash(OPERATORS[0]))
     return EntrySettings(
         host.zone,
         host.name,
@@ -188,7 +190,7 @@
         log,
         host_list,
         siblings=siblings,
-        operators=(first,),
+        operators=(bootstrap_operator,),
         drain_ms=DRAIN_MS,
     )
 
@@ -214,7 +216,7 @@
     slots = 8 * sizes.upstreams_per_zone * len(sizes.zones) or 8
     roster = CustomerEntry(
         name="roster",
-        token_sha256=(token_hash(CALLER),),
+        token_sha256=(token_hash(CALLER_TOKEN),),
         quota_slots=slots,
         classes=(
             JobClass(name="confirm-arrival"),
@@ -223,7 +225,9 @@
         ),
     )
     reporting = CustomerEntry(
-        name="reporting", token_sha256=(token_hash(OTHER_CALLER),), quota_slots=slots
+        name="reporting",
+        token_sha256=(token_hash(OTHER_CALLER_TOKEN),),
+        quota_slots=slots,
     )
     extra = tuple(
         CustomerEntry(
--- a/jackdawspur/entry/_upstreams.py
+++ b/jackdawspur/entry/_upstreams.py
@@ -33,12 +33,13 @@
 RESULT_WAIT_MS = 5000.0
 POLL_RETRY_S = 0.1
 USAGE_INTERVAL_S = 5.0
-# Bounds the cost of an idle host: in large zones each upstream is queried less often.
+# Bounds the CPU time of an idle host: with many links, each upstream is queried less
+# often than every `USAGE_INTERVAL_S`.
 USAGE_REQUESTS_PER_S = 20.0
 # Connections for starts to one upstream, and to all upstreams of a zone. Each one adds
 # cost to the loop, and in a large zone there is little traffic to any one upstream.
 MAX_CONNECTIONS = 4
-ZONE_CONNECTIONS = 64
+MAX_ZONE_CONNECTIONS = 64
 MAX_PENDING_REQUESTS = 256
 # Each new connection makes circuits rebuild its handler cache. Hundreds in one pass
 # would block the loop for longer than the heartbeat timeout of its peers.
@@ -66,8 +67,8 @@
 class UpstreamDriver:
     """Keeps a link to each upstream of the zone and posts its replies as events.
 
-    A link to an upstream of another zone is opened when that zone lends a slot there,
-    and closed when idle.
+    A link to an upstream of another zone is opened to use a slot borrowed there, and
+    closed when idle.
     """
 
     def __init__(
@@ -86,24 +87,26 @@
         self._has_in_flight_tasks = has_in_flight_tasks
         self._links: dict[UpstreamId, _Link] = {}
         self._crosses_zones = crosses_zones
-        self._known: dict[UpstreamId, Upstream] = {}
+        self._reachable: dict[UpstreamId, Upstream] = {}
         self._unconnected: dict[UpstreamId, Upstream] = {}
-        self._connections = MAX_CONNECTIONS
+        self._max_connections = MAX_CONNECTIONS
         self._opening = False
 
     def set_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
         """Open links to this zone's upstreams, and close links no longer configured."""
-        own_zone = [u for u in upstreams if u.id.zone == self._local_id.zone]
-        reachable = upstreams if self._crosses_zones else own_zone
-        self._known = {upstream.id: upstream for upstream in reachable}
-        share = ZONE_CONNECTIONS // max(1, len(own_zone))
-        self._connections = max(1, min(MAX_CONNECTIONS, share))
+        local_upstreams = [u for u in upstreams if u.id.zone == self._local_id.zone]
+        reachable = upstreams if self._crosses_zones else local_upstreams
+        self._reachable = {upstream.id: upstream for upstream in reachable}
+        share = MAX_ZONE_CONNECTIONS // max(1, len(local_upstreams))
+        self._max_connections = max(1, min(MAX_CONNECTIONS, share))
         for upstream_id, link in list(self._links.items()):
-            configured = self._known.get(upstream_id)
+            configured = self._reachable.get(upstream_id)
             idle = not self._has_in_flight_tasks(upstream_id)
             if (configured is None or configured.address != link.address) and idle:
                 self._close(upstream_id)
-        self._unconnected = {u.id: u for u in own_zone if u.id not in self._links}
+        self._unconnected = {
+            u.id: u for u in local_upstreams if u.id not in self._links
+        }
         if not self._opening:
             self._open_next()
 
@@ -117,14 +120,14 @@
 
     def _link(self, upstream_id: UpstreamId) -> _Link | None:
         """Return the link to an upstream; open it if necessary."""
-        if upstream_id not in self._links and upstream_id in self._known:
-            self._open(self._known[upstream_id])
+        if upstream_id not in self._links and upstream_id in self._reachable:
+            self._open(self._reachable[upstream_id])
         return self._links.get(upstream_id)
 
     def _open(self, upstream: Upstream) -> None:
         self._unconnected.pop(upstream.id, None)
         address = split_address(upstream.address)
-        share = max(1, min(upstream.connections, self._connections))
+        share = max(1, min(upstream.connections, self._max_connections))
         limits = HttpClientLimits(
             max_connections=share, max_pending_requests=MAX_PENDING_REQUESTS
         )
@@ -217,7 +220,7 @@
     def _on_results(self, upstream: UpstreamId, link: _Link, reply: Reply) -> None:
         link.polling = False
         if isinstance(reply, Ok):
-            self._process_results(link, reply.ok_value)
+            self._record_results(link, reply.ok_value)
             self._timer_queue.call_later(
                 0.0, lambda: self._continue_polling(upstream, link)
             )
@@ -227,7 +230,7 @@
                 POLL_RETRY_S, lambda: self._continue_polling(upstream, link)
             )
 
-    def _process_results(self, link: _Link, reply: UpstreamReply) -> None:
+    def _record_results(self, link: _Link, reply: UpstreamReply) -> None:
         if link.incarnation not in (None, reply.incarnation):
             link.cursor = 0
         link.incarnation = reply.incarnation
@@ -239,7 +242,7 @@
             self._poll(upstream, link)
 
     def _query_usage(self, upstream: UpstreamId, link: _Link) -> None:
-        """Query the usage periodically; it also reveals restarts and leaving."""
+        """Query the usage periodically; it also shows a restart or a shutdown."""
         if not link.open:
             return
 
--- a/jackdawspur/entry/measure.py
+++ b/jackdawspur/entry/measure.py
@@ -18,7 +18,7 @@
 import psutil
 
 from jackdawspur.configuration import token_hash
-from jackdawspur.entry._trial_settings import OTHER_CALLER, Sizes
+from jackdawspur.entry._trial_settings import OTHER_CALLER_TOKEN, Sizes
 from jackdawspur.entry.trial import Deployment, EntryProgram, wait_until
 
 __all__ = ["ColdStart", "Idle", "InForce", "main"]
@@ -39,8 +39,8 @@
 COLD_STARTS = 5
 IDLE_S = 10.0
 SETTLE_S = 3.0
-# Time for a host to open its links to upstreams, one by one, after the start.
-IDLE_AFTER_S = 10.0
+# A host opens its links to upstreams one by one, and is idle only after this.
+START_UP_S = 10.0
 KB = 1000.0
 MB = 1_000_000.0
 IN_FORCE = '"message": "configuration in force"'
@@ -134,8 +134,8 @@
     confirmed = []
     for number in range(count):
         time.sleep(gap_s)
-        # Alternate between the hosts that reach the log: each may make only a share of
-        # the appends.
+        # Alternate between the hosts that reach the log: the appends of each host are
+        # rate-limited.
         hosts_with_log = [
             h
             for h in deployment.hosts
@@ -166,7 +166,7 @@
 def _confirm(deployment: Deployment, host: EntryProgram, number: int) -> _Confirmed:
     entry = {
         "name": "reporting",
-        "token_sha256": [token_hash(OTHER_CALLER)],
+        "token_sha256": [token_hash(OTHER_CALLER_TOKEN)],
         "quota_slots": 50 + number,
     }
     intent = {
@@ -214,27 +214,27 @@
 
 
 def _measure_idle(deployment: Deployment, what: str) -> Idle:
-    time.sleep(IDLE_AFTER_S)
+    time.sleep(START_UP_S)
     processes = [psutil.Process(host.pid) for host in deployment.hosts]
-    cpu = [_cpu_s(process) for process in processes]
-    sent = [_link_bytes(host) for host in deployment.hosts]
+    cpu_before = [_cpu_s(process) for process in processes]
+    sent_before = [_link_bytes(host) for host in deployment.hosts]
     started_at = time.monotonic()
     time.sleep(IDLE_S)
     seconds = time.monotonic() - started_at
-    cores = [
+    cpu_percentages = [
         100 * (_cpu_s(process) - before) / seconds
-        for process, before in zip(processes, cpu, strict=True)
+        for process, before in zip(processes, cpu_before, strict=True)
     ]
     rates = [
         (_link_bytes(host) - before) / seconds / KB
-        for host, before in zip(deployment.hosts, sent, strict=True)
+        for host, before in zip(deployment.hosts, sent_before, strict=True)
     ]
     memory = [process.memory_info().rss / MB for process in processes]
     return Idle(
         what,
         len(processes),
         round(seconds, 1),
-        *_mean_and_max(cores),
+        *_mean_and_max(cpu_percentages),
         *_mean_and_max(rates),
         *_mean_and_max(memory),
     )
--- a/jackdawspur/entry/tests/helpers.py
+++ b/jackdawspur/entry/tests/helpers.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.cli._exit import ExitCode
 from jackdawspur.configuration import token_hash
-from jackdawspur.entry._trial_settings import CALLER
+from jackdawspur.entry._trial_settings import CALLER_TOKEN
 from jackdawspur.entry.trial import Deployment, HttpAnswer, Program, wait_until
 
 CALLER_POOL = ThreadPoolExecutor(32, thread_name_prefix="callers")
@@ -69,7 +69,9 @@
 def send(host, body: dict, key: str | None = None) -> PendingCall:
     """Submit a job in another thread, which waits for the answer."""
     return PendingCall(
-        CALLER_POOL.submit(host.call, "POST", "/v1/jobs?wait=true", CALLER, body, key)
+        CALLER_POOL.submit(
+            host.call, "POST", "/v1/jobs?wait=true", CALLER_TOKEN, body, key
+        )
     )
 
 
@@ -86,7 +88,7 @@
         f"load{before}",
         "load",
         f"--deployment={deployment.document}",
-        f"--token={CALLER}",
+        f"--token={CALLER_TOKEN}",
         f"--seconds={seconds}",
         f"--load={load}",
         f"--other_tasks={other_tasks}",
--- a/jackdawspur/entry/tests/test_ids_and_upstreams.py
+++ b/jackdawspur/entry/tests/test_ids_and_upstreams.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from jackdawspur.entry._trial_settings import CALLER, OTHER_CALLER
+from jackdawspur.entry._trial_settings import CALLER_TOKEN, OTHER_CALLER_TOKEN
 from jackdawspur.entry.tests.helpers import CALLER_POOL, finish_load, job, start_load
 from jackdawspur.entry.trial import call, wait_until
 
@@ -15,7 +15,7 @@
 
 
 def _issue(host) -> str:
-    answer = host.call("POST", "/v1/submissions", CALLER, {"count": 1})
+    answer = host.call("POST", "/v1/submissions", CALLER_TOKEN, {"count": 1})
     assert answer.status == 201, answer.text
     return f"/v1/submissions/{answer.json['ids'][0]}"
 
@@ -30,15 +30,15 @@
     before = restored.starts()
     path = _issue(issuer)
     body = job(300, 3, idempotent=False)
-    first = second.call("PUT", path + "?wait=true", CALLER, body)
-    again = third.call("PUT", path + "?wait=true", CALLER, body)
-    polled = fourth.call("GET", path, CALLER)
+    first = second.call("PUT", path + "?wait=true", CALLER_TOKEN, body)
+    again = third.call("PUT", path + "?wait=true", CALLER_TOKEN, body)
+    polled = fourth.call("GET", path, CALLER_TOKEN)
     for answer in (first, again, polled):
         assert (answer.status, answer.json["state"]) == (200, "complete"), answer
         assert answer.json["outputs"] == ["0", "1", "2"]
     assert restored.starts() - before == 3
     assert restored.started_twice() == 0
-    assert fourth.call("GET", path, OTHER_CALLER).status == 404
+    assert fourth.call("GET", path, OTHER_CALLER_TOKEN).status == 404
 
 
 def test_issued_id_is_cancelled_from_a_third_host(restored):
@@ -47,13 +47,13 @@
     path = _issue(issuer)
     body = job(20_000, 2, idempotent=False)
     before = restored.starts()
-    assert second.call("PUT", path, CALLER, body).status == 202
+    assert second.call("PUT", path, CALLER_TOKEN, body).status == 202
     wait_until(lambda: restored.starts() - before == 2, "both tasks started")
-    assert third.call("DELETE", path, OTHER_CALLER).status == 404
-    assert fourth.call("GET", path, CALLER).json["state"] == "pending"
-    cancelled = third.call("DELETE", path, CALLER)
+    assert third.call("DELETE", path, OTHER_CALLER_TOKEN).status == 404
+    assert fourth.call("GET", path, CALLER_TOKEN).json["state"] == "pending"
+    cancelled = third.call("DELETE", path, CALLER_TOKEN)
     assert cancelled.json["code"] == "cancelled", cancelled
-    again = second.call("PUT", path + "?wait=true", CALLER, body)
+    again = second.call("PUT", path + "?wait=true", CALLER_TOKEN, body)
     assert again.json["code"] == "cancelled", again
     wait_until(lambda: _busy(restored) == 0, "both tasks stopped")
     assert restored.starts() - before == 2
@@ -73,7 +73,7 @@
     def submit(host):
         barrier.wait(30)
         path = "/v1/jobs?wait=true"
-        return host.call("POST", path, CALLER, body, f"twice-{number}")
+        return host.call("POST", path, CALLER_TOKEN, body, f"twice-{number}")
 
     answers = list(CALLER_POOL.map(submit, (restored.hosts[0], restored.hosts[3])))
     states = [answer.json["state"] for answer in answers]
--- a/jackdawspur/entry/tests/test_kill_and_stop.py
+++ b/jackdawspur/entry/tests/test_kill_and_stop.py
@@ -4,7 +4,7 @@
 
 import psutil
 
-from jackdawspur.entry._trial_settings import CALLER
+from jackdawspur.entry._trial_settings import CALLER_TOKEN
 from jackdawspur.entry.tests.helpers import finish_load, job, send, start_load
 from jackdawspur.entry.trial import wait_until
 
@@ -88,7 +88,7 @@
     leaving.signal(signal.SIGTERM)
     wait_until(lambda: not leaving.ready(), "readiness withdrawn")
     assert leaving.call("GET", "/readyz").status == 503
-    refused = leaving.call("POST", "/v1/jobs?wait=true", CALLER, job(10))
+    refused = leaving.call("POST", "/v1/jobs?wait=true", CALLER_TOKEN, job(10))
     assert (refused.status, refused.json["not_run"]) == (503, True)
     answers = [pending.answer.json for pending in sent]
     assert [answer["state"] for answer in answers] == ["complete"] * len(sent)
--- a/jackdawspur/entry/tests/test_never_back.py
+++ b/jackdawspur/entry/tests/test_never_back.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from jackdawspur.entry._trial_settings import CALLER, OPERATORS, VIEWER
+from jackdawspur.entry._trial_settings import CALLER_TOKEN, OPERATORS, VIEWER
 from jackdawspur.entry.tests.helpers import (
     CALLER_POOL,
     change_quota,
@@ -77,7 +77,7 @@
     )
     readiness = alone.call("GET", "/readyz")
     assert (readiness.status, readiness.json["ready"]) == (503, False)
-    refused = alone.call("POST", "/v1/jobs?wait=true", CALLER, job(10))
+    refused = alone.call("POST", "/v1/jobs?wait=true", CALLER_TOKEN, job(10))
     assert refused.status == 503
     assert refused.json["not_run"] is True
     assert refused.json["code"] == "not_ready"
@@ -173,13 +173,18 @@
     """A caller without a token or the necessary right changes a quota."""
     host = deployment.hosts[0]
     before = _appends(host), host.version()
-    for token, status in (("", 401), ("wrong", 401), (CALLER, 401), (VIEWER, 403)):
+    for token, status in (
+        ("", 401),
+        ("wrong", 401),
+        (CALLER_TOKEN, 401),
+        (VIEWER, 403),
+    ):
         planned = deployment.plan(host, quota_intent(9), token)
         confirmed = deployment.confirm(host, "0123456789abcdef", token)
         assert (planned.status, confirmed.status) == (status, status)
         assert planned.json["body"] is None
     for path in ("/status", "/admin/v1/history"):
-        for token in ("", "wrong", CALLER):
+        for token in ("", "wrong", CALLER_TOKEN):
             shown = host.call("GET", path, token)
             assert shown.status == 401
             assert shown.json["body"] is None
--- a/jackdawspur/entry/trial.py
+++ b/jackdawspur/entry/trial.py
@@ -62,7 +62,7 @@
     body: object = None,
     key: str | None = None,
 ) -> HttpAnswer:
-    """Make one HTTP call; raise `OSError` or `HTTPException` without an answer."""
+    """Make one HTTP call; raise `OSError` or `HTTPException` if it gets no answer."""
     data = body if isinstance(body, bytes) else msgspec.json.encode(body)
     headers = {"Authorization": f"Bearer {token}"} if token else {}
     if key is not None:
@@ -204,13 +204,13 @@
         self.document.write_bytes(document)
 
     def _make_standins(self) -> Iterable[Program]:
-        kinds = [("log", "log", self.settings.log)]
-        kinds += [("hostlist", "hostlist", self.settings.host_list)]
-        kinds += [
+        programs = [("log", "log", self.settings.log)]
+        programs += [("hostlist", "hostlist", self.settings.host_list)]
+        programs += [
             (f"rack{number}", "worker", worker_pool)
             for number, worker_pool in enumerate(self.settings.worker_pools)
         ]
-        for name, kind, settings in kinds:
+        for name, kind, settings in programs:
             path = _write(self.folder, name, settings)
             yield Program(name, self.folder, ("standin", kind, f"--settings={path}"))
 
@@ -261,7 +261,7 @@
             )
 
     def wait_log_read(self) -> None:
-        """Wait until every host has read the log to its end, such as after an outage.
+        """Wait until every host has read the log to its end, as after an outage.
 
         Until then a host refuses all plans as not ready. After that it refuses the
         empty plan sent here as a bad request.
@@ -273,7 +273,7 @@
             )
 
     def set_log_faults(self, **faults: object) -> None:
-        """Set the faults of the log; without arguments, remove all."""
+        """Set the injected faults of the log; without arguments, remove all."""
         _expect_ok(call(self.settings.log.address, "POST", "/faults", body=faults))
 
     def set_leaving(self, address: str, leaving: bool = True) -> None:
