--- a/jackdawspur/configuration/__init__.py
+++ b/jackdawspur/configuration/__init__.py
@@ -94,7 +94,7 @@
 from jackdawspur.configuration._reports import Skipped, Void
 from jackdawspur.configuration._state_machine import ConfigurationStateMachine
 from jackdawspur.configuration._text import format_operator_reply
-from jackdawspur.configuration._zones import ZoneDelay, ZoneInForce, ZoneReports
+from jackdawspur.configuration._zones import ZoneDelay, ZoneInForce, ZoneVersionTracker
 
 __all__ = [
     "ActivateConfiguration",
@@ -167,7 +167,7 @@
     "ZoneDelay",
     "ZoneEntry",
     "ZoneInForce",
-    "ZoneReports",
+    "ZoneVersionTracker",
     "appends_per_day",
     "apply_changes",
     "changes_between",
--- a/jackdawspur/configuration/_append_rate_limiter.py
+++ b/jackdawspur/configuration/_append_rate_limiter.py
@@ -13,7 +13,8 @@
 
 # The log accepts several hundred appends per second from all of its clients.
 LOG_APPENDS_PER_S = 300.0
-# The rest is left to other systems and to retries after lost replies.
+# Fraction of them for claims. The rest is left to other systems and to retries after
+# lost replies.
 CLAIMS_FRACTION = 0.5
 SECONDS_PER_DAY = 86_400
 
@@ -51,7 +52,7 @@
 
 
 class AppendRateLimiter:
-    """Token bucket for each purpose; appends that it refuses must not be made."""
+    """Token bucket for each purpose; a refused append must not be made."""
 
     def __init__(self, hosts: int, now: float) -> None:
         self.made = dict.fromkeys(AppendPurpose, 0)
@@ -88,9 +89,9 @@
 ) -> int:
     """Return the configuration's appends per day, without retries.
 
-    Each change is a proposal and a confirm. `writers` above one counts the duplicate
-    snapshots of a network partitioned into that many parts. The numbers of zones and
-    hosts don't matter.
+    Each change is a proposal and a confirm. In a network partitioned into `writers`
+    parts, each part writes its own snapshots. The numbers of zones and hosts don't
+    matter.
     """
     by_count = changes // snapshot_after_changes
     by_time = int(SECONDS_PER_DAY // snapshot_interval_s)
--- a/jackdawspur/configuration/_changes.py
+++ b/jackdawspur/configuration/_changes.py
@@ -130,14 +130,14 @@
 Put = PutCustomer | PutOperator | PutZone | PutEntryHost | PutUpstream
 Change = Annotated[Put | Remove | SetPolicies, Field(discriminator="op")]
 
-_PUT_OF: dict[Section, type[Put]] = dict(
+_PUT_BY_SECTION: dict[Section, type[Put]] = dict(
     zip(
         SECTIONS,
         (PutCustomer, PutOperator, PutZone, PutEntryHost, PutUpstream),
         strict=True,
     )
 )
-_SECTION_OF = {kind: section for section, kind in _PUT_OF.items()}
+_SECTION_BY_PUT = {kind: section for section, kind in _PUT_BY_SECTION.items()}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -164,14 +164,14 @@
         return "policies", ""
     if isinstance(change, Remove):
         return change.section, change.key
-    return _SECTION_OF[type(change)], key_of(change.entry)
+    return _SECTION_BY_PUT[type(change)], key_of(change.entry)
 
 
 def apply_changes(
     base: Configuration, changes: Iterable[Change]
 ) -> tuple[Configuration, tuple[FieldError, ...]]:
     """Return the changed configuration, and an error for each inapplicable change."""
-    touched: dict[str, dict[Key, Entry]] = {}
+    changed_sections: dict[str, dict[Key, Entry]] = {}
     seen: set[tuple[str, Key]] = set()
     errors = []
     policies = base.policies
@@ -185,14 +185,16 @@
         if isinstance(change, SetPolicies):
             policies = change.policies
             continue
-        if section not in touched:
-            touched[section] = {key_of(e): e for e in getattr(base, section)}
-        entries = touched[section]
+        if section not in changed_sections:
+            changed_sections[section] = {key_of(e): e for e in getattr(base, section)}
+        entries = changed_sections[section]
         if not isinstance(change, Remove):
             entries[key] = change.entry
         elif entries.pop(key, None) is None:
             errors.append(FieldError(f"changes[{index}]", f"no {key!r} in {section}"))
-    sections = {name: tuple(entries.values()) for name, entries in touched.items()}
+    sections = {
+        name: tuple(entries.values()) for name, entries in changed_sections.items()
+    }
     return replace(base, policies=policies, **sections), tuple(errors)
 
 
@@ -217,7 +219,7 @@
         if key not in after
     ]
     changes += [
-        _PUT_OF[section](entry=entry)
+        _PUT_BY_SECTION[section](entry=entry)
         for key, entry in after.items()
         if before.get(key) != entry
     ]
--- a/jackdawspur/configuration/_checks.py
+++ b/jackdawspur/configuration/_checks.py
@@ -209,6 +209,6 @@
 
 def _valid_changes(text: str | bytes) -> tuple[list[Change], tuple[str, ...]]:
     valid, invalid = _partition_valid(_CHANGE, _decode_object(text).get("changes"))
-    put_zone = PutZone.__dataclass_fields__["op"].default
-    puts = (c for c in invalid if isinstance(c, dict) and c.get("op") == put_zone)
+    put_zone_op = PutZone.__dataclass_fields__["op"].default
+    puts = (c for c in invalid if isinstance(c, dict) and c.get("op") == put_zone_op)
     return valid, _names(put.get("entry") for put in puts)
--- a/jackdawspur/configuration/_cluster_spec.py
+++ b/jackdawspur/configuration/_cluster_spec.py
@@ -67,12 +67,12 @@
 
 def customer_of(configuration: Configuration, token: str) -> CustomerEntry | None:
     """Return the customer that owns a bearer token."""
-    return _owner(configuration.customers, token)
+    return _find_token_owner(configuration.customers, token)
 
 
 def operator_of(configuration: Configuration, token: str) -> OperatorEntry | None:
     """Return the operator that owns a bearer token."""
-    return _owner(configuration.operators, token)
+    return _find_token_owner(configuration.operators, token)
 
 
 def find_job_class(customer: CustomerEntry, name: str) -> JobClass | None:
@@ -80,10 +80,10 @@
     return next((c for c in customer.classes if c.name == name), None)
 
 
-def _owner(entries, token: str):
+def _find_token_owner(entries, token: str):
     wanted = token_hash(token)
     for entry in entries:
-        # Compared in constant time, so that response times reveal nothing of a hash.
+        # Compared in constant time, so that response times reveal nothing about a hash.
         if any(hmac.compare_digest(wanted, known) for known in entry.token_sha256):
             return entry
     return None
--- a/jackdawspur/configuration/_document.py
+++ b/jackdawspur/configuration/_document.py
@@ -26,7 +26,7 @@
 ]
 
 SCHEMA_VERSION = 1
-# Changes that a state machine keeps; snapshots must be written more often than that.
+# Number of changes that a state machine keeps. Snapshots must be written after fewer.
 MAX_HISTORY = 256
 MAX_CUSTOMERS = 2_000
 MAX_OPERATORS = 500
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Policies:
-    """Settings of all zones; each name ends in its unit."""
+    """Settings that apply to all zones; names with a unit end in it."""
 
     __pydantic_config__ = STRICT
 
--- a/jackdawspur/configuration/_errors.py
+++ b/jackdawspur/configuration/_errors.py
@@ -45,7 +45,7 @@
 
 
 class RecordError(ConfigurationError):
-    """Raised when this program can't apply a record of the log."""
+    """Raised when this program can't decode or apply a record of the log."""
 
     def __init__(self, reason: SkipReason, message: str) -> None:
         super().__init__(message)
--- a/jackdawspur/configuration/_operations.py
+++ b/jackdawspur/configuration/_operations.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmAsked:
-    """Request to confirm a plan; a repeat counts as the same confirm."""
+    """Request to confirm a plan; repeated requests make a single confirm."""
 
     call: int
     token: str
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The version that won against a plan, and the changes since the plan's base."""
+    """Version `won` that superseded a plan, and the changes since the plan's `base`."""
 
     base: int
     won: int
@@ -167,7 +167,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorStatus:
-    """State of the configuration on this host."""
+    """State of the configuration on this host.
+
+    See `ConfigurationStateMachine` for `version`, `head`, `through` and `contiguous`.
+    """
 
     version: int
     head: int
--- a/jackdawspur/configuration/_operator_api.py
+++ b/jackdawspur/configuration/_operator_api.py
@@ -44,8 +44,8 @@
 
 MAX_AUDIT_ENTRIES = 256
 APPEND_RETRY_S = 0.5
-# Below the 6 s within which a change must be in force, so that operators get an
-# answer in that time.
+# Less than the 6 s within which a change must be in force, so that operators get an
+# answer within that time.
 APPEND_TIMEOUT_S = 5.0
 # How long a confirm waits until this host has read a plan made at another host.
 PLAN_WAIT_S = 1.0
@@ -82,7 +82,7 @@
         self._unreachable_zones = frozenset(zones)
 
     def handle(self, now: float, request: OperatorRequest) -> list[OperatorEffect]:
-        """Process one request; return its reply or the append that it waits for."""
+        """Process one request; return its reply, or the append that must end first."""
         operator = self._find_operator(request.token)
         if operator is None:
             return self._refuse_unknown_operator(request)
@@ -97,7 +97,7 @@
     def on_append_completed(
         self, now: float, event: AppendCompleted
     ) -> list[OperatorEffect]:
-        """Process the end of an append; the log shows the outcome of a lost reply."""
+        """Process the end of an append; a lost reply is resolved by reading the log."""
         pending = self._pending.get(event.record_id)
         if pending is None:
             return []
@@ -118,8 +118,8 @@
         Call after each event of the replica, ticks included.
         """
         effects: list[OperatorEffect] = []
-        awaited, self._waiting_confirms = self._waiting_confirms, []
-        for waiting in awaited:
+        waiting_confirms, self._waiting_confirms = self._waiting_confirms, []
+        for waiting in waiting_confirms:
             effects += self._retry_confirm(waiting, now)
         for pending in tuple(self._pending.values()):
             effects += self._resolve(pending, now)
@@ -136,8 +136,10 @@
         self, request: PlanAsked, now: float, name: str
     ) -> list[OperatorEffect]:
         state_machine = self._replica.state_machine
-        if obstacle := views.obstacle(self._replica):
-            return self._refuse(request, name, OperatorReplyCode.NOT_READY, obstacle)
+        if not_ready_reason := views.not_ready_reason(self._replica):
+            return self._refuse(
+                request, name, OperatorReplyCode.NOT_READY, not_ready_reason
+            )
         try:
             intent = load_intent(request.intent, state_machine.configuration)
         except InvalidConfiguration as error:
@@ -165,8 +167,10 @@
         if applied := state_machine.confirmed(request.plan):
             status = views.change_status(self._replica, applied)
             return [make_reply(request.call, OperatorReplyCode.OK, "confirmed", status)]
-        if obstacle := views.obstacle(self._replica):
-            return self._refuse(request, name, OperatorReplyCode.NOT_READY, obstacle)
+        if not_ready_reason := views.not_ready_reason(self._replica):
+            return self._refuse(
+                request, name, OperatorReplyCode.NOT_READY, not_ready_reason
+            )
         proposal = state_machine.plan(request.plan)
         if proposal is None:
             self._waiting_confirms.append(WaitingConfirm(request, now + PLAN_WAIT_S))
--- a/jackdawspur/configuration/_pending.py
+++ b/jackdawspur/configuration/_pending.py
@@ -23,9 +23,9 @@
     "required_right",
 ]
 
-PAGE = "operators/configuration"
+DOCS_PAGE = "operators/configuration"
 
-STATUS_OF = {
+HTTP_STATUS_BY_CODE = {
     OperatorReplyCode.OK: HTTPStatus.OK,
     OperatorReplyCode.INVALID: HTTPStatus.BAD_REQUEST,
     OperatorReplyCode.UNAUTHORIZED: HTTPStatus.UNAUTHORIZED,
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class PendingAppend:
-    """Append whose outcome the log has not shown yet."""
+    """Append whose outcome has not been read from the log yet."""
 
     record: Proposal | Confirm
     purpose: AppendPurpose
@@ -72,7 +72,7 @@
 
 
 def conflict_message(won: int) -> str:
-    """Return the message that tells an operator which version won."""
+    """Return the message of a conflict, which names the version that won."""
     return f"version {won} won; nothing of this plan is in force, plan again"
 
 
@@ -80,5 +80,7 @@
     call: int, code: OperatorReplyCode, text: str, body=None
 ) -> OperatorReply:
     """Return a reply with its HTTP status and the page that documents its code."""
-    page = "" if code is OperatorReplyCode.OK else f"{PAGE}#{code.replace('_', '-')}"
-    return OperatorReply(call, STATUS_OF[code], code, text, page, body)
+    page = (
+        "" if code is OperatorReplyCode.OK else f"{DOCS_PAGE}#{code.replace('_', '-')}"
+    )
+    return OperatorReply(call, HTTP_STATUS_BY_CODE[code], code, text, page, body)
--- a/jackdawspur/configuration/_planner.py
+++ b/jackdawspur/configuration/_planner.py
@@ -1,4 +1,4 @@
-"""Computes the plan of an intent: what it would change, before it takes effect."""
+"""Computes the plan of an intent: what it would change if it were confirmed."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 __all__ = ["Plan", "ZoneCapacity", "mass_removals", "build_plan"]
 
-# Fewer removals than this are no mass removal, unless they empty a section.
+# Fewer removals than this are not a mass removal, unless they empty a section.
 MASS_REMOVAL_MIN = 3
 MASS_REMOVAL_FRACTION = 0.2
 
--- a/jackdawspur/configuration/_replica.py
+++ b/jackdawspur/configuration/_replica.py
@@ -1,4 +1,4 @@
-"""One host's replica of the configuration: reads, peers, snapshots, readiness."""
+"""Replica of the configuration on one host, kept up to date from log and peers."""
 
 import random
 from functools import singledispatchmethod
@@ -41,7 +41,7 @@
     build_snapshot,
     extract_state,
 )
-from jackdawspur.configuration._zones import ZoneReports
+from jackdawspur.configuration._zones import ZoneVersionTracker
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import RecordsWanted
 from jackdawspur.model import ClusterSpec, HostId
@@ -49,8 +49,9 @@
 __all__ = ["ConfigurationReplica"]
 
 LONG_POLL_MS = 2000.0
-# Prevents a tight loop if the log answers empty reads at once.
+# Prevents a tight loop if the log answers an empty read before the wait has passed.
 EMPTY_READ_GAP_S = 0.05
+# The log counts as slow if a read takes longer than its wait by more than this.
 LOG_SLOW_S = 1.0
 BASE_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
@@ -58,11 +59,12 @@
 # Longer than a long poll takes to answer, so that no records are requested from
 # peers while the log is healthy.
 BEHIND_GRACE_S = 0.3
+# How long a host that can't read the log to its end waits for answers of its peers.
 COLD_START_TIMEOUT_S = 5.0
 
 
 class ConfigurationReplica:
-    """Core logic of the replica of one host incarnation, without I/O.
+    """Core logic of the configuration replica of one host, without I/O.
 
     Times are in seconds of the monotonic clock.
     """
@@ -75,13 +77,13 @@
         now: float,
     ) -> None:
         self.state_machine = ConfigurationStateMachine()
-        self.zones = ZoneReports(host)
+        self.zones = ZoneVersionTracker(host)
         self.rate_limiter = rate_limiter
         self.log_health = LogHealth.UNKNOWN
         self._host = host
         self._rng = rng
         self._started_at = now
-        self._wall = 0.0
+        self._wall_time = 0.0
         self._tail = Tail()
         self._ready = False
         self._reason = ReadinessReason.READING_LOG
@@ -170,7 +172,7 @@
         self, event: RecordsRequested, now: float
     ) -> list[ReplicaEffect]:
         passed = self._tail.records_after(
-            event.wanted.after, self.state_machine, self._wall
+            event.wanted.after, self.state_machine, self._wall_time
         )
         return [SendRecords(event.sender, passed)]
 
@@ -220,7 +222,7 @@
 
     @_on.register
     def _on_tick(self, event: ReplicaTick, now: float) -> list[ReplicaEffect]:
-        self._wall = event.wall
+        self._wall_time = event.wall
         waited = now - (now if self._reading_since is None else self._reading_since)
         if waited > self._read_wait_ms / 1000 + LOG_SLOW_S:
             self.log_health = LogHealth.SLOW
@@ -244,7 +246,8 @@
         if not self._ready:
             self._reason = self._readiness_reason(now)
             self._ready = self._reason is ReadinessReason.READY
-        # Before readiness no version is activated: a newer one may replace it at once.
+        # No version is activated before readiness, as a newer one could replace it at
+        # once.
         if self._ready and state_machine.version > self._active_version:
             self._active_version = state_machine.version
             self.zones.record_version(state_machine.version, now)
@@ -261,22 +264,24 @@
             effects.append(
                 ActivateConfiguration(self._cluster_spec, state_machine.configuration)
             )
-        self.zones.update_own_zone(
+        self.zones.update_local_zone(
             self._live_peers, self._active_version if self._ready else None, now
         )
         return effects
 
     def _readiness_reason(self, now: float) -> ReadinessReason:
         log_up = self.log_health is LogHealth.UP
-        known = self.state_machine.version != NO_VERSION
+        has_version = self.state_machine.version != NO_VERSION
         if self._caught_up and log_up and self.state_machine.contiguous:
             if self.state_machine.head == NO_VERSION:
                 return ReadinessReason.NO_CONFIGURATION
-            return ReadinessReason.READY if known else ReadinessReason.NEWER_SCHEMA
+            return (
+                ReadinessReason.READY if has_version else ReadinessReason.NEWER_SCHEMA
+            )
         if self.log_health is LogHealth.UNKNOWN or (log_up and not self._caught_up):
             return ReadinessReason.READING_LOG
         timed_out = now - self._started_at >= COLD_START_TIMEOUT_S
-        if not known:
+        if not has_version:
             return self._reason_without_state(timed_out)
         if timed_out or not self._live_peers:
             return ReadinessReason.READY
@@ -306,7 +311,7 @@
         return [ReadLog(self.state_machine.through + 1, self._read_wait_ms)]
 
     def _request_records(self, now: float) -> list[ReplicaEffect]:
-        peers = self._peers_to_ask(now)
+        peers = self._select_peers(now)
         if not peers or now < self._next_request_at:
             return []
         self._next_request_at = now + REQUEST_TIMEOUT_S
@@ -315,7 +320,7 @@
         )
         return [RequestRecords(self._rng.choice(peers), RecordsWanted(after))]
 
-    def _peers_to_ask(self, now: float) -> list[HostId]:
+    def _select_peers(self, now: float) -> list[HostId]:
         newer = [
             h
             for h in self._live_peers
@@ -328,10 +333,13 @@
             self._behind_since = now
         if newer and (not log_up or now - self._behind_since >= BEHIND_GRACE_S):
             return newer
-        stuck = log_up and self._caught_up and not self.state_machine.contiguous
-        cold = not self._ready and self.log_health in (LogHealth.SLOW, LogHealth.DOWN)
-        if stuck or cold:
-            # Ask peers that haven't answered yet first; answers of all may be required.
+        has_gap = log_up and self._caught_up and not self.state_machine.contiguous
+        lacks_log = not self._ready and self.log_health in (
+            LogHealth.SLOW,
+            LogHealth.DOWN,
+        )
+        if has_gap or lacks_log:
+            # Prefer peers that haven't answered yet, as readiness may need all answers.
             return [
                 h for h in self._live_peers if h not in self._answered_peers
             ] or newer
@@ -351,16 +359,16 @@
 
     def _snapshot(self, now: float) -> list[ReplicaEffect]:
         state_machine = self.state_machine
-        confirmed = (
+        is_current = (
             state_machine.contiguous
             and state_machine.head == state_machine.version != NO_VERSION
         )
-        can_write = confirmed and self._ready and self.log_health is LogHealth.UP
+        can_write = is_current and self._ready and self.log_health is LogHealth.UP
         if not self._snapshots.due(
-            state_machine, can_write, self._live_peers, self._wall, now
+            state_machine, can_write, self._live_peers, self._wall_time, now
         ):
             return []
         if not self.rate_limiter.try_acquire(AppendPurpose.SNAPSHOT, now):
             return []
-        record = build_snapshot(state_machine, self._wall)
+        record = build_snapshot(state_machine, self._wall_time)
         return [AppendRecord(AppendPurpose.SNAPSHOT, record.id, encode_record(record))]
--- a/jackdawspur/configuration/_reports.py
+++ b/jackdawspur/configuration/_reports.py
@@ -1,4 +1,4 @@
-"""Reports on records of the log that had no effect."""
+"""Records of the log that had no effect, as shown to operators."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Skipped:
-    """Record that was skipped."""
+    """Record that was skipped because this program can't apply it."""
 
     offset: int
     reason: SkipReason
--- a/jackdawspur/configuration/_state_machine.py
+++ b/jackdawspur/configuration/_state_machine.py
@@ -36,11 +36,12 @@
 class ConfigurationStateMachine:
     """State of the configuration after a log prefix; the same on every host.
 
-    `version` is in force here. `head` is the last confirm that won; it is ahead of
-    `version` only while that confirm has a schema that this program can't decode.
-    `through` is the offset of the last record applied. If `contiguous` is false, the
-    log was trimmed before this host read some records up to `through`: the last valid
-    version stays in force, and no confirm is decided until a snapshot covers the gap.
+    A version is the offset of its confirm. `version` is in force on this host. `head`
+    is the last version that won; it is ahead of `version` only while its confirm has a
+    schema that this program can't decode. `through` is the offset of the last record
+    applied. If `contiguous` is false, the log was trimmed before this host read some
+    records up to `through`: the last valid version stays in force, and no confirm is
+    decided until a snapshot covers the gap.
     """
 
     def __init__(self) -> None:
@@ -249,8 +250,8 @@
         covers = snapshot.through >= self._gap_end - 1
         if snapshot.version < self.version:
             # The snapshot comes from a lagging writer or, if it covers the gap, from a
-            # log that was set back. The version in force never goes back; operators
-            # must investigate.
+            # log that was restored to an older state. The version in force never goes
+            # back; operators must investigate.
             if covers:
                 text = f"snapshot of {snapshot.version}, in force {self.version}"
                 self._record_skipped(offset, SkipReason.LOG_WENT_BACK, text)
@@ -259,9 +260,9 @@
         if not covers:
             return
         self.contiguous = True
-        held = tuple(self._buffered)
+        buffered = tuple(self._buffered)
         self._buffered.clear()
-        for record in held:
+        for record in buffered:
             if record.offset > snapshot.through:
                 self._apply_record(record)
 
--- a/jackdawspur/configuration/_tail.py
+++ b/jackdawspur/configuration/_tail.py
@@ -35,11 +35,13 @@
     `through` covers only records that this host has applied: after a gap, or after a
     confirm of a newer schema, only those up to the version in force.
     """
-    confirmed = state_machine.contiguous and state_machine.head == state_machine.version
+    is_current = (
+        state_machine.contiguous and state_machine.head == state_machine.version
+    )
     return Snapshot(
         id=f"snapshot-{state_machine.version}",
         version=state_machine.version,
-        through=state_machine.through if confirmed else state_machine.version,
+        through=state_machine.through if is_current else state_machine.version,
         at=wall,
         configuration=state_machine.configuration,
         history=state_machine.history[-MAX_SNAPSHOT_HISTORY:],
@@ -47,7 +49,7 @@
 
 
 def extract_state(passed: RecordsPassed) -> Snapshot | None:
-    """Return the state that a peer sent instead of records, if it sent one.
+    """Return the snapshot that a peer built and sent instead of records, or None.
 
     A snapshot from the log has a higher offset than all records that it covers; only
     a state built for a peer covers its own offset.
@@ -88,7 +90,7 @@
             self._bytes -= len(evicted.body)
 
     def reset(self, after: int) -> None:
-        """Remove all records: the next one won't directly follow them."""
+        """Remove all records, as the next one will not directly follow them."""
         self._records.clear()
         self._bytes = 0
         self._after = after
--- a/jackdawspur/configuration/_views.py
+++ b/jackdawspur/configuration/_views.py
@@ -14,12 +14,12 @@
 from jackdawspur.configuration._records import HistoryEntry, Proposal
 from jackdawspur.configuration._replica import ConfigurationReplica
 
-__all__ = ["change_status", "conflict", "history", "obstacle", "status"]
+__all__ = ["change_status", "conflict", "history", "not_ready_reason", "status"]
 
 CHANGES_IN_STATUS = 10
 
 
-def obstacle(replica: ConfigurationReplica) -> str:
+def not_ready_reason(replica: ConfigurationReplica) -> str:
     """Return why this host can't plan or confirm now, or an empty text if it can."""
     state_machine = replica.state_machine
     if not state_machine.contiguous:
--- a/jackdawspur/configuration/_zones.py
+++ b/jackdawspur/configuration/_zones.py
@@ -7,7 +7,7 @@
 from jackdawspur.messages import Heartbeat, ZoneStatus
 from jackdawspur.model import HostId
 
-__all__ = ["ZoneDelay", "ZoneInForce", "ZoneReports"]
+__all__ = ["ZoneDelay", "ZoneInForce", "ZoneVersionTracker"]
 
 MAX_TIMED_VERSIONS = 64
 
@@ -22,18 +22,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDelay:
-    """Delay from a version coming into force on this host until it is in a zone."""
+    """Delay until a version that is in force on this host is in force in a zone."""
 
     zone: str
     version: int
     seconds: float
 
 
-class ZoneReports:
-    """Merge the zone versions in heartbeats; a zone's version never decreases.
+class ZoneVersionTracker:
+    """Newest version in force in each zone, from heartbeats; it never decreases.
 
     A zone reports a version once all of its live and ready hosts have it in force. A
-    zone without contact to this host keeps its last report: it lacks newer versions.
+    zone that this host can't reach keeps its last reported version, and so counts as
+    lacking the newer ones.
     """
 
     def __init__(self, host: HostId) -> None:
@@ -87,19 +88,21 @@
             if report.zone != self._host.zone:
                 self._advance(report.zone, report.version, now)
 
-    def update_own_zone(
-        self, live: Iterable[HostId], own: int | None, now: float
+    def update_local_zone(
+        self, live: Iterable[HostId], local_version: int | None, now: float
     ) -> None:
         """Update this zone's version from its live hosts.
 
-        `own` is this host's version, None if it isn't ready.
+        `local_version` is this host's version, None if it isn't ready.
         """
         alive = {host for host in live if host.zone == self._host.zone}
         self._zone_peers = {h: v for h, v in self._zone_peers.items() if h in alive}
         if alive - self._zone_peers.keys():
             # A live peer whose version is unknown may have an older one than this host.
             return
-        versions = [v for v in (*self._zone_peers.values(), own) if v is not None]
+        versions = [
+            v for v in (*self._zone_peers.values(), local_version) if v is not None
+        ]
         if versions:
             self._advance(self._host.zone, min(versions), now)
 
@@ -107,6 +110,6 @@
         if version <= self._versions.get(zone, -1):
             return
         self._versions[zone] = version
-        for known, started in self._in_force_since.items():
+        for known, in_force_at in self._in_force_since.items():
             if known <= version:
-                self._delays[known].setdefault(zone, now - started)
+                self._delays[known].setdefault(zone, now - in_force_at)
--- a/jackdawspur/configuration/slopes.py
+++ b/jackdawspur/configuration/slopes.py
@@ -1,4 +1,7 @@
-"""Measures memory and CPU time of the configuration; run with ``python -m``."""
+"""Measures memory and CPU time of configurations of several sizes.
+
+Run ``python -m jackdawspur.configuration.slopes``.
+"""
 
 import gc
 import random
--- a/jackdawspur/configuration/tests/test_replica.py
+++ b/jackdawspur/configuration/tests/test_replica.py
@@ -22,7 +22,7 @@
     ReplicaTick,
     RequestRecords,
     SendRecords,
-    ZoneReports,
+    ZoneVersionTracker,
     appends_per_day,
 )
 from jackdawspur.configuration.tests.conftest import quota_intent
@@ -176,22 +176,22 @@
 
 def test_zone_has_a_version_only_when_all_its_hosts_have_it():
     """A zone must not report a change that an unresponsive or lagging peer lacks."""
-    zones = ZoneReports(SELF)
-    zones.update_own_zone([ZONE_PEER, REMOTE_PEER], 7, 0.0)
+    zones = ZoneVersionTracker(SELF)
+    zones.update_local_zone([ZONE_PEER, REMOTE_PEER], 7, 0.0)
     assert zones.in_force(7) == frozenset()
     zones.record_heartbeat(heartbeat(ZONE_PEER, 4), 0.0)
-    zones.update_own_zone([ZONE_PEER], 7, 0.0)
+    zones.update_local_zone([ZONE_PEER], 7, 0.0)
     assert zones.in_force(7) == frozenset()
     zones.record_heartbeat(heartbeat(ZONE_PEER, 7), 1.0)
-    zones.update_own_zone([ZONE_PEER], 7, 1.0)
+    zones.update_local_zone([ZONE_PEER], 7, 1.0)
     assert zones.in_force(7) == {"north-a"}
     zones.record_heartbeat(heartbeat(ZONE_PEER, -1, ready=False), 2.0)
-    zones.update_own_zone([ZONE_PEER], 9, 2.0)
+    zones.update_local_zone([ZONE_PEER], 9, 2.0)
     assert zones.in_force(9) == {"north-a"}
 
 
 def test_reports_of_this_zone_and_older_reports_are_ignored():
-    zones = ZoneReports(SELF)
+    zones = ZoneVersionTracker(SELF)
     claims = (ZoneStatus("north-a", 99), ZoneStatus("north-b", 5))
     zones.record_heartbeat(heartbeat(REMOTE_PEER, 5, zones=claims), 0.0)
     zones.record_heartbeat(
