--- a/jackdawspur/dispatch/tests/answer_cases.py
+++ b/jackdawspur/dispatch/tests/answer_cases.py
@@ -1,4 +1,4 @@
-"""Steps and expected answers shared by the tables of test cases."""
+"""Steps and expected answers, shared by the tests that are tables of cases."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -15,7 +15,7 @@
 )
 from jackdawspur.dispatch.tests.conftest import (
     FIRST_INCARNATION,
-    SIBLING,
+    ZONE_PEER,
     CoreHarness,
     answers_in,
     make_request,
@@ -32,7 +32,7 @@
 
 __all__ = [
     "COMPLETE",
-    "RESTARTED_SIBLING",
+    "RESTARTED_ZONE_PEER",
     "DEADLINE_MS",
     "FAILED",
     "FILLER_TASKS",
@@ -43,7 +43,7 @@
     "Case",
     "ExpectedAnswer",
     "start_job",
-    "check",
+    "check_last_answer",
     "claims_in",
     "fill_slots",
     "finish",
@@ -51,7 +51,7 @@
     "lose_start_reply",
     "request_of",
     "send",
-    "status",
+    "reply_to_status_query",
     "wait_in_queue",
 ]
 
@@ -61,7 +61,7 @@
 DEADLINE_MS = 5000.0
 SHORT_MS = 800.0
 FILLER_TASKS = 16
-RESTARTED_SIBLING = replace(SIBLING, incarnation=SIBLING.incarnation + 1)
+RESTARTED_ZONE_PEER = replace(ZONE_PEER, incarnation=ZONE_PEER.incarnation + 1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +109,7 @@
     for start in harness.submit(
         make_request(FILLER_TASKS, deadline_ms=60_000.0), call=50
     ):
-        harness.verdicts(start)
+        harness.reply_to_starts(start)
 
 
 def start_job(harness: CoreHarness, kind: str, deadline_ms: float = DEADLINE_MS):
@@ -131,8 +131,8 @@
 
 
 def finish(harness: CoreHarness, start) -> None:
-    harness.verdicts(start)
-    harness.results(start)
+    harness.reply_to_starts(start)
+    harness.report_results(start)
 
 
 def lose_start_reply(harness: CoreHarness, start, maybe_sent: bool = True) -> list:
@@ -140,7 +140,7 @@
     return harness.send_event(StartRequestFailed(start.upstream, tasks, maybe_sent))
 
 
-def status(
+def reply_to_status_query(
     harness: CoreHarness, start, state: TaskState, incarnation: int = FIRST_INCARNATION
 ) -> list:
     outcomes = tuple(TaskOutcome(s.task, state, "late") for s in start.starts)
@@ -148,7 +148,7 @@
     return harness.send_event(StatusReplied(reply)) + harness.wait(0.6)
 
 
-def check(harness: CoreHarness, expected: ExpectedAnswer) -> None:
+def check_last_answer(harness: CoreHarness, expected: ExpectedAnswer) -> None:
     answer = [e for e in answers_in(harness.effects)][-1]
     starts = [t for t in harness.started if t.submission != filler_submission(harness)]
     actual = ExpectedAnswer(answer.state, answer.code, answer.not_run, len(starts))
--- a/jackdawspur/dispatch/tests/conftest.py
+++ b/jackdawspur/dispatch/tests/conftest.py
@@ -34,8 +34,8 @@
     UpstreamId,
 )
 
-OWN = HostId("north", "e1", 100)
-SIBLING = HostId("north", "e2", 200)
+LOCAL_ID = HostId("north", "e1", 100)
+ZONE_PEER = HostId("north", "e2", 200)
 FIRST_INCARNATION = 7
 SECOND_INCARNATION = 8
 UPSTREAMS = tuple(
@@ -91,7 +91,7 @@
         """Submit a job and return the starts that it caused."""
         return starts_in(self.send_event(Submitted(call, request)))
 
-    def verdicts(
+    def reply_to_starts(
         self, start: StartTasks, refusal=None, incarnation: int = FIRST_INCARNATION
     ) -> list:
         """Send the reply of an upstream to a batch of starts."""
@@ -100,7 +100,7 @@
             StartsReplied(UpstreamReply(start.upstream, incarnation, verdicts))
         )
 
-    def results(
+    def report_results(
         self,
         start: StartTasks,
         state=TaskState.DONE,
@@ -153,7 +153,7 @@
 @pytest.fixture
 def harness() -> CoreHarness:
     """Return a host with two upstreams and no live peer in its zone."""
-    harness = CoreHarness(EntryCore(OWN, random.Random(1), 0.0))
+    harness = CoreHarness(EntryCore(LOCAL_ID, random.Random(1), 0.0))
     harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
     harness.wait(1.0)
     return harness
--- a/jackdawspur/dispatch/tests/test_at_most_once.py
+++ b/jackdawspur/dispatch/tests/test_at_most_once.py
@@ -26,7 +26,7 @@
     return harness.send_event(StartRequestFailed(start.upstream, tasks, maybe_sent))
 
 
-def status(harness, start, state, incarnation=FIRST_INCARNATION):
+def reply_to_status_query(harness, start, state, incarnation=FIRST_INCARNATION):
     outcomes = tuple(TaskOutcome(s.task, state, "late") for s in start.starts)
     reply = UpstreamReply(start.upstream, incarnation, outcomes=outcomes)
     return harness.send_event(StatusReplied(reply))
@@ -35,8 +35,8 @@
 def test_whole_job_is_answered_in_order(harness):
     starts = harness.submit(make_request(5))
     for start in reversed(starts):
-        harness.verdicts(start)
-    effects = [e for start in reversed(starts) for e in harness.results(start)]
+        harness.reply_to_starts(start)
+    effects = [e for start in reversed(starts) for e in harness.report_results(start)]
     (answer,) = answers_in(effects)
     assert answer.state is JobState.COMPLETE
     assert answer.outputs == tuple(f"out-{n}" for n in range(5))
@@ -52,7 +52,7 @@
     assert not starts_in(effects)
     assert [type(e) for e in effects] == [QueryTaskStatus]
     harness.wait(1.0)
-    effects = status(harness, start, TaskState.DONE)
+    effects = reply_to_status_query(harness, start, TaskState.DONE)
     assert answers_in(effects)[0].outputs == ("late",)
     assert len(harness.started) == 1
 
@@ -66,12 +66,12 @@
 
 def test_start_sealed_by_the_same_incarnation_is_sent_again(harness):
     (first,) = harness.submit(make_request(1), call=1)
-    harness.verdicts(first)
-    harness.results(first)
+    harness.reply_to_starts(first)
+    harness.report_results(first)
     others = harness.submit(make_request(2), call=2)
     known = next(s for s in others if s.upstream == first.upstream)
     lose_start_reply(harness, known, maybe_sent=True)
-    effects = status(harness, known, TaskState.SEALED)
+    effects = reply_to_status_query(harness, known, TaskState.SEALED)
     effects += harness.wait(0.5)
     assert [s.task for e in starts_in(effects) for s in e.starts] == [
         s.task for s in known.starts
@@ -86,16 +86,16 @@
     """
     for call in (1, 2):
         (known,) = harness.submit(make_request(1), call=call)
-        harness.verdicts(known)
+        harness.reply_to_starts(known)
     (first,) = harness.submit(make_request(1), call=3)
     lose_start_reply(harness, first, maybe_sent=True)
-    again = status(harness, first, TaskState.SEALED) + harness.wait(0.5)
+    again = reply_to_status_query(harness, first, TaskState.SEALED) + harness.wait(0.5)
     (second,) = starts_in(again)
     assert second.upstream != first.upstream
-    harness.verdicts(second)
+    harness.reply_to_starts(second)
     before = len(harness.started)
-    status(harness, first, TaskState.SEALED)
-    (answer,) = answers_in(harness.results(second) + harness.wait(4.0))
+    reply_to_status_query(harness, first, TaskState.SEALED)
+    (answer,) = answers_in(harness.report_results(second) + harness.wait(4.0))
     assert answer.state is JobState.COMPLETE
     assert len(harness.started) == before
 
@@ -108,10 +108,12 @@
     incarnation does not know the task, and a second start would run it twice.
     """
     (start,) = harness.submit(make_request(1))
-    harness.verdicts(start)
+    harness.reply_to_starts(start)
     (second,) = harness.submit(make_request(1), call=2)
     lose_start_reply(harness, second, maybe_sent=True)
-    effects = status(harness, second, state, incarnation=SECOND_INCARNATION)
+    effects = reply_to_status_query(
+        harness, second, state, incarnation=SECOND_INCARNATION
+    )
     effects += harness.wait(1.0)
     codes = {a.code for a in answers_in(harness.effects)}
     assert FailureCode.OUTCOME_UNKNOWN in codes
@@ -141,7 +143,9 @@
 def test_refused_everywhere_is_not_run(harness):
     starts = harness.submit(make_request(1, deadline_ms=300.0))
     for _ in range(20):
-        again = [e for s in starts for e in harness.verdicts(s, RefusalReason.FULL)]
+        again = [
+            e for s in starts for e in harness.reply_to_starts(s, RefusalReason.FULL)
+        ]
         starts = starts_in(again + harness.wait(0.05))
     (answer,) = answers_in(harness.effects)
     assert answer.not_run
@@ -156,13 +160,13 @@
     """
     starts = harness.submit(make_request(4))
     for start in starts:
-        harness.verdicts(start)
-    effects = harness.results(starts[0], TaskState.FAILED)
+        harness.reply_to_starts(start)
+    effects = harness.report_results(starts[0], TaskState.FAILED)
     (answer,) = answers_in(effects)
     assert answer.code is FailureCode.TASK_FAILED
     assert answer.outputs == ()
     assert any(isinstance(e, StopTasks) for e in effects)
-    assert not answers_in(harness.results(starts[1]))
+    assert not answers_in(harness.report_results(starts[1]))
 
 
 def test_cancelled_before_its_start_never_starts(harness):
@@ -209,12 +213,12 @@
     id. Then a copy of the refusal, or a report that the start failed, arrives late.
     """
     (first,) = harness.submit(make_request(1))
-    (second,) = starts_in(harness.verdicts(first, RefusalReason.FULL))
+    (second,) = starts_in(harness.reply_to_starts(first, RefusalReason.FULL))
     assert second.upstream != first.upstream
-    effects = harness.verdicts(first, RefusalReason.FULL)
+    effects = harness.reply_to_starts(first, RefusalReason.FULL)
     effects += lose_start_reply(harness, first, maybe_sent=False)
     effects += lose_start_reply(harness, first, maybe_sent=True)
     assert not starts_in(effects)
     assert not any(isinstance(e, QueryTaskStatus) for e in effects)
-    harness.verdicts(second)
-    assert answers_in(harness.results(second))[0].state is JobState.COMPLETE
+    harness.reply_to_starts(second)
+    assert answers_in(harness.report_results(second))[0].state is JobState.COMPLETE
--- a/jackdawspur/dispatch/tests/test_delegated_answers.py
+++ b/jackdawspur/dispatch/tests/test_delegated_answers.py
@@ -13,15 +13,15 @@
     COMPLETE,
     FAILED,
     REFUSED,
-    RESTARTED_SIBLING,
+    RESTARTED_ZONE_PEER,
     UNKNOWN,
     Case,
     ExpectedAnswer,
 )
 from jackdawspur.dispatch.tests.conftest import (
     FIRST_INCARNATION,
-    OWN,
-    SIBLING,
+    LOCAL_ID,
+    ZONE_PEER,
     CoreHarness,
     answers_in,
     make_request,
@@ -39,71 +39,75 @@
 )
 
 
-def delegate(harness: CoreHarness) -> Delegate:
+def submit_delegated(harness: CoreHarness) -> Delegate:
     """Submit a job that is delegated to an idle host of the zone."""
     # Jobs as small as the delegated one, so that it is queued after them.
-    harness.receive_heartbeat(SIBLING, draining=True)
+    harness.receive_heartbeat(ZONE_PEER, draining=True)
     for call in range(100, 105):
         harness.submit(make_request(4, deadline_ms=60_000.0), call)
-    harness.receive_heartbeat(SIBLING, free_slots=8, sequence=10**6)
+    harness.receive_heartbeat(ZONE_PEER, free_slots=8, sequence=10**6)
     (message,) = messages_in(
         harness.send_event(Submitted(1, make_request(4))), Delegate
     )
     return message
 
 
-def reply(
-    harness: CoreHarness, message: Delegate, answer: Answer, sender=SIBLING
+def reply_as_delegate(
+    harness: CoreHarness, message: Delegate, answer: Answer, sender=ZONE_PEER
 ) -> list:
     answered = DelegateAnswer(message.submission, answer)
     return harness.send_event(PeerMessageReceived(sender, answered))
 
 
 def delegate_done(harness):
-    message = delegate(harness)
-    reply(harness, message, Answer(COMPLETE, message.submission, ("a", "b", "c", "d")))
+    message = submit_delegated(harness)
+    reply_as_delegate(
+        harness, message, Answer(COMPLETE, message.submission, ("a", "b", "c", "d"))
+    )
 
 
 def delegate_dead(harness):
-    delegate(harness)
-    harness.receive_heartbeat(RESTARTED_SIBLING)
+    submit_delegated(harness)
+    harness.receive_heartbeat(RESTARTED_ZONE_PEER)
     harness.wait(1.0)
 
 
 def delegate_unresponsive(harness):
-    delegate(harness)
+    submit_delegated(harness)
     harness.wait(6.0)
 
 
 def delegate_refuses(harness):
-    message = delegate(harness)
+    message = submit_delegated(harness)
     code = FailureCode.DRAINING
-    reply(
+    reply_as_delegate(
         harness, message, Answer(REFUSED, message.submission, code=code, not_run=True)
     )
 
 
 def delegate_cancels_in_time(harness):
-    message = delegate(harness)
+    message = submit_delegated(harness)
     harness.send_event(CancelRequested(2, "roster", message.submission))
     code = FailureCode.CANCELLED
-    reply(
+    reply_as_delegate(
         harness, message, Answer(REFUSED, message.submission, code=code, not_run=True)
     )
 
 
 def delegate_answers_after_refusing(harness):
-    message = delegate(harness)
+    message = submit_delegated(harness)
     code = FailureCode.DRAINING
-    reply(
+    reply_as_delegate(
         harness, message, Answer(REFUSED, message.submission, code=code, not_run=True)
     )
-    reply(harness, message, Answer(FAILED, message.submission, code=UNKNOWN))
+    reply_as_delegate(
+        harness, message, Answer(FAILED, message.submission, code=UNKNOWN)
+    )
     assert len(answers_in(harness.effects)) == 1
 
 
 def delegated_drain(harness):
-    delegate(harness)
+    submit_delegated(harness)
     harness.send_event(DrainRequested(1000.0))
     harness.wait(1.2)
 
@@ -147,15 +151,15 @@
     once, as with a job of 360 tasks. Its message to the owner is lost, so the owner
     repeats the delegation.
     """
-    message = Delegate(SubmissionId(SIBLING, 3), make_request(1), 4000.0)
-    (start,) = starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
-    harness.verdicts(start)
+    message = Delegate(SubmissionId(ZONE_PEER, 3), make_request(1), 4000.0)
+    (start,) = starts_in(harness.send_event(PeerMessageReceived(ZONE_PEER, message)))
+    harness.reply_to_starts(start)
     outcome = TaskOutcome(start.starts[0].task, TaskState.DONE, "x" * 9_000_000)
     harness.send_event(
         StatusReplied(UpstreamReply(start.upstream, FIRST_INCARNATION, (), (outcome,)))
     )
     harness.effects.clear()
-    harness.send_event(PeerMessageReceived(SIBLING, message))
+    harness.send_event(PeerMessageReceived(ZONE_PEER, message))
     assert not harness.started
     assert not any(
         a.answer.not_run for a in messages_in(harness.effects, DelegateAnswer)
@@ -167,5 +171,5 @@
 
     Otherwise a misdirected message could make a task run at two hosts.
     """
-    message = Delegate(SubmissionId(OWN, 3), make_request(1), 4000.0)
-    assert not starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
+    message = Delegate(SubmissionId(LOCAL_ID, 3), make_request(1), 4000.0)
+    assert not starts_in(harness.send_event(PeerMessageReceived(ZONE_PEER, message)))
--- a/jackdawspur/dispatch/tests/test_first_attempt_answers.py
+++ b/jackdawspur/dispatch/tests/test_first_attempt_answers.py
@@ -1,6 +1,6 @@
 """Answers to the first attempt of a request, for every kind of request.
 
-One test per case and kind. "Not run" must be false as soon as the task may run.
+One test per case and kind. "Not run" must not be answered once the task may run.
 """
 
 from dataclasses import replace
@@ -23,11 +23,11 @@
     UNKNOWN,
     Case,
     ExpectedAnswer,
-    check,
+    check_last_answer,
     finish,
     lose_start_reply,
+    reply_to_status_query,
     start_job,
-    status,
     wait_in_queue,
 )
 from jackdawspur.dispatch.tests.conftest import (
@@ -48,20 +48,20 @@
 
 def task_fails(harness, kind):
     _, start = start_job(harness, kind)
-    harness.verdicts(start)
-    harness.results(start, TaskState.FAILED)
+    harness.reply_to_starts(start)
+    harness.report_results(start, TaskState.FAILED)
 
 
 def refused_then_accepted(harness, kind):
     _, start = start_job(harness, kind)
-    again = harness.verdicts(start, RefusalReason.FULL) + harness.wait(0.5)
+    again = harness.reply_to_starts(start, RefusalReason.FULL) + harness.wait(0.5)
     finish(harness, starts_in(again)[0])
 
 
 def reply_lost_but_done(harness, kind):
     _, start = start_job(harness, kind)
     lose_start_reply(harness, start)
-    status(harness, start, TaskState.DONE)
+    reply_to_status_query(harness, start, TaskState.DONE)
 
 
 def reply_lost_and_no_status(harness, kind):
@@ -73,32 +73,34 @@
 
 
 def sealed_then_sent_again(harness, kind):
-    (known,) = starts_in(harness.send_event(Submitted(60, make_request(1))))
-    finish(harness, known)
-    (other,) = starts_in(harness.send_event(Submitted(61, make_request(1))))
-    finish(harness, other)
+    # A seal proves something only if the upstream's incarnation was known before, so
+    # both upstreams run a job first.
+    (first_start,) = starts_in(harness.send_event(Submitted(60, make_request(1))))
+    finish(harness, first_start)
+    (second_start,) = starts_in(harness.send_event(Submitted(61, make_request(1))))
+    finish(harness, second_start)
     _, start = start_job(harness, kind)
     lose_start_reply(harness, start)
-    again = status(harness, start, TaskState.SEALED)
+    again = reply_to_status_query(harness, start, TaskState.SEALED)
     finish(harness, starts_in(again)[0])
 
 
 def sealed_by_later_incarnation(harness, kind):
     _, start = start_job(harness, kind)
     lose_start_reply(harness, start)
-    status(harness, start, TaskState.SEALED, SECOND_INCARNATION)
+    reply_to_status_query(harness, start, TaskState.SEALED, SECOND_INCARNATION)
 
 
 def unknown_to_upstream(harness, kind):
     _, start = start_job(harness, kind)
     lose_start_reply(harness, start)
-    status(harness, start, TaskState.UNKNOWN)
+    reply_to_status_query(harness, start, TaskState.UNKNOWN)
 
 
 def upstream_restarts(harness, kind):
     _, start = start_job(harness, kind)
-    harness.verdicts(start)
-    harness.results(replace(start, starts=()), incarnation=SECOND_INCARNATION)
+    harness.reply_to_starts(start)
+    harness.report_results(replace(start, starts=()), incarnation=SECOND_INCARNATION)
 
 
 def not_sent_then_accepted(harness, kind):
@@ -115,9 +117,9 @@
 
 def cancelled_during(harness, kind):
     _, start = start_job(harness, kind)
-    harness.verdicts(start)
+    harness.reply_to_starts(start)
     harness.send_event(CancelRequested(2, "roster", start.starts[0].task.submission))
-    harness.results(start)
+    harness.report_results(start)
 
 
 def cancelled_after(harness, kind):
@@ -133,7 +135,7 @@
 
 def deadline_after_start(harness, kind):
     _, start = start_job(harness, kind)
-    harness.verdicts(start)
+    harness.reply_to_starts(start)
     harness.wait(6.0)
 
 
@@ -157,7 +159,7 @@
 
 def drain_timeout_while_running(harness, kind):
     _, start = start_job(harness, kind)
-    harness.verdicts(start)
+    harness.reply_to_starts(start)
     harness.send_event(DrainRequested(1000.0))
     harness.wait(1.5)
 
@@ -209,10 +211,10 @@
     "case", FIRST_ATTEMPT_CASES, ids=lambda case: case.act.__name__
 )
 def test_first_attempt(harness, kind, case):
-    """A request meets one fault between its arrival and its answer.
+    """One fault occurs between the arrival of a request and its answer.
 
     Whichever message is lost, its task must be sent again only if the reply of the
     upstream proves that it never ran.
     """
     case.act(harness, kind)
-    check(harness, case.expected)
+    check_last_answer(harness, case.expected)
--- a/jackdawspur/dispatch/tests/test_large_tasks.py
+++ b/jackdawspur/dispatch/tests/test_large_tasks.py
@@ -7,8 +7,8 @@
 HALF_MB = 65_536
 ALL_MB = 131_072
 SMALL_JOBS = 40
-# Two tasks end until the wait of the large one is too long, and then at most all that
-# run on both upstreams.
+# Two tasks end before the large one has waited long enough to reserve an upstream, then
+# at most all that run on both upstreams.
 MAX_ENDED = 8
 
 
@@ -32,16 +32,16 @@
     for call in range(5, SMALL_JOBS):
         assert harness.submit(_with_memory(HALF_MB), call) == []
     for start in running:
-        harness.verdicts(start)
+        harness.reply_to_starts(start)
     ended = 0
     while running and ended < SMALL_JOBS:
         harness.now += 0.1
-        effects = harness.results(running.pop(0))
+        effects = harness.report_results(running.pop(0))
         ended += 1
         new = starts_in(effects)
         if any(task.memory_mb == ALL_MB for batch in new for task in batch.starts):
             break
         for start in new:
-            harness.verdicts(start)
+            harness.reply_to_starts(start)
         running += new
     assert ended <= MAX_ENDED
--- a/jackdawspur/dispatch/tests/test_ownership.py
+++ b/jackdawspur/dispatch/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests that each submission has one owner: ids, keys, forwards and delegations."""
+"""Tests that a submission runs at one host: ids, keys, forwards and delegations."""
 
 import random
 
@@ -21,8 +21,8 @@
 )
 from jackdawspur.dispatch.tests.conftest import (
     CLUSTER_SPEC,
-    OWN,
-    SIBLING,
+    LOCAL_ID,
+    ZONE_PEER,
     CoreHarness,
     answers_in,
     make_request,
@@ -57,7 +57,7 @@
 
 def restarted_harness() -> CoreHarness:
     """Return a harness with the next incarnation of the same host."""
-    host = HostId(OWN.zone, OWN.name, OWN.incarnation + 1)
+    host = HostId(LOCAL_ID.zone, LOCAL_ID.name, LOCAL_ID.incarnation + 1)
     harness = CoreHarness(EntryCore(host, random.Random(2), 0.0))
     harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
     harness.wait(1.0)
@@ -69,8 +69,8 @@
     request = make_request(1, submission=issue(harness), idempotent=False)
     (start,) = harness.submit(request, call=1)
     assert not harness.submit(request, call=2)
-    harness.verdicts(start)
-    harness.results(start)
+    harness.reply_to_starts(start)
+    harness.report_results(start)
     assert not harness.submit(request, call=3)
     states = [a.state for a in answers_in(harness.effects)]
     assert states == [JobState.COMPLETE] * 3
@@ -96,8 +96,8 @@
 def test_used_id_whose_answer_expired_does_not_run(harness):
     request = make_request(1, submission=issue(harness), idempotent=False)
     (start,) = harness.submit(request, call=1)
-    harness.verdicts(start)
-    harness.results(start)
+    harness.reply_to_starts(start)
+    harness.report_results(start)
     harness.wait(700.0, step=0.4)
     assert not harness.submit(request, call=2)
     assert not answers_in(harness.effects)[-1].not_run
@@ -146,22 +146,22 @@
 
     Both hosts claim its key, and the claim of the other host comes first in the log.
     """
-    harness.receive_heartbeat(SIBLING)
+    harness.receive_heartbeat(ZONE_PEER)
     claim = claim_of(harness.send_event(Submitted(1, KEYED)))
-    earlier_claim = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
+    earlier_claim = Claim("roster", "order-17", SubmissionId(ZONE_PEER, 4))
     effects = harness.send_event(ClaimsRead((earlier_claim, claim)))
     assert not starts_in(effects)
     (forward,) = messages_in(effects, Forward)
     assert forward.submission == earlier_claim.submission
     done = Answer(JobState.COMPLETE, earlier_claim.submission, ("x",))
     effects = harness.send_event(
-        PeerMessageReceived(SIBLING, ForwardAnswer(forward.call, done))
+        PeerMessageReceived(ZONE_PEER, ForwardAnswer(forward.call, done))
     )
     assert answers_in(effects) == [done]
 
 
 def test_paused_claimer_that_lost_the_key_starts_nothing(harness):
-    """The first of two hosts is paused for 20 s after its claim."""
+    """A host that was paused for 20 s after its claim must not start the job."""
     claim = claim_of(harness.send_event(Submitted(1, KEYED)))
     harness.now += 20.0
     harness.wait(0.1)
@@ -207,10 +207,10 @@
 
 
 def test_forward_to_a_host_that_restarts_ends_as_unknown(harness):
-    harness.receive_heartbeat(SIBLING)
-    harness.send_event(Polled(1, "roster", SubmissionId(SIBLING, 9), wait=True))
+    harness.receive_heartbeat(ZONE_PEER)
+    harness.send_event(Polled(1, "roster", SubmissionId(ZONE_PEER, 9), wait=True))
     harness.receive_heartbeat(
-        HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1)
+        HostId(ZONE_PEER.zone, ZONE_PEER.name, ZONE_PEER.incarnation + 1)
     )
     harness.wait(1.0)
     (answer,) = answers_in(harness.effects)
@@ -218,23 +218,23 @@
     assert not answer.not_run
 
 
-def delegated(harness, tasks=4):
+def submit_delegated(harness, tasks=4):
     """Submit one more job while the local slots are full and a peer is idle."""
     # Jobs as small as the last one, so that it is queued after them.
-    harness.receive_heartbeat(SIBLING, draining=True)
+    harness.receive_heartbeat(ZONE_PEER, draining=True)
     for call in range(100, 105):
         harness.submit(make_request(4, deadline_ms=60_000.0), call)
-    harness.receive_heartbeat(SIBLING, free_slots=8, sequence=10**6)
+    harness.receive_heartbeat(ZONE_PEER, free_slots=8, sequence=10**6)
     effects = harness.send_event(Submitted(2, make_request(tasks)))
     return effects, messages_in(effects, Delegate)
 
 
 def test_delegate_that_dies_ends_as_unknown(harness):
     """A job whose delegate dies must not be answered as "not run"."""
-    _, sent = delegated(harness)
+    _, sent = submit_delegated(harness)
     (message,) = sent
     harness.receive_heartbeat(
-        HostId(SIBLING.zone, SIBLING.name, SIBLING.incarnation + 1)
+        HostId(ZONE_PEER.zone, ZONE_PEER.name, ZONE_PEER.incarnation + 1)
     )
     harness.wait(1.0)
     answer = answers_in(harness.effects)[-1]
@@ -243,11 +243,11 @@
 
 
 def test_job_that_the_delegate_refused_waits_here(harness):
-    _, (message,) = delegated(harness)
+    _, (message,) = submit_delegated(harness)
     code = FailureCode.OVERLOADED
     refusal = Answer(JobState.REFUSED, message.submission, code=code, not_run=True)
     effects = harness.send_event(
-        PeerMessageReceived(SIBLING, DelegateAnswer(message.submission, refusal))
+        PeerMessageReceived(ZONE_PEER, DelegateAnswer(message.submission, refusal))
     )
     assert not messages_in(effects, Delegate)
     assert harness.core.state.jobs[message.submission].delegate is None
@@ -255,13 +255,13 @@
 
 def test_repeated_delegation_runs_once(harness):
     request = make_request(1)
-    message = Delegate(SubmissionId(SIBLING, 3), request, 4000.0)
-    first = starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
+    message = Delegate(SubmissionId(ZONE_PEER, 3), request, 4000.0)
+    first = starts_in(harness.send_event(PeerMessageReceived(ZONE_PEER, message)))
     assert len(first) == 1
-    assert not starts_in(harness.send_event(PeerMessageReceived(SIBLING, message)))
-    harness.verdicts(first[0])
-    effects = harness.results(first[0])
-    effects += harness.send_event(PeerMessageReceived(SIBLING, message))
+    assert not starts_in(harness.send_event(PeerMessageReceived(ZONE_PEER, message)))
+    harness.reply_to_starts(first[0])
+    effects = harness.report_results(first[0])
+    effects += harness.send_event(PeerMessageReceived(ZONE_PEER, message))
     answers = messages_in(effects, DelegateAnswer)
     assert [a.answer.state for a in answers] == [JobState.COMPLETE] * 2
     assert len(harness.started) == 1
@@ -273,10 +273,10 @@
     The owner queued the job locally after the refusal.
     """
     harness.core.state.draining = True
-    message = Delegate(SubmissionId(SIBLING, 3), make_request(1), 4000.0)
-    harness.send_event(PeerMessageReceived(SIBLING, message))
+    message = Delegate(SubmissionId(ZONE_PEER, 3), make_request(1), 4000.0)
+    harness.send_event(PeerMessageReceived(ZONE_PEER, message))
     harness.core.state.draining = False
-    effects = harness.send_event(PeerMessageReceived(SIBLING, message))
+    effects = harness.send_event(PeerMessageReceived(ZONE_PEER, message))
     assert not starts_in(effects)
     assert messages_in(effects, DelegateAnswer)[0].answer.not_run
 
@@ -285,12 +285,12 @@
 def test_forwarded_call_is_answered_through_its_host(harness, wait):
     request = make_request(1, submission=issue(harness))
     message = Forward(31, "roster", request.submission, wait, request)
-    effects = harness.send_event(PeerMessageReceived(SIBLING, message))
+    effects = harness.send_event(PeerMessageReceived(ZONE_PEER, message))
     (start,) = starts_in(effects)
-    harness.verdicts(start)
-    effects += harness.results(start)
+    harness.reply_to_starts(start)
+    effects += harness.report_results(start)
     (answer,) = messages_in(effects, ForwardAnswer)
     assert answer.call == 31
     expected = JobState.COMPLETE if wait else JobState.PENDING
     assert answer.answer.state is expected
-    assert all(e.to == SIBLING for e in effects if isinstance(e, SendPeerMessage))
+    assert all(e.to == ZONE_PEER for e in effects if isinstance(e, SendPeerMessage))
--- a/jackdawspur/dispatch/tests/test_repeat_answers.py
+++ b/jackdawspur/dispatch/tests/test_repeat_answers.py
@@ -1,6 +1,7 @@
 """Answers to repeated requests, and to requests whose owner, log or claim is lost.
 
-"Not run" must be false when an earlier request with the same key or id may have run.
+"Not run" must not be answered if an earlier request with the same key or id may have
+run.
 """
 
 from dataclasses import replace
@@ -21,26 +22,26 @@
     COMPLETE,
     FAILED,
     REFUSED,
-    RESTARTED_SIBLING,
+    RESTARTED_ZONE_PEER,
     SHORT_MS,
     UNKNOWN,
     Case,
     ExpectedAnswer,
-    check,
+    check_last_answer,
     claims_in,
     fill_slots,
     finish,
     last_job,
     lose_start_reply,
+    reply_to_status_query,
     request_of,
     send,
     start_job,
-    status,
     wait_in_queue,
 )
 from jackdawspur.dispatch.tests.conftest import (
-    OWN,
-    SIBLING,
+    LOCAL_ID,
+    ZONE_PEER,
     answers_in,
     make_request,
     messages_in,
@@ -72,15 +73,15 @@
 
 def after_a_failure(harness, kind):
     request, start = start_job(harness, kind)
-    harness.verdicts(start)
-    harness.results(start, TaskState.FAILED)
+    harness.reply_to_starts(start)
+    harness.report_results(start, TaskState.FAILED)
     send(harness, request, call=2)
 
 
 def after_unknown_outcome(harness, kind):
     request, start = start_job(harness, kind)
     lose_start_reply(harness, start)
-    status(harness, start, TaskState.UNKNOWN)
+    reply_to_status_query(harness, start, TaskState.UNKNOWN)
     send(harness, request, call=2)
 
 
@@ -102,7 +103,7 @@
     request, start = start_job(harness, kind)
     submission = start.starts[0].task.submission
     message = Forward(31, "roster", submission, True, request)
-    harness.send_event(PeerMessageReceived(SIBLING, message))
+    harness.send_event(PeerMessageReceived(ZONE_PEER, message))
     harness.send_event(PeerMessageReceived(HostId("south", "e1", 5), message))
     finish(harness, start)
     assert len(messages_in(harness.effects, ForwardAnswer)) == 2
@@ -129,7 +130,7 @@
     The repeat has the same key or id and must get the answer of the first attempt.
     """
     case.act(harness, kind)
-    check(harness, case.expected)
+    check_last_answer(harness, case.expected)
 
 
 def answer_evicted(harness, kind):
@@ -153,7 +154,7 @@
 
 
 def owner_restarted(harness, kind):
-    old = SubmissionId(replace(OWN, incarnation=OWN.incarnation - 1), 4)
+    old = SubmissionId(replace(LOCAL_ID, incarnation=LOCAL_ID.incarnation - 1), 4)
     harness.send_event(
         Submitted(1, replace(request_of(harness, "plain"), submission=old))
     )
@@ -161,25 +162,31 @@
 
 
 def owner_paused(harness, kind):
-    harness.receive_heartbeat(SIBLING)
-    request = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    harness.receive_heartbeat(ZONE_PEER)
+    request = replace(
+        request_of(harness, "plain"), submission=SubmissionId(ZONE_PEER, 4)
+    )
     harness.send_event(Submitted(1, request))
     harness.wait(6.0)
 
 
 def owner_dead(harness, kind):
-    harness.receive_heartbeat(SIBLING)
-    request = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    harness.receive_heartbeat(ZONE_PEER)
+    request = replace(
+        request_of(harness, "plain"), submission=SubmissionId(ZONE_PEER, 4)
+    )
     harness.send_event(Submitted(1, request))
-    harness.receive_heartbeat(RESTARTED_SIBLING)
+    harness.receive_heartbeat(RESTARTED_ZONE_PEER)
     harness.wait(1.0)
 
 
 def other_host_answers_for_owner(harness, kind):
-    harness.receive_heartbeat(SIBLING)
-    request = replace(request_of(harness, "plain"), submission=SubmissionId(SIBLING, 4))
+    harness.receive_heartbeat(ZONE_PEER)
+    request = replace(
+        request_of(harness, "plain"), submission=SubmissionId(ZONE_PEER, 4)
+    )
     (sent,) = messages_in(harness.send_event(Submitted(1, request)), Forward)
-    wrong_answer = Answer(COMPLETE, SubmissionId(SIBLING, 5), ("of another caller",))
+    wrong_answer = Answer(COMPLETE, SubmissionId(ZONE_PEER, 5), ("of another caller",))
     harness.send_event(
         PeerMessageReceived(
             HostId("south", "e1", 5), ForwardAnswer(sent.call, wrong_answer)
@@ -188,7 +195,7 @@
     assert not answers_in(harness.effects)
     own_answer = Answer(COMPLETE, request.submission, ("mine",))
     harness.send_event(
-        PeerMessageReceived(SIBLING, ForwardAnswer(sent.call, own_answer))
+        PeerMessageReceived(ZONE_PEER, ForwardAnswer(sent.call, own_answer))
     )
 
 
@@ -259,23 +266,23 @@
     send(harness, request, call=3)
 
 
-def claim_lost_to_sibling(harness, kind):
-    harness.receive_heartbeat(SIBLING)
+def claim_lost_to_zone_peer(harness, kind):
+    harness.receive_heartbeat(ZONE_PEER)
     claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
-    earlier_claim = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
+    earlier_claim = Claim("roster", "order-17", SubmissionId(ZONE_PEER, 4))
     (sent,) = messages_in(
         harness.send_event(ClaimsRead((earlier_claim, *claims))), Forward
     )
     done = Answer(COMPLETE, earlier_claim.submission, ("x",))
-    harness.send_event(PeerMessageReceived(SIBLING, ForwardAnswer(sent.call, done)))
+    harness.send_event(PeerMessageReceived(ZONE_PEER, ForwardAnswer(sent.call, done)))
 
 
 def claim_lost_to_dead_host(harness, kind):
-    harness.receive_heartbeat(SIBLING)
+    harness.receive_heartbeat(ZONE_PEER)
     claims = claims_in(harness.send_event(Submitted(1, request_of(harness, kind))))
-    earlier_claim = Claim("roster", "order-17", SubmissionId(SIBLING, 4))
+    earlier_claim = Claim("roster", "order-17", SubmissionId(ZONE_PEER, 4))
     harness.send_event(ClaimsRead((earlier_claim, *claims)))
-    harness.receive_heartbeat(RESTARTED_SIBLING)
+    harness.receive_heartbeat(RESTARTED_ZONE_PEER)
     harness.wait(1.0)
 
 
@@ -328,8 +335,8 @@
         Case(cancelled_before_claim, ExpectedAnswer(REFUSED, FailureCode.CANCELLED)),
     ),
     ("key_once", Case(claim_read_after_abort, ExpectedAnswer(COMPLETE, starts=1))),
-    ("key_once", Case(claim_lost_to_sibling, ExpectedAnswer(COMPLETE))),
-    ("key_idempotent", Case(claim_lost_to_sibling, ExpectedAnswer(COMPLETE))),
+    ("key_once", Case(claim_lost_to_zone_peer, ExpectedAnswer(COMPLETE))),
+    ("key_idempotent", Case(claim_lost_to_zone_peer, ExpectedAnswer(COMPLETE))),
     ("key_once", Case(claim_lost_to_dead_host, OWNER_LOST)),
 )
 
@@ -345,7 +352,7 @@
     "not run".
     """
     case.act(harness, kind)
-    check(harness, case.expected)
+    check_last_answer(harness, case.expected)
 
 
 def _name(value) -> str:
--- a/jackdawspur/fuzz/tests/test_callers.py
+++ b/jackdawspur/fuzz/tests/test_callers.py
@@ -18,7 +18,7 @@
     token_hash,
 )
 from jackdawspur.dispatch import AnswerCall, IssueIds, SendPeerMessage
-from jackdawspur.dispatch.tests.conftest import OWN, SIBLING, harness  # noqa: F401
+from jackdawspur.dispatch.tests.conftest import LOCAL_ID, ZONE_PEER, harness  # noqa: F401
 from jackdawspur.entry._routes import Routes
 from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
 from jackdawspur.links import Envelope, encode
@@ -32,7 +32,14 @@
     "idempotent": True,
 }
 BODIES = mutated_json(BODY) | mutated_bytes(json.dumps(BODY).encode())
-IDS = (f"{OWN}.1", f"{SIBLING}.1", f"{OWN}.{2**64:x}", "a.b.-1.1", "x", "....")
+IDS = (
+    f"{LOCAL_ID}.1",
+    f"{ZONE_PEER}.1",
+    f"{LOCAL_ID}.{2**64:x}",
+    "a.b.-1.1",
+    "x",
+    "....",
+)
 PATHS = st.sampled_from(
     ["/v1/jobs", "/v1/submissions", "/livez", "/", "//", "/v1/jobs/"]
     + [f"/v1/submissions/{one}" for one in IDS]
@@ -117,7 +124,7 @@
     effects = face.effects + harness.wait(1.0)
     for effect in effects:
         if isinstance(effect, SendPeerMessage):
-            encode(Envelope(OWN, effect.to, 0.0, effect.message))
+            encode(Envelope(LOCAL_ID, effect.to, 0.0, effect.message))
     answers = [e for e in effects if isinstance(e, AnswerCall | IssueIds)]
     assert len(face.replies) + sum(e.call == number for e in answers) <= 1
     assert len(face.replies) == 1 or face.effects or harness.core.state.pending_forwards
--- a/jackdawspur/fuzz/tests/test_links.py
+++ b/jackdawspur/fuzz/tests/test_links.py
@@ -19,8 +19,8 @@
 )
 from jackdawspur.dispatch.tests.conftest import (
     CLUSTER_SPEC,
-    OWN,
-    SIBLING,
+    LOCAL_ID,
+    ZONE_PEER,
     CoreHarness,
     make_request,
 )
@@ -36,7 +36,7 @@
 )
 
 SOUTH = HostId("south", "e1", 5)
-HOSTS = st.sampled_from([OWN, SIBLING, SOUTH, HostId("", "", 0)])
+HOSTS = st.sampled_from([LOCAL_ID, ZONE_PEER, SOUTH, HostId("", "", 0)])
 SUBMISSIONS = st.builds(SubmissionId, HOSTS, st.integers(0, 4))
 NAMES = st.sampled_from(["roster", "maps", "", "nobody"])
 NUMBERS = st.floats() | st.floats(0.0, 9000.0)
@@ -58,20 +58,22 @@
 st.register_type_strategy(JobRequest, REQUESTS)
 WELL_FORMED = st.builds(
     Delegate,
-    st.builds(SubmissionId, st.just(SIBLING), st.integers(0, 3)),
+    st.builds(SubmissionId, st.just(ZONE_PEER), st.integers(0, 3)),
     st.builds(make_request, st.integers(1, 3)),
     st.floats(1.0, 4000.0),
 )
 MESSAGES = st.one_of(*(st.from_type(kind) for kind in get_args(Message))) | WELL_FORMED
 FRAME = encode(
-    Envelope(SIBLING, OWN, 3.0, Heartbeat(SIBLING, 1, True, True, 1, 2, 3, 4.0))
+    Envelope(
+        ZONE_PEER, LOCAL_ID, 3.0, Heartbeat(ZONE_PEER, 1, True, True, 1, 2, 3, 4.0)
+    )
 )
 OTHER = encode(
     Envelope(
-        SIBLING,
-        OWN,
+        ZONE_PEER,
+        LOCAL_ID,
         3.0,
-        Forward(1, "roster", SubmissionId(OWN, 1), True, make_request()),
+        Forward(1, "roster", SubmissionId(LOCAL_ID, 1), True, make_request()),
     )
 )
 
@@ -97,7 +99,7 @@
 def carried(message) -> Message | None:
     """Return a message as a link brings it, or None when none can carry it."""
     try:
-        return decode(encode(Envelope(SIBLING, OWN, 0.0, message))).message
+        return decode(encode(Envelope(ZONE_PEER, LOCAL_ID, 0.0, message))).message
     except (LinkError, OverflowError, UnicodeEncodeError):
         return None
 
@@ -113,11 +115,11 @@
 
     A sound job is submitted in between, and must be sent to an upstream exactly once.
     """
-    harness = CoreHarness(EntryCore(OWN, random.Random(1), 0.0))
+    harness = CoreHarness(EntryCore(LOCAL_ID, random.Random(1), 0.0))
     harness.send_event(ClusterSpecUpdated(CLUSTER_SPEC))
     harness.send_event(SubmissionIdsRequested(1, "roster", 2))
     harness.wait(0.6)
-    for turn, (sender, message) in enumerate([*sent, (SIBLING, None)]):
+    for turn, (sender, message) in enumerate([*sent, (ZONE_PEER, None)]):
         if turn == min(place, len(sent)):
             harness.send_event(Submitted(7, make_request(2), waits))
         brought = carried(message) if message is not None else None
@@ -131,4 +133,4 @@
     assert answered[7] == 1
     for effect in harness.effects:
         if isinstance(effect, SendPeerMessage):
-            encode(Envelope(OWN, effect.to, 0.0, effect.message))
+            encode(Envelope(LOCAL_ID, effect.to, 0.0, effect.message))
--- a/jackdawspur/fuzz/tests/two_hosts.py
+++ b/jackdawspur/fuzz/tests/two_hosts.py
@@ -23,7 +23,12 @@
     StopTasks,
     Tick,
 )
-from jackdawspur.dispatch.tests.conftest import CLUSTER_SPEC, OWN, SIBLING, UPSTREAMS
+from jackdawspur.dispatch.tests.conftest import (
+    CLUSTER_SPEC,
+    LOCAL_ID,
+    UPSTREAMS,
+    ZONE_PEER,
+)
 from jackdawspur.external import RefusalReason, StartVerdict, UpstreamReply
 from jackdawspur.messages import Heartbeat, Pulse
 from jackdawspur.model import Answer, HostId, TaskId, TaskOutcome, TaskState, UpstreamId
@@ -78,7 +83,7 @@
         self.answers: dict[int, Answer] = {}
         self.started: Counter[str] = Counter()
         self.not_run: set[str] = set()
-        for host in (OWN, SIBLING):
+        for host in (LOCAL_ID, ZONE_PEER):
             self.boot(host)
         self.tick(1.0)
 
@@ -211,7 +216,7 @@
         self.links = [one for one in self.links if not _is_beat(one[2])]
         for _, sender, effect in beats:
             peer = self.cores.get(effect.to.name)
-            if peer is not None and effect.to.zone == OWN.zone:
+            if peer is not None and effect.to.zone == LOCAL_ID.zone:
                 self.give(peer.host, PeerMessageReceived(sender, effect.message))
 
 
