--- a/jackdawspur/membership/tests/conftest.py
+++ b/jackdawspur/membership/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fake network that connects the views of several hosts on virtual time."""
+"""Fake network that connects the views of several hosts, in virtual time."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 from jackdawspur.model import ClusterSpec, EntryHost, HostId
 
 STEP = 0.05
-PACKET = 90
+PACKET_OVERHEAD = 90
 
 
 @dataclass
@@ -26,7 +26,7 @@
     now: float = 0.0
     partitioned: set[str] = field(default_factory=set)
     paused: set[HostId] = field(default_factory=set)
-    bad: dict[HostId, tuple] = field(default_factory=dict)
+    unhealthy_upstreams: dict[HostId, tuple] = field(default_factory=dict)
     usage: tuple[CustomerUsage, ...] = ()
     sent: Counter[HostId] = field(default_factory=Counter)
     received: Counter[HostId] = field(default_factory=Counter)
@@ -73,7 +73,10 @@
 
 
 def _size(sender, outgoing):
-    return len(encode(Envelope(sender, outgoing.to, 1000.5, outgoing.message))) + PACKET
+    return (
+        len(encode(Envelope(sender, outgoing.to, 1000.5, outgoing.message)))
+        + PACKET_OVERHEAD
+    )
 
 
 def build(zones, hosts):
--- a/jackdawspur/membership/tests/test_view.py
+++ b/jackdawspur/membership/tests/test_view.py
@@ -26,7 +26,7 @@
         assert network.views[host].zone_summary("zone-02").version == 7
 
 
-def test_a_dead_sibling_gives_up_its_slots_within_a_second(network, hosts):
+def test_a_dead_peer_gives_up_its_slots_within_a_second(network, hosts):
     """The slots of a dead host must not stay idle.
 
     Its heartbeats stop without notice, and the platform's list still contains it.
@@ -133,8 +133,8 @@
 def test_a_leaving_upstream_gets_no_tasks_although_the_list_lags(network, hosts):
     """An upstream that shuts down must get no tasks, although the list contains it.
 
-    It refuses one host with "leaving", which reports this by heartbeat. A stale list or
-    stale usage must not revert it.
+    It refuses a start of one host with "leaving". That host reports it by heartbeat. A
+    stale list or stale usage must not revert it.
     """
     first, zone_peer = (network.views[host] for host in hosts[:2])
     first.mark_leaving(LEAVING, network.now)
--- a/jackdawspur/sharing/tests/test_lending.py
+++ b/jackdawspur/sharing/tests/test_lending.py
@@ -105,7 +105,7 @@
     """Lender and borrower must not use the same slot, or starts are refused.
 
     Requests, grants and returns are lost, repeated, reordered or read after a pause
-    longer than the term; all within the time after which a lender reclaims its slots.
+    longer than the term. Everything happens before a lender reclaims lent slots.
     """
     pair = Pair()
     for name, *args in steps:
@@ -122,7 +122,7 @@
 
 
 @pytest.fixture
-def lent():
+def pair_with_loan():
     pair = Pair()
     for _ in range(8):
         pair.start(HOSTS[0])
@@ -133,9 +133,9 @@
     return pair
 
 
-def test_lent_slots_are_reclaimed_when_the_borrower_dies(lent):
+def test_lent_slots_are_reclaimed_when_the_borrower_dies(pair_with_loan):
     """The lender must not reuse slots of a dead borrower too early, nor lose them."""
-    lender = lent.pools[HOSTS[1]]
+    lender = pair_with_loan.pools[HOSTS[1]]
     assert lender.free(0.0) == 2
     lender.set_members(UPSTREAMS, HOSTS[1:], 0.5)
     assert lender.free(0.5) == 8 - 2
@@ -143,37 +143,37 @@
     assert lender.free(2.0) == 8
 
 
-def test_slots_of_a_lost_return_are_reclaimed_after_a_bounded_time(lent):
-    lender = lent.pools[HOSTS[1]]
+def test_slots_of_a_lost_return_are_reclaimed_after_a_bounded_time(pair_with_loan):
+    lender = pair_with_loan.pools[HOSTS[1]]
     lender.reclaim_expired(MAX_LOAN_TIME - 0.1)
     assert lender.free(1.0) == 2
     lender.reclaim_expired(MAX_LOAN_TIME)
     assert lender.free(1.0) == 4
 
 
-def test_a_borrower_starts_nothing_after_the_term(lent):
+def test_a_borrower_starts_nothing_after_the_term(pair_with_loan):
     """A borrower that resumes from a pause must not use slots of an expired loan.
 
     The term ends by the clock of the borrower, counted from its request.
     """
-    borrower = lent.pools[HOSTS[0]]
+    borrower = pair_with_loan.pools[HOSTS[0]]
     assert borrower.free(LOAN_TERM - 0.01) == 2
     assert borrower.free(LOAN_TERM) == 0
     (outgoing,) = borrower.release_idle_slots(5, LOAN_TERM)
     assert sum(item.slots for item in outgoing.message.slots) == 2
 
 
-def test_a_task_that_outlasts_the_term_keeps_its_slot(lent):
-    lent.start(HOSTS[0])
-    borrower = lent.pools[HOSTS[0]]
+def test_a_task_that_outlasts_the_term_keeps_its_slot(pair_with_loan):
+    pair_with_loan.start(HOSTS[0])
+    borrower = pair_with_loan.pools[HOSTS[0]]
     (outgoing,) = borrower.release_idle_slots(0, LOAN_TERM)
-    lent.pools[HOSTS[1]].accept_return(HOSTS[0], outgoing.message)
-    assert lent.pools[HOSTS[1]].free(LOAN_TERM) == 3
-    lent.end(HOSTS[0])
+    pair_with_loan.pools[HOSTS[1]].accept_return(HOSTS[0], outgoing.message)
+    assert pair_with_loan.pools[HOSTS[1]].free(LOAN_TERM) == 3
+    pair_with_loan.end(HOSTS[0])
     (outgoing,) = borrower.release_idle_slots(0, LOAN_TERM + 1)
-    lent.pools[HOSTS[1]].accept_return(HOSTS[0], outgoing.message)
-    lent.pools[HOSTS[1]].accept_return(HOSTS[0], outgoing.message)
-    assert lent.pools[HOSTS[1]].free(LOAN_TERM + 1) == 4
+    pair_with_loan.pools[HOSTS[1]].accept_return(HOSTS[0], outgoing.message)
+    pair_with_loan.pools[HOSTS[1]].accept_return(HOSTS[0], outgoing.message)
+    assert pair_with_loan.pools[HOSTS[1]].free(LOAN_TERM + 1) == 4
 
 
 def test_lending_is_faster_than_a_fixed_division_under_uneven_load():
@@ -184,13 +184,13 @@
     assert lending.refused == 0
 
 
-def test_a_return_of_more_than_was_lent_frees_no_more(lent):
+def test_a_return_of_more_than_was_lent_frees_no_more(pair_with_loan):
     """A lender must not use more slots than it lent, or its starts are refused.
 
     A faulty or repeated return names more slots than the grant did, and an upstream
     that was not lent.
     """
-    lender = lent.pools[HOSTS[1]]
+    lender = pair_with_loan.pools[HOSTS[1]]
     slots = tuple(UpstreamSlots(upstream.id, 100) for upstream in UPSTREAMS)
     other = UpstreamSlots(UpstreamId(ZONE, "up-9"), 5)
     lender.accept_return(HOSTS[0], SlotReturn(1, (*slots, other)))
@@ -199,12 +199,12 @@
     assert lender.free(0.0) == 4
 
 
-def test_a_late_grant_is_returned(lent):
+def test_a_late_grant_is_returned(pair_with_loan):
     """A grant for a request that its borrower has dropped must be returned.
 
     Otherwise its slots would stay idle at the borrower until the lender reclaims them.
     """
-    borrower = lent.pools[HOSTS[0]]
+    borrower = pair_with_loan.pools[HOSTS[0]]
     late = SlotGrant(99, 500.0, (UpstreamSlots(UPSTREAMS[0].id, 3),), request=98)
     (outgoing,) = borrower.accept_grant(HOSTS[1], late, 1.0)
     assert (outgoing.to, outgoing.message) == (HOSTS[1], SlotReturn(99, late.slots))
@@ -236,10 +236,13 @@
     assert lender.free(0.1) == 1
 
 
-def test_an_unknown_host_borrows_nothing(lent):
+def test_an_unknown_host_borrows_nothing(pair_with_loan):
     unknown_host = HostId("zone-2", "entry-0", 1)
-    assert lent.pools[HOSTS[1]].lend(unknown_host, SlotRequest(1, 1), 0, 0.0) is None
-    assert lent.pools[HOSTS[1]].free(0.0) == 2
+    assert (
+        pair_with_loan.pools[HOSTS[1]].lend(unknown_host, SlotRequest(1, 1), 0, 0.0)
+        is None
+    )
+    assert pair_with_loan.pools[HOSTS[1]].free(0.0) == 2
 
 
 def _count(grant):
--- a/jackdawspur/sharing/tests/test_slot_pool.py
+++ b/jackdawspur/sharing/tests/test_slot_pool.py
@@ -41,14 +41,14 @@
 def test_tasks_spread_over_upstreams_and_racks(upstreams, hosts):
     pool = SlotPool(hosts[0])
     pool.set_members(upstreams, hosts, 0.0)
-    names = []
+    chosen_upstreams = []
     for _ in range(8):
-        names.extend(pool.select_slots(1, 0.0))
-        pool.acquire(names[-1], 0.0)
-    counts = Counter(names)
+        chosen_upstreams.extend(pool.select_slots(1, 0.0))
+        pool.acquire(chosen_upstreams[-1], 0.0)
+    counts = Counter(chosen_upstreams)
     assert len(counts) == 8
     racks = {upstream.id: upstream.rack for upstream in upstreams}
-    assert Counter(racks[name] for name in names[:4]) == {"r0": 2, "r1": 2}
+    assert Counter(racks[name] for name in chosen_upstreams[:4]) == {"r0": 2, "r1": 2}
 
 
 def test_packing_uses_few_upstreams_to_save_messages(upstreams, hosts):
@@ -61,10 +61,12 @@
 def test_excluded_and_limited_upstreams_are_respected(upstreams, hosts):
     pool = SlotPool(hosts[0])
     pool.set_members(upstreams, hosts, 0.0)
-    bad, slow = upstreams[0].id, upstreams[1].id
+    excluded_upstream, slow = upstreams[0].id, upstreams[1].id
     pool.acquire(slow, 0.0)
-    chosen = Counter(pool.select_slots(100, 0.0, excluded={bad}, limits={slow: 2}))
-    assert chosen[bad] == 0
+    chosen = Counter(
+        pool.select_slots(100, 0.0, excluded={excluded_upstream}, limits={slow: 2})
+    )
+    assert chosen[excluded_upstream] == 0
     assert chosen[slow] == 1
     assert chosen.total() == 6 * 4 + 1
 
--- a/jackdawspur/sharing/tests/trial.py
+++ b/jackdawspur/sharing/tests/trial.py
@@ -1,4 +1,4 @@
-"""Comparison of policies for sharing the slots of a zone, on virtual time.
+"""Comparison of policies for sharing the slots of a zone, in virtual time.
 
 Run it as a module to print the table quoted in docs/design/sharing.md.
 """
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Policy for sharing slots; `reserve` slots are borrowed ahead of need."""
+    """Policy for sharing slots; `reserve` slots are borrowed ahead of need.
+
+    With `whole_upstreams`, each upstream belongs to one host. With `undivided`, every
+    host uses all slots; with `single_host`, one host gets all jobs.
+    """
 
     name: str
     lends: bool = False
@@ -58,13 +62,16 @@
     refused: int = 0
     messages: int = 0
 
-    def quantile(self, share: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """Return a quantile of the waits."""
-        return sorted(self.waits)[int(share * (len(self.waits) - 1))]
+        return sorted(self.waits)[int(fraction * (len(self.waits) - 1))]
 
 
 class Trial:
-    """Simulation of two hosts that share eight upstreams of eight slots."""
+    """Simulation of two hosts that share eight upstreams of eight slots.
+
+    `skew` is the fraction of jobs that arrive at the first host.
+    """
 
     def __init__(
         self, policy: Policy, load: float, seed: int, skew: float = 0.5
@@ -139,7 +146,9 @@
     def _start(self, now, host, upstream, task) -> None:
         if self._busy[upstream] >= SLOTS:
             self.result.refused += 1
-            self._schedule(now + NETWORK_LATENCY, self._refused, host, upstream, task)
+            self._schedule(
+                now + NETWORK_LATENCY, self._handle_refusal, host, upstream, task
+            )
             return
         self._busy[upstream] += 1
         self.result.waits.append(now - NETWORK_LATENCY - task.arrived)
@@ -150,16 +159,16 @@
             return self._rng.uniform(2.0, 5.0)
         return self._rng.uniform(0.05, 0.68)
 
-    def _refused(self, now, host, upstream, task) -> None:
+    def _handle_refusal(self, now, host, upstream, task) -> None:
         self.pools[host].release(upstream)
         self.pools[host].start_backoff(upstream, now)
         self.queues[host].appendleft(task)
 
     def _end(self, now, host, upstream) -> None:
         self._busy[upstream] -= 1
-        self._schedule(now + NETWORK_LATENCY, self._ended, host, upstream)
+        self._schedule(now + NETWORK_LATENCY, self._handle_end, host, upstream)
 
-    def _ended(self, now, host, upstream) -> None:
+    def _handle_end(self, now, host, upstream) -> None:
         self.pools[host].release(upstream)
         self._dispatch(now, host)
 
@@ -204,7 +213,7 @@
 
 
 def table(seconds: float, seeds: range) -> list[str]:
-    """Return one line per policy and load."""
+    """Return one line per skew, load and policy."""
     lines = []
     for skew, load, policy in itertools.product((0.5, 0.7), (0.7, 0.9), POLICIES):
         results = [Trial(policy, load, seed, skew).run(seconds) for seed in seeds]
