--- a/jackdawspur/entry/tests/helpers.py
+++ b/jackdawspur/entry/tests/helpers.py
@@ -97,16 +97,16 @@
     return program
 
 
-def finish_load(program: Program, own_starts: int = 0) -> dict:
+def finish_load(program: Program, other_tasks: int = 0) -> dict:
     """Check that every invariant held in a load, and return its report.
 
-    `own_starts` is the number of tasks that the test itself started meanwhile. The load
-    can't distinguish them from tasks that ran although reported as not run.
+    `other_tasks` is the number of tasks that the test itself started meanwhile. The
+    load can't distinguish them from tasks that ran although reported as not run.
     """
     status = program.wait()
     report = msgspec.json.decode(program.output.splitlines()[-1])
     excess = report["not_run_but_started"]
-    assert excess <= own_starts, report
+    assert excess <= other_tasks, report
     assert status == (ExitCode.BROKEN if excess else ExitCode.OK), report
     for count in ("tasks_started_twice", "partial", "wrong", "unanswered"):
         assert report[count] == 0, report
--- a/jackdawspur/entry/tests/raw_callers.py
+++ b/jackdawspur/entry/tests/raw_callers.py
@@ -46,7 +46,7 @@
 
     @property
     def submitted(self):
-        return [each for each in self.events if isinstance(each, Submitted)]
+        return [event for event in self.events if isinstance(event, Submitted)]
 
 
 @dataclass
@@ -77,19 +77,19 @@
 
     def receive(self) -> None:
         try:
-            more = self.sock.recv(65536)
-            self.closed = not more
-            self.data += more
+            chunk = self.sock.recv(65536)
+            self.closed = not chunk
+            self.data += chunk
         except BlockingIOError:
             pass
 
     def reply(self) -> Reply:
-        def whole() -> bool:
+        def is_complete() -> bool:
             self.receive()
             head, found, body = self.data.partition(b"\r\n\r\n")
             return bool(found) and len(body) >= _length(head)
 
-        self._loop.until(whole)
+        self._loop.until(is_complete)
         head, _, body = self.data.partition(b"\r\n\r\n")
         length = _length(head)
         self.data = body[length:]
--- a/jackdawspur/entry/tests/session.py
+++ b/jackdawspur/entry/tests/session.py
@@ -2,7 +2,7 @@
 
 import re
 
-RUN = re.compile(r"\b([a-z]+\.e\d+)\.([0-9a-f]{6,})\b")
+INCARNATION = re.compile(r"\b([a-z]+\.e\d+)\.([0-9a-f]{6,})\b")
 PLAN = re.compile(r"\b[0-9a-f]{16}\b")
 CHANGE = re.compile(
     r"^(?P<head>(?:version \d+|-) (?P<state>\w+) plan (?P<plan><plan \d+>)\n    )"
@@ -27,24 +27,26 @@
 
     def __init__(self) -> None:
         self._plans: dict[str, str] = {}
-        self._runs: dict[str, list[str]] = {}
+        self._incarnations: dict[str, list[str]] = {}
         self._times: dict[str, list[str]] = {}
         self._seen_confirms: set[str] = set()
 
     def normalise(self, text: str) -> str:
         """Return the text with placeholders instead of values."""
         text = PLAN.sub(lambda m: self._plan_placeholder(m[0]), text)
-        text = RUN.sub(lambda m: f"{m[1]}.<run {self._run_number(m[1], m[2])}>", text)
+        text = INCARNATION.sub(
+            lambda m: f"{m[1]}.<run {self._incarnation_number(m[1], m[2])}>", text
+        )
         text = CHANGE.sub(self._replace_change, text)
-        return CONFIRM_REPLY.sub(self._replace_reached, text)
+        return CONFIRM_REPLY.sub(self._replace_confirm_reply, text)
 
     def _plan_placeholder(self, plan: str) -> str:
         return self._plans.setdefault(plan, f"<plan {len(self._plans) + 1}>")
 
-    def _run_number(self, host: str, run: str) -> int:
-        return _index(self._runs.setdefault(host, []), run)
+    def _incarnation_number(self, host: str, incarnation: str) -> int:
+        return _index(self._incarnations.setdefault(host, []), incarnation)
 
-    def _replace_reached(self, match: re.Match[str]) -> str:
+    def _replace_confirm_reply(self, match: re.Match[str]) -> str:
         if match["plan"] in self._seen_confirms:
             return match[0]
         self._seen_confirms.add(match["plan"])
@@ -52,9 +54,9 @@
 
     def _replace_change(self, match: re.Match[str]) -> str:
         kind = "proposed" if match["state"] in PROPOSED else "confirmed"
-        of = f"{match['plan']} {kind}"
-        index = _index(self._times.setdefault(of, []), match["time"])
-        return f"{match['head']}<time {index} of {of}>"
+        subject = f"{match['plan']} {kind}"
+        index = _index(self._times.setdefault(subject, []), match["time"])
+        return f"{match['head']}<time {index} of {subject}>"
 
 
 def _index(known: list[str], value: str) -> int:
--- a/jackdawspur/entry/tests/test_bad_input.py
+++ b/jackdawspur/entry/tests/test_bad_input.py
@@ -93,10 +93,9 @@
     ],
 )
 def test_bad_body_names_its_field_and_ran_nothing(host, call, body, named):
-    """A caller sends an invalid job.
+    """The reply to an invalid job must name the field and say that nothing ran.
 
-    The reply names the invalid field and says that nothing ran. The connection stays
-    open for the caller's next job.
+    The connection must stay open for the caller's next job.
     """
     caller = call()
     caller.send(request(body))
@@ -117,10 +116,10 @@
 
 
 def test_keyed_job_may_not_outlive_its_key(host, call):
-    """A keyed job with a deadline of an hour is repeated and runs twice.
+    """A keyed job must not run twice because its key expires before its deadline.
 
-    The repeat comes after the key has expired, after ten minutes, while the first job
-    is still waiting.
+    With a deadline of an hour, a repeat could come after the key has expired, after ten
+    minutes, while the first job is still waiting.
     """
     caller = call()
     long_job = JOB | {"deadline_ms": 3_600_000}
@@ -297,7 +296,7 @@
 
 
 def test_host_header_without_a_port_number_is_accepted(call):
-    """Such a header made circuits raise, and the caller waited without an answer."""
+    """circuits raised on such a header, and the caller never got an answer."""
     caller = call()
     caller.send(request(JOB).replace(b"Host: e1", b"Host: x:yy"))
     assert caller.reply().status == 200
@@ -320,10 +319,10 @@
 
 
 def test_idle_connections_lock_no_caller_out(loop, host, call, monkeypatch):
-    """A caller leaks idle connections up to the host's limit.
+    """A caller that leaks idle connections must not keep others from connecting.
 
-    An idle connection is closed for a new one. If all are in use, a new one is refused
-    with an answer.
+    At the host's limit, an idle connection is closed for a new one. If all are in use,
+    a new one is refused with an answer.
     """
     monkeypatch.setattr(web, "MAX_CONNECTIONS", 4)
     idle = [call() for _ in range(6)]
@@ -352,7 +351,7 @@
 
 
 def test_closed_connections_leave_nothing_behind(loop, host, call):
-    """The memory of a host grows with each connection that ended abnormally.
+    """Connections that ended abnormally must not make the memory of a host grow.
 
     circuits keeps the parsers, requests and buffers of sockets until a reply is sent.
     """
--- a/jackdawspur/entry/tests/test_ids_and_upstreams.py
+++ b/jackdawspur/entry/tests/test_ids_and_upstreams.py
@@ -21,7 +21,7 @@
 
 
 def test_issued_id_runs_once_whichever_host_is_asked(restored):
-    """A caller repeats a job at another host after a broken connection; it runs twice.
+    """A job must not run twice if its caller repeats it at another host.
 
     The id is issued by one host. The job is submitted at a second one, again at a
     third, and polled at a fourth.
@@ -42,7 +42,7 @@
 
 
 def test_issued_id_is_cancelled_from_a_third_host(restored):
-    """A cancelled job still runs, because another host than its owner got the call."""
+    """A job must be cancelled even if another host than its owner gets the call."""
     issuer, second, third, fourth = restored.hosts
     path = _issue(issuer)
     body = job(20_000, 2, idempotent=False)
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("number", range(3))
 def test_key_used_at_two_hosts_at_once_runs_once(restored, number):
-    """A keyed job runs twice because the caller's retry overtakes its first request."""
+    """A keyed job must not run twice if a retry overtakes the first request."""
     before = restored.starts()
     body = job(400, 2, idempotent=False)
     barrier = Barrier(2)
@@ -83,7 +83,7 @@
 
 
 def test_leaving_upstream_gets_nothing_new_though_the_list_lags(restored):
-    """Jobs fail on an upstream that is about to be switched off.
+    """Jobs must not fail because they are sent to an upstream that is shutting down.
 
     The upstream reports in its replies that it is leaving; the host list shows it half
     a minute later. The hosts must learn it from the replies and from each other within
@@ -91,15 +91,18 @@
     """
     lag = {"lag_ms": LIST_LAG_MS}
     call(restored.settings.host_list.address, "POST", "/faults", body=lag)
-    leaving, *rest = restored.upstreams()
+    leaving, *other_upstreams = restored.upstreams()
     load = start_load(restored, LEAVING_S + 3.0, 0.5)
     restored.set_leaving(leaving)
     try:
         time.sleep(LEAVING_S)
         counters_before = restored.counters(leaving)
-        other_tasks = sum(restored.counters(a).starts for a in rest)
+        other_tasks = sum(restored.counters(a).starts for a in other_upstreams)
         wait_until(
-            lambda: sum(restored.counters(a).starts for a in rest) >= other_tasks + 100,
+            lambda: (
+                sum(restored.counters(a).starts for a in other_upstreams)
+                >= other_tasks + 100
+            ),
             "starts elsewhere",
         )
         counters_after = restored.counters(leaving)
--- a/jackdawspur/entry/tests/test_kill_and_stop.py
+++ b/jackdawspur/entry/tests/test_kill_and_stop.py
@@ -20,7 +20,7 @@
 
 
 def test_kill_under_load_starts_nothing_twice(restored):
-    """A caller repeats a request after its host crashed, and the request runs twice.
+    """A request must not run twice if its caller repeats it after its host crashed.
 
     The host is killed while keyed requests that must not run twice are in progress.
     Their caller repeats them at another host, under load from other callers.
@@ -48,7 +48,7 @@
 
 
 def test_pause_under_load_starts_nothing_twice(restored):
-    """A host is suspended for seconds and resumes with outdated state.
+    """A host that resumes after seconds with outdated state must start nothing twice.
 
     Meanwhile its peers took over its slots and the deadlines of its callers passed.
     The leases of the upstreams and the host's own detection of the pause must prevent
@@ -74,7 +74,7 @@
 
 
 def test_sigterm_under_load_answers_everything(restored):
-    """A rollout of a new version loses jobs of callers.
+    """A rollout of a new version must not lose jobs of callers.
 
     The host gets SIGTERM while jobs are in flight. It must refuse new ones with "not
     run", answer those that it has, and exit with status 0.
@@ -99,7 +99,7 @@
 
 
 def test_second_sigterm_ends_at_once_with_clear_failures(restored):
-    """An operator stops a draining host at once, and callers get broken connections.
+    """Callers must get answers even if an operator stops a draining host at once.
 
     Long jobs are in flight at the first signal. At the second, the host must exit long
     before they end, after it has answered each caller with what is known.
--- a/jackdawspur/entry/tests/test_never_back.py
+++ b/jackdawspur/entry/tests/test_never_back.py
@@ -33,7 +33,7 @@
 
 
 def test_restarts_with_the_log_down_keep_the_version(restored):
-    """An operator's change is lost by restarts during an outage of the log.
+    """Restarts during an outage of the log must not lose an operator's change.
 
     After the change is confirmed, the log goes down. All hosts are restarted one by
     one, then all but one at once. Without the records of its peers a host would serve
@@ -59,7 +59,7 @@
 
 
 def test_host_alone_without_the_log_is_not_ready(restored):
-    """A host without a configuration accepts a job and loses it.
+    """A host without a configuration must not accept a job, which it would lose.
 
     One host starts while the log and all other hosts are down. It can't get a
     configuration, so it must report the reason and refuse jobs with "not run". After
@@ -112,14 +112,14 @@
     return ids, list(CALLER_POOL.map(confirm, range(len(OPERATORS))))
 
 
-def _order(host) -> list:
+def _change_order(host) -> list:
     history = host.call("GET", "/admin/v1/history", OPERATORS[0]).json["body"]
     return [(c["plan"], c["version"], c["operator"]) for c in history["changes"]]
 
 
 @pytest.mark.parametrize("number", [1, 2])
 def test_race_has_one_winner_and_one_order(restored, number):
-    """Two operators both get the reply that their change is in force.
+    """Two operators must not both get the reply that their change is in force.
 
     Eight operators confirm plans on the same version at different hosts. The log loses
     replies to appends that took effect, so hosts append again without knowing the
@@ -137,7 +137,7 @@
     for host in restored.hosts:
         again = restored.confirm(host, plan)
         assert (again.status, again.json["body"]["version"]) == (200, version)
-    orders = [_order(host) for host in restored.hosts]
+    orders = [_change_order(host) for host in restored.hosts]
     assert all(order == orders[0] for order in orders)
     assert [entry for entry in orders[0] if entry[0] in ids] == [
         (plan, version, winner.json["body"]["operator"])
@@ -149,7 +149,7 @@
 
 
 def test_invalid_intent_shows_every_error_and_appends_nothing(deployment):
-    """An operator must fix errors one by one, with a refusal for each."""
+    """An operator must not have to fix errors one by one, with a refusal for each."""
     host = deployment.hosts[0]
     before = _appends(host)
     customer = {"name": "UPPER", "token_sha256": ["short"], "quota_slots": 0}
@@ -170,7 +170,7 @@
 
 
 def test_operators_without_the_right_see_and_change_nothing(deployment):
-    """A caller without a token or the necessary right changes a quota."""
+    """A caller without a token or the necessary right must not change a quota."""
     host = deployment.hosts[0]
     before = _appends(host), host.version()
     for token, status in (
@@ -194,7 +194,7 @@
 
 
 def test_stale_plan_conflicts_with_the_changes_since(restored):
-    """A plan made before another change reverts that change."""
+    """A plan made before another change must not revert that change."""
     stale = restored.plan(restored.hosts[1], quota_intent(20, "stale"))
     version = change_quota(restored, 21)
     refused = restored.confirm(restored.hosts[2], stale.json["body"]["id"])
