--- a/jackdawspur/configuration/tests/conftest.py
+++ b/jackdawspur/configuration/tests/conftest.py
@@ -117,7 +117,7 @@
         self.hosts[name] = host
         return host
 
-    def ask(self, name, kind, token, *args):
+    def send_request(self, name, kind, token, *args):
         """Send a request to a host; return the number of the call."""
         self._calls += 1
         host = self.hosts[name]
@@ -125,9 +125,9 @@
         self._execute_all(host, host.operator_api.handle(self.now, request))
         return self._calls
 
-    def answered(self, name, kind, token, *args, within=8.0):
+    def request_reply(self, name, kind, token, *args, within=8.0):
         """Send a request, run until its reply and return the reply."""
-        call = self.ask(name, kind, token, *args)
+        call = self.send_request(name, kind, token, *args)
         end = self.now + within
         while call not in self.replies and self.now < end:
             self.run(STEP_S)
@@ -135,8 +135,8 @@
 
     def change(self, name, token, intent):
         """Plan and confirm an intent; return the reply to the confirm."""
-        plan = self.answered(name, PlanAsked, token, json.dumps(intent)).body
-        return self.answered(name, ConfirmAsked, token, plan.id)
+        plan = self.request_reply(name, PlanAsked, token, json.dumps(intent)).body
+        return self.request_reply(name, ConfirmAsked, token, plan.id)
 
     def run(self, seconds):
         end = self.now + seconds - 1e-9
--- a/jackdawspur/configuration/tests/test_desk.py
+++ b/jackdawspur/configuration/tests/test_desk.py
@@ -24,27 +24,29 @@
 
 
 def plan(cluster, name, token, intent):
-    return cluster.answered(name, PlanAsked, token, json.dumps(intent))
+    return cluster.request_reply(name, PlanAsked, token, json.dumps(intent))
 
 
 def test_whole_session(cluster, document, snapshot):
     """Two operators plan on the same version; one wins, the other gets a conflict."""
     texts = []
 
-    def note(reply):
+    def record(reply):
         texts.append(format_operator_reply(reply))
         texts.append(msgspec.json.encode(reply).decode() + "\n")
         return reply
 
-    first = note(plan(cluster, FIRST, ANN, quota_intent(document, 100, "busy week")))
-    second = note(plan(cluster, LAST, BEN, quota_intent(document, 50, "cut costs")))
-    note(cluster.answered(LAST, ConfirmAsked, ANN, first.body.id))
+    first = record(plan(cluster, FIRST, ANN, quota_intent(document, 100, "busy week")))
+    second = record(plan(cluster, LAST, BEN, quota_intent(document, 50, "cut costs")))
+    record(cluster.request_reply(LAST, ConfirmAsked, ANN, first.body.id))
     cluster.run(1.0)
-    note(cluster.answered(FIRST, ConfirmAsked, ANN, first.body.id))
-    note(cluster.answered(LAST, ConfirmAsked, BEN, second.body.id))
-    note(cluster.answered(FIRST, PlanAsked, ANN, '{"reason": "x", "changes": [{}]}'))
-    note(cluster.answered(FIRST, HistoryAsked, VIEWER))
-    note(cluster.answered(FIRST, StatusAsked, VIEWER))
+    record(cluster.request_reply(FIRST, ConfirmAsked, ANN, first.body.id))
+    record(cluster.request_reply(LAST, ConfirmAsked, BEN, second.body.id))
+    record(
+        cluster.request_reply(FIRST, PlanAsked, ANN, '{"reason": "x", "changes": [{}]}')
+    )
+    record(cluster.request_reply(FIRST, HistoryAsked, VIEWER))
+    record(cluster.request_reply(FIRST, StatusAsked, VIEWER))
     assert "\n".join(texts) == snapshot
 
 
@@ -54,7 +56,7 @@
 )
 def test_wrong_token_gets_no_data(cluster, kind, token, status):
     records = len(cluster.log.records)
-    reply = cluster.answered(FIRST, kind, token, "{}")
+    reply = cluster.request_reply(FIRST, kind, token, "{}")
     assert reply.status == status
     assert reply.body is None and reply.page
     assert len(cluster.log.records) == records
@@ -63,13 +65,13 @@
 
 def test_audit_of_refusals_stays_bounded(cluster):
     for _ in range(1000):
-        cluster.ask(FIRST, StatusAsked, "guess")
+        cluster.send_request(FIRST, StatusAsked, "guess")
     operator_api = cluster.hosts[FIRST].operator_api
     assert operator_api.refusals == 1000 and len(operator_api.audit) == 256
 
 
 def test_bootstrap_token_ends_with_the_first_configuration(cluster):
-    reply = cluster.answered(FIRST, StatusAsked, "example-bootstrap-token")
+    reply = cluster.request_reply(FIRST, StatusAsked, "example-bootstrap-token")
     assert reply.code is OperatorReplyCode.UNAUTHORIZED
 
 
@@ -94,9 +96,9 @@
     """The load balancer sends the confirm to a host that hasn't read the plan yet."""
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
     assert cluster.hosts[LAST].replica.state_machine.plan(planned.body.id) is None
-    reply = cluster.answered(LAST, ConfirmAsked, ANN, planned.body.id)
+    reply = cluster.request_reply(LAST, ConfirmAsked, ANN, planned.body.id)
     assert reply.code is OperatorReplyCode.OK
-    unknown = cluster.answered(LAST, ConfirmAsked, ANN, "0123456789abcdef")
+    unknown = cluster.request_reply(LAST, ConfirmAsked, ANN, "0123456789abcdef")
     assert unknown.code is OperatorReplyCode.NOT_FOUND
 
 
@@ -123,11 +125,13 @@
 def test_confirm_that_never_reaches_the_log_changes_nothing(cluster, document):
     planned = plan(cluster, FIRST, ANN, quota_intent(document, 100))
     cluster.log_up = False
-    reply = cluster.answered(FIRST, ConfirmAsked, ANN, planned.body.id)
+    reply = cluster.request_reply(FIRST, ConfirmAsked, ANN, planned.body.id)
     assert reply.code is OperatorReplyCode.LOG_UNAVAILABLE
     cluster.log_up = True
     cluster.run(8.0)
-    assert cluster.answered(FIRST, ConfirmAsked, ANN, planned.body.id).status == 200
+    assert (
+        cluster.request_reply(FIRST, ConfirmAsked, ANN, planned.body.id).status == 200
+    )
 
 
 def test_unknown_outcome_is_reported_as_unknown(cluster, document):
--- a/jackdawspur/configuration/tests/test_everywhere.py
+++ b/jackdawspur/configuration/tests/test_everywhere.py
@@ -25,7 +25,7 @@
     reply = cluster.change(FIRST, ANN, quota_intent(document, 100))
     assert reply.code is OperatorReplyCode.OK
     cluster.run(1.0)
-    status = cluster.answered("north-c.e2", StatusAsked, ANN).body
+    status = cluster.request_reply("north-c.e2", StatusAsked, ANN).body
     assert status.changes[-1].state is ChangeState.ACCEPTED
     assert set(cluster.versions().values()) == {reply.body.version}
 
@@ -43,10 +43,14 @@
     for index in range(8):
         intent = json.dumps(quota_intent(document, 50 + index, f"operator {index}"))
         name = names[index % len(names)]
-        plans.append((name, cluster.answered(name, PlanAsked, ANN, intent).body.id))
+        plans.append(
+            (name, cluster.request_reply(name, PlanAsked, ANN, intent).body.id)
+        )
     cluster.run(1.0)
     cluster.lose_replies, cluster.rng = 0.5, random.Random(seed)
-    calls = [cluster.ask(name, ConfirmAsked, ANN, plan) for name, plan in plans]
+    calls = [
+        cluster.send_request(name, ConfirmAsked, ANN, plan) for name, plan in plans
+    ]
     cluster.run(7.0)
     replies = [cluster.replies[call] for call in calls]
     won = [reply for reply in replies if reply.code is OperatorReplyCode.OK]
@@ -70,7 +74,7 @@
 
 
 def test_zone_without_the_log_gets_versions_from_other_zones(cluster, document):
-    """A zone loses its connection to the log but not to the other zones.
+    """A zone that can reach the other zones but not the log must get new versions.
 
     Its hosts' reads fail while an operator confirms in another zone. They learn of
     the version from heartbeats and request the records, within 2 s.
@@ -98,7 +102,7 @@
     }
     plan = cluster.change(FIRST, ANN, quota_intent(document, 100)).body.plan
     cluster.run(2.0)
-    change = cluster.answered(FIRST, ConfirmAsked, ANN, plan).body
+    change = cluster.request_reply(FIRST, ConfirmAsked, ANN, plan).body
     assert change.state is ChangeState.IN_FORCE
     assert change.lacking == ("north-c",)
     assert cluster.hosts["north-c.e1"].replica.version == old
@@ -106,7 +110,7 @@
     cluster.zones_without_log.clear()
     cluster.partitioned.clear()
     cluster.run(6.0)
-    change = cluster.answered(FIRST, ConfirmAsked, ANN, plan).body
+    change = cluster.request_reply(FIRST, ConfirmAsked, ANN, plan).body
     assert change.state is ChangeState.ACCEPTED
 
 
@@ -182,22 +186,22 @@
 
 
 def test_trimmed_log_without_a_snapshot(cluster):
-    """The log was trimmed past the first record and holds no snapshot.
+    """The log was trimmed and holds neither the first record nor a snapshot.
 
     A host that starts alone isn't ready and reports the cause. It becomes ready with
     a peer that still has the state.
     """
     names = list(cluster.hosts)
-    kept = cluster.hosts[names[1]]
+    remaining_host = cluster.hosts[names[1]]
     cluster.log.records = []
     cluster.log.first = cluster.log.next_offset
     cluster.hosts = {}
     host = cluster.start(FIRST)
     cluster.run(6.0)
     assert host.replica.readiness.reason is ReadinessReason.LOG_TRIMMED
-    cluster.hosts[names[1]] = kept
+    cluster.hosts[names[1]] = remaining_host
     cluster.run(3.0)
-    assert host.replica.version == kept.replica.version
+    assert host.replica.version == remaining_host.replica.version
     assert host.replica.state_machine.contiguous
 
 
@@ -208,8 +212,8 @@
     host gets the same state from the snapshot.
     """
     cluster.run(40.0)
-    taken = [r for r in cluster.log.records if '"kind":"snapshot"' in r.body]
-    assert len(taken) == 1
+    snapshots = [r for r in cluster.log.records if '"kind":"snapshot"' in r.body]
+    assert len(snapshots) == 1
     cluster.zones_without_log.add("north-a")
     version = cluster.change("north-b.e1", ANN, quota_intent(document, 90)).body.version
     cluster.now += 3600.0
--- a/jackdawspur/configuration/tests/test_replica.py
+++ b/jackdawspur/configuration/tests/test_replica.py
@@ -48,10 +48,11 @@
 def test_records_of_a_lagging_peer_do_not_make_ready(
     cluster, document, replica, relayed
 ):
-    """The log is down at a cold start; the records of a lagging peer arrive first.
+    """A starting host must not serve the records of a lagging peer.
 
-    Serving them would put an older version into force than this host's zone already
-    has. The host waits for the newest version that a peer or a relay has reported.
+    The log is down, and these records arrive first. Serving them would put an older
+    version into force than this host's zone already has. The host waits for the newest
+    version that a peer or a relay has reported.
     """
     old = tuple(cluster.log.records)
     version = cluster.change(
@@ -64,8 +65,8 @@
     replica.handle(
         0.1, HeartbeatReceived(heartbeat(REMOTE_PEER, old[-1].offset, zones=zones))
     )
-    own = old[-1].offset if relayed else version
-    replica.handle(0.1, HeartbeatReceived(heartbeat(ZONE_PEER, own)))
+    zone_version = old[-1].offset if relayed else version
+    replica.handle(0.1, HeartbeatReceived(heartbeat(ZONE_PEER, zone_version)))
     effects = replica.handle(0.2, RecordsReceived(REMOTE_PEER, RecordsPassed(old)))
     assert replica.readiness.reason is ReadinessReason.BEHIND_PEERS
     assert not any(isinstance(effect, ActivateConfiguration) for effect in effects)
@@ -82,19 +83,19 @@
 def test_zone_known_only_from_a_relay_is_asked_for_records(replica):
     """A zone has lost the log; a relay reports that another zone has a newer version.
 
-    No host of that zone sends heartbeats to this one directly. Any of its hosts has
-    the records, and those that don't answer must not delay a cold start.
+    No host of that other zone sends heartbeats to this one directly. Any of its hosts
+    has the records, and those that don't answer must not delay a cold start.
     """
     third_zone_peer = HostId("north-c", "e1", 1)
     replica.handle(0.0, LogReadFailed("down"))
     replica.handle(0.1, LivePeersChanged((ZONE_PEER, third_zone_peer)))
     ahead = heartbeat(ZONE_PEER, 3, zones=(ZoneStatus("north-c", 9),))
     effects = replica.handle(0.7, HeartbeatReceived(ahead))
-    asked = [e.to for e in effects if isinstance(e, RequestRecords)]
+    requested_from = [e.to for e in effects if isinstance(e, RequestRecords)]
     for step in range(20):
         effects = replica.handle(1.0 + step, ReplicaTick(0.0))
-        asked += [e.to for e in effects if isinstance(e, RequestRecords)]
-    assert third_zone_peer in asked
+        requested_from += [e.to for e in effects if isinstance(e, RequestRecords)]
+    assert third_zone_peer in requested_from
 
 
 def test_reconnected_host_closes_its_gap_in_a_trimmed_log(cluster, document):
@@ -103,20 +104,20 @@
     Nothing was confirmed meanwhile, so its version is still current. The host can't
     know that and must not decide on the next confirm before a peer covers the gap.
     """
-    away = cluster.hosts.pop("north-c.e1")
+    partitioned_host = cluster.hosts.pop("north-c.e1")
     for slots in range(40, 44):
         intent = quota_intent(document, slots)
-        cluster.answered("north-a.e1", PlanAsked, ANN, json.dumps(intent))
+        cluster.request_reply("north-a.e1", PlanAsked, ANN, json.dumps(intent))
     cluster.log.trim(cluster.log.next_offset)
-    cluster.hosts["north-c.e1"] = away
-    away.replica.handle(cluster.now, LogReadFailed("paused"))
+    cluster.hosts["north-c.e1"] = partitioned_host
+    partitioned_host.replica.handle(cluster.now, LogReadFailed("paused"))
     cluster.run(3.0)
-    assert away.replica.state_machine.contiguous
+    assert partitioned_host.replica.state_machine.contiguous
     version = cluster.change(
         "north-a.e1", ANN, quota_intent(document, 100)
     ).body.version
     cluster.run(1.0)
-    assert away.replica.version == version
+    assert partitioned_host.replica.version == version
 
 
 def test_late_answers_of_peers_are_harmless(cluster, document, replica):
@@ -157,15 +158,15 @@
 
 def test_unanswered_peers_are_asked_in_turn(replica):
     replica.handle(0.0, LogReadFailed("down"))
-    asked = set()
+    requested_from = set()
     for step in range(1, 60):
         now = step / 10
         effects = replica.handle(now, LivePeersChanged((ZONE_PEER, REMOTE_PEER)))
         for effect in (*effects, *replica.handle(now, ReplicaTick(0.0))):
             if isinstance(effect, RequestRecords):
-                asked.add(effect.to)
+                requested_from.add(effect.to)
                 replica.handle(now, RecordsReceived(effect.to, RecordsPassed((), -1)))
-    assert asked == {ZONE_PEER, REMOTE_PEER}
+    assert requested_from == {ZONE_PEER, REMOTE_PEER}
     assert replica.readiness.reason is ReadinessReason.LOG_UNREACHABLE
 
 
@@ -176,28 +177,28 @@
 
 def test_zone_has_a_version_only_when_all_its_hosts_have_it():
     """A zone must not report a change that an unresponsive or lagging peer lacks."""
-    zones = ZoneVersionTracker(SELF)
-    zones.update_local_zone([ZONE_PEER, REMOTE_PEER], 7, 0.0)
-    assert zones.in_force(7) == frozenset()
-    zones.record_heartbeat(heartbeat(ZONE_PEER, 4), 0.0)
-    zones.update_local_zone([ZONE_PEER], 7, 0.0)
-    assert zones.in_force(7) == frozenset()
-    zones.record_heartbeat(heartbeat(ZONE_PEER, 7), 1.0)
-    zones.update_local_zone([ZONE_PEER], 7, 1.0)
-    assert zones.in_force(7) == {"north-a"}
-    zones.record_heartbeat(heartbeat(ZONE_PEER, -1, ready=False), 2.0)
-    zones.update_local_zone([ZONE_PEER], 9, 2.0)
-    assert zones.in_force(9) == {"north-a"}
+    tracker = ZoneVersionTracker(SELF)
+    tracker.update_local_zone([ZONE_PEER, REMOTE_PEER], 7, 0.0)
+    assert tracker.in_force(7) == frozenset()
+    tracker.record_heartbeat(heartbeat(ZONE_PEER, 4), 0.0)
+    tracker.update_local_zone([ZONE_PEER], 7, 0.0)
+    assert tracker.in_force(7) == frozenset()
+    tracker.record_heartbeat(heartbeat(ZONE_PEER, 7), 1.0)
+    tracker.update_local_zone([ZONE_PEER], 7, 1.0)
+    assert tracker.in_force(7) == {"north-a"}
+    tracker.record_heartbeat(heartbeat(ZONE_PEER, -1, ready=False), 2.0)
+    tracker.update_local_zone([ZONE_PEER], 9, 2.0)
+    assert tracker.in_force(9) == {"north-a"}
 
 
 def test_reports_of_this_zone_and_older_reports_are_ignored():
-    zones = ZoneVersionTracker(SELF)
-    claims = (ZoneStatus("north-a", 99), ZoneStatus("north-b", 5))
-    zones.record_heartbeat(heartbeat(REMOTE_PEER, 5, zones=claims), 0.0)
-    zones.record_heartbeat(
+    tracker = ZoneVersionTracker(SELF)
+    reports = (ZoneStatus("north-a", 99), ZoneStatus("north-b", 5))
+    tracker.record_heartbeat(heartbeat(REMOTE_PEER, 5, zones=reports), 0.0)
+    tracker.record_heartbeat(
         heartbeat(REMOTE_PEER, 3, zones=(ZoneStatus("north-b", 3),)), 0.0
     )
-    assert zones.reports == (ZoneStatus("north-b", 5),)
+    assert tracker.reports == (ZoneStatus("north-b", 5),)
 
 
 def test_rate_limiter_bounds_each_purpose():
--- a/jackdawspur/configuration/tests/test_state_machine.py
+++ b/jackdawspur/configuration/tests/test_state_machine.py
@@ -69,7 +69,7 @@
     assert not state_machine.voids
 
 
-def newer(base, plan="n"):
+def newer_schema_confirm(base, plan="n"):
     body = {"kind": "confirm", "schema_version": 99, "id": plan, "base": base}
     return json.dumps({**body, "unheard_of": {"x": [1]}})
 
@@ -80,7 +80,7 @@
         ("{", SkipReason.UNREADABLE),
         ('{"kind": "confirm"}', SkipReason.UNREADABLE),
         ('{"kind":"gossip","schema_version":1,"id":"g"}', SkipReason.FOREIGN),
-        (newer(77), SkipReason.NEWER_SCHEMA),
+        (newer_schema_confirm(77), SkipReason.NEWER_SCHEMA),
         (
             encode_record(confirm("x", 0)).replace('"reason"', '"reasons"'),
             SkipReason.UNREADABLE,
@@ -108,7 +108,9 @@
     An older host can't apply it. If it decided on later confirms by its own version,
     it would accept one that is void on the newer hosts.
     """
-    records = log_of(confirm("a", -1), newer(0), confirm("b", 0, "b"), confirm("c", 1))
+    records = log_of(
+        confirm("a", -1), newer_schema_confirm(0), confirm("b", 0, "b"), confirm("c", 1)
+    )
     state_machine = replay(records)
     assert state_machine.version == 0 and state_machine.head == 3
     assert [void.plan for void in state_machine.voids] == ["b"]
@@ -121,7 +123,7 @@
 
 
 def test_change_that_breaks_references_is_void_everywhere():
-    """An unchecked confirm in the log removes the only operator."""
+    """A confirm in the log that removes the only operator must not be applied."""
     bad = replace(confirm("b", 0), changes=confirm("x", -1).changes[:1])
     lockout = (
         encode_record(bad)
@@ -136,7 +138,7 @@
 
 
 def test_old_snapshots_never_set_the_version_back():
-    """A lagging host appends a snapshot of an old version."""
+    """A lagging host's snapshot of an old version must not set the version back."""
     records = log_of(confirm("a", -1, "one"), confirm("b", 0, "two"))
     old = build_snapshot(replay(records[:1]), wall=0.0)
     state_machine = replay(records)
@@ -152,10 +154,10 @@
     """
     whole = log_of(confirm("a", -1, "one"), confirm("b", 0, "two"))
     lagging = build_snapshot(replay(whole[:1]), wall=0.0)
-    kept = log_of(lagging, confirm("c", 1, "three"), first=2)
+    retained = log_of(lagging, confirm("c", 1, "three"), first=2)
     state_machine = ConfigurationStateMachine()
     state_machine.skip_to(2)
-    state_machine.apply_records(kept)
+    state_machine.apply_records(retained)
     assert (
         state_machine.version == 0
         and not state_machine.contiguous
@@ -209,7 +211,7 @@
         elif kind == "bad":
             records.append("rubbish")
         elif kind == "newer":
-            records.append(newer(draw(bases), f"n{index}"))
+            records.append(newer_schema_confirm(draw(bases), f"n{index}"))
         else:
             base = replay(log_of(*records)).head if draw(st.booleans()) else draw(bases)
             records.append(encode_record(confirm(f"p{index}", base, f"z{index}")))
--- a/jackdawspur/fuzz/tests/test_operators.py
+++ b/jackdawspur/fuzz/tests/test_operators.py
@@ -59,7 +59,7 @@
     """An odd plan ends the pass, or comes into force though nobody confirmed it."""
     before = cluster.versions()
     text = intent.decode(errors="replace")
-    reply = cluster.answered(HOST, PlanAsked, token, text, within=20.0)
+    reply = cluster.request_reply(HOST, PlanAsked, token, text, within=20.0)
     assert reply.status >= 200
     cluster.run(0.3)
     assert cluster.versions() == before
@@ -70,4 +70,6 @@
     text = shape % NESTED.decode()
     with pytest.raises(ConfigurationError):
         load_intent(text, DOCUMENT)
-    assert cluster.answered(HOST, PlanAsked, "example-ann-token", text).status == 400
+    assert (
+        cluster.request_reply(HOST, PlanAsked, "example-ann-token", text).status == 400
+    )
