--- a/jackdawspur/dispatch/_counters.py
+++ b/jackdawspur/dispatch/_counters.py
@@ -32,8 +32,8 @@
         answer = job.answer
         if answer.state is JobState.COMPLETE:
             self.complete += 1
-            name = HistogramKey(job.customer, job.request.job_class)
-            self.responses.record(name, (now - job.arrived) * MS_PER_S)
+            key = HistogramKey(job.customer, job.request.job_class)
+            self.responses.record(key, (now - job.arrived) * MS_PER_S)
         elif answer.state is JobState.REFUSED:
             self.refused += 1
         else:
--- a/jackdawspur/dispatch/_drain.py
+++ b/jackdawspur/dispatch/_drain.py
@@ -15,7 +15,7 @@
     """Accept no more jobs, and end those that are left after the timeout."""
     state.draining = True
     end_at = now + event.drain_timeout_ms / MS_PER_S
-    state.schedule(end_at, lambda at: _end_all(state, at))
+    state.schedule(end_at, lambda at: _abort_all(state, at))
 
 
 def is_drained(state: State) -> bool:
@@ -28,7 +28,7 @@
     )
 
 
-def _end_all(state: State, now: float) -> None:
+def _abort_all(state: State, now: float) -> None:
     text = "the host shut down before the job's end"
     for job in list(state.jobs.values()):
         if job.stage is Stage.ENDED:
--- a/jackdawspur/dispatch/_place.py
+++ b/jackdawspur/dispatch/_place.py
@@ -77,10 +77,10 @@
     refused = isinstance(verdict, Refuse)
     wait = UNKNOWN_WAIT_MS if refused else verdict.wait_ms
     objective = customer.contract.objective
-    move = state.peer_selector.choose(estimates, wait, refused, objective, now)
-    if move is None or not state.view.is_live(move.host):
+    target = state.peer_selector.choose(estimates, wait, refused, objective, now)
+    if target is None or not state.view.is_live(target.host):
         return False
-    delegate_job(state, job, move.host, now)
+    delegate_job(state, job, target.host, now)
     return True
 
 
@@ -104,7 +104,7 @@
     customer_ms = queue.ahead_ms(job, job.customer)
     customer_ms += fair_share * remote_ms
     return LocalLoad(
-        slots=state.pool_slots(),
+        slots=state.total_slots(),
         free_slots=state.slots.free(now) + sum(state.spare_slots(now).values()),
         waiting_tasks=queue.waiting() + waiting,
         backlog_ms=OVERTAKING_FACTOR * ahead_ms,
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -87,7 +87,14 @@
 
 
 class State:
-    """State that the functions of this package read and change."""
+    """State that the functions of this package read and change.
+
+    `pack` fills few upstreams, to save messages as all contracts ask.
+    `claiming` holds jobs whose claim of a key is not decided. `newer_attempts` maps
+    submissions to later attempts to run them. `slot_holders` and `peers` are those of
+    the view when slots and quotas were divided last. Keys are not claimed before
+    `claims_incomplete_until`, and tasks are not started before `starts_held_until`.
+    """
 
     def __init__(
         self, local_id: HostId, rng: random.Random, now: float, crosses_zones: bool
@@ -221,7 +228,7 @@
             spare_slots.update(dict.fromkeys(hosts, free // max(1, len(hosts))))
         return spare_slots
 
-    def pool_slots(self) -> int:
+    def total_slots(self) -> int:
         """Return the total slots of all zones whose slots this host can use."""
         if not self.crosses_zones:
             return self.zone_slots[self.local_id.zone]
--- a/jackdawspur/dispatch/tests/test_at_most_once.py
+++ b/jackdawspur/dispatch/tests/test_at_most_once.py
@@ -84,6 +84,7 @@
     The first upstream sealed the task, which now runs on the second one. The reply of
     the first arrives again and would mark the running task as never started.
     """
+    # A seal proves something only if the incarnation of the upstream was known before.
     for call in (1, 2):
         (known,) = harness.submit(make_request(1), call=call)
         harness.reply_to_starts(known)
