--- a/jackdawspur/membership/_intervals.py
+++ b/jackdawspur/membership/_intervals.py
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Sizes:
+class _RoundBytes:
     zone_peer: float
     link: float
     relay: float
@@ -127,7 +127,7 @@
     )
 
 
-def _bytes_per_round(zones: int, hosts: int, customers: int) -> _Sizes:
+def _bytes_per_round(zones: int, hosts: int, customers: int) -> _RoundBytes:
     usage = (SAMPLE_USAGE,) * min(customers, MAX_ZONE_USAGE_ENTRIES)
     own_usage = (SAMPLE_USAGE,) * min(customers, MAX_HOST_USAGE_ENTRIES)
     seen = (LivePeer(SAMPLE_HOST),) * hosts
@@ -143,7 +143,7 @@
     full_relay = _size(replace(SAMPLE_HEARTBEAT, usage=own_usage)) + relayed * (
         full - bare
     )
-    return _Sizes(
+    return _RoundBytes(
         zone_peer=(hosts - 1) * (_size(SAMPLE_PULSE) + PACKET_OVERHEAD),
         link=links * (_mean(brief, full) + PACKET_OVERHEAD),
         relay=(hosts - 1) * (_mean(brief_relay, full_relay) + PACKET_OVERHEAD),
--- a/jackdawspur/membership/_liveness.py
+++ b/jackdawspur/membership/_liveness.py
@@ -105,8 +105,8 @@
                 record.relayed_at = now
             record.draining = record.draining or peer.draining
 
-    def forget(self, known: Mapping[str, Collection[str]]) -> None:
-        """Remove all hosts except those named in each zone."""
+    def retain(self, known: Mapping[str, Collection[str]]) -> None:
+        """Remove all records except those of the given host names of each zone."""
         self._zones = {
             zone: {
                 name: record for name, record in hosts.items() if name in known[zone]
@@ -116,6 +116,7 @@
         }
 
     def _current_record(self, host: HostId) -> LivenessRecord | None:
+        """Return the record of this incarnation, or None if a later one is known."""
         hosts = self._zones.setdefault(host.zone, {})
         known = hosts.get(host.name)
         if known is None or known.host.incarnation < host.incarnation:
--- a/jackdawspur/membership/_members.py
+++ b/jackdawspur/membership/_members.py
@@ -21,7 +21,7 @@
         self.now = now
         self.intervals = HeartbeatIntervals()
         self.liveness_table = LivenessTable()
-        self._names: dict[str, list[str]] = {}
+        self._host_names: dict[str, list[str]] = {}
         # Signals from before `_valid_since` are ignored. At `_settled_at` heartbeats of
         # all live hosts in the zone have had time to arrive.
         self._valid_since = now
@@ -29,20 +29,20 @@
 
     @property
     def settled(self) -> bool:
-        """Return whether enough time has passed since the start or a pause."""
+        """Return whether all live zone peers have had time to send a heartbeat."""
         return self.now >= self._settled_at
 
     def set_cluster_spec(self, cluster_spec: ClusterSpec, now: float) -> None:
         """Set the configured hosts."""
-        first = not self._names
-        self._names = {}
+        is_first = not self._host_names
+        self._host_names = {}
         for host in sorted(
             cluster_spec.entry_hosts, key=lambda entry: (entry.zone, entry.name)
         ):
-            self._names.setdefault(host.zone, []).append(host.name)
+            self._host_names.setdefault(host.zone, []).append(host.name)
         self.intervals = heartbeat_intervals(cluster_spec)
-        self.liveness_table.forget(self._names)
-        if first:
+        self.liveness_table.retain(self._host_names)
+        if is_first:
             self._settled_at = now + self.intervals.zone_peer_timeout
 
     def reset_after_pause(self, now: float, gap: float) -> bool:
@@ -55,14 +55,14 @@
 
     def zones(self) -> list[str]:
         """Return the zones that have configured hosts."""
-        return list(self._names)
+        return list(self._host_names)
 
     def configured(self, zone: str) -> list[HostId]:
         """Return the configured hosts of a zone, with their incarnations if known."""
         return [
             self.latest_incarnation(zone, name)
             or HostId(zone, name, UNKNOWN_INCARNATION)
-            for name in self._names.get(zone, ())
+            for name in self._host_names.get(zone, ())
         ]
 
     def live_records(self, zone: str) -> list[LivenessRecord]:
--- a/jackdawspur/membership/_view.py
+++ b/jackdawspur/membership/_view.py
@@ -36,7 +36,7 @@
 
     @property
     def settled(self) -> bool:
-        """Return whether enough time has passed since the start or a pause."""
+        """Return whether all live zone peers have had time to send a heartbeat."""
         return self._members.settled
 
     def set_cluster_spec(self, cluster_spec: ClusterSpec, now: float) -> None:
--- a/jackdawspur/membership/_zones.py
+++ b/jackdawspur/membership/_zones.py
@@ -86,7 +86,7 @@
         for usage in heartbeat.usage:
             running[usage.customer] += usage.running
             waiting[usage.customer] += usage.waiting
-    heaviest = (running + waiting).most_common(MAX_ZONE_USAGE_ENTRIES)
+    largest = (running + waiting).most_common(MAX_ZONE_USAGE_ENTRIES)
     return ZoneStatus(
         zone=zone,
         # The version in force on every host of the zone that starts tasks. A host that
@@ -103,7 +103,7 @@
         waiting_tasks=sum(heartbeat.waiting_tasks for heartbeat in heartbeats),
         hosts=len(heartbeats),
         usage=tuple(
-            CustomerUsage(name, running[name], waiting[name]) for name, _ in heaviest
+            CustomerUsage(name, running[name], waiting[name]) for name, _ in largest
         ),
     )
 
--- a/jackdawspur/sharing/_borrowing.py
+++ b/jackdawspur/sharing/_borrowing.py
@@ -19,6 +19,7 @@
 
 MS_PER_S = 1000.0
 
+# Lender, and the number of its grant.
 LoanId = tuple[HostId, int]
 
 
@@ -96,7 +97,7 @@
         return demand.latest_start < sent.latest_start - URGENCY_MARGIN
 
     def pending_slots(self, now: float) -> int:
-        """Return the number of slots requested lately and not granted yet."""
+        """Return the number of slots requested recently and not granted yet."""
         recent = (
             request
             for request in self._sent_requests.values()
--- a/jackdawspur/sharing/_slot_pool.py
+++ b/jackdawspur/sharing/_slot_pool.py
@@ -177,7 +177,7 @@
         """
         wanted = waiting - self.free(now) - self._borrowing.pending_slots(now)
         requests = []
-        for host in sorted(spare, key=lambda host: self._preference(host, spare)):
+        for host in sorted(spare, key=lambda host: self._request_order(host, spare)):
             if wanted <= 0:
                 break
             # If no host reports spare slots, all get the request: the first one that
@@ -313,7 +313,7 @@
         backoff = self._backoffs.get(upstream)
         return backoff is not None and now < backoff.expires_at
 
-    def _preference(
+    def _request_order(
         self, host: HostId, spare: Mapping[HostId, int]
     ) -> tuple[bool, bool, int, int]:
         is_local = host.zone == self._local_id.zone
@@ -329,7 +329,7 @@
     ) -> tuple[UpstreamId, ...]:
         remaining = dict(open_slots)
         heap = [
-            (*self._load(upstream, 0), upstream)
+            (*self._spread_order(upstream, 0), upstream)
             for upstream, n in remaining.items()
             if n > 0
         ]
@@ -341,7 +341,7 @@
             remaining[upstream] -= 1
             if remaining[upstream] > 0:
                 added = open_slots[upstream] - remaining[upstream]
-                heapq.heappush(heap, (*self._load(upstream, added), upstream))
+                heapq.heappush(heap, (*self._spread_order(upstream, added), upstream))
         return tuple(chosen)
 
     def _packed(
@@ -361,7 +361,9 @@
         zone = self._local_id.zone
         return lambda upstream: (upstream.zone != zone, -open_slots[upstream], upstream)
 
-    def _load(self, upstream: UpstreamId, added: int) -> tuple[bool, int, int, int]:
+    def _spread_order(
+        self, upstream: UpstreamId, added: int
+    ) -> tuple[bool, int, int, int]:
         # Ties are broken by a hash that differs by host, or all hosts would prefer the
         # same upstream.
         running = self._running[upstream] + added
