--- a/jackdawspur/configuration/__init__.py
+++ b/jackdawspur/configuration/__init__.py
@@ -16,9 +16,9 @@
 from jackdawspur.configuration._checks import load_configuration, load_intent
 from jackdawspur.configuration._cluster_spec import (
     build_cluster_spec,
-    customer_of,
+    find_customer,
     find_job_class,
-    operator_of,
+    find_operator,
     token_hash,
 )
 from jackdawspur.configuration._document import (
@@ -91,7 +91,7 @@
     RequestRecords,
     SendRecords,
 )
-from jackdawspur.configuration._reports import Skipped, Void
+from jackdawspur.configuration._reports import SkippedRecord, VoidConfirm
 from jackdawspur.configuration._state_machine import ConfigurationStateMachine
 from jackdawspur.configuration._text import format_operator_reply
 from jackdawspur.configuration._zones import ZoneDelay, ZoneInForce, ZoneVersionTracker
@@ -157,11 +157,11 @@
     "SCHEMA_VERSION",
     "SendRecords",
     "SkipReason",
-    "Skipped",
+    "SkippedRecord",
     "Snapshot",
     "StatusAsked",
     "UpstreamEntry",
-    "Void",
+    "VoidConfirm",
     "WriteAuditEntry",
     "ZoneCapacity",
     "ZoneDelay",
@@ -171,7 +171,7 @@
     "appends_per_day",
     "apply_changes",
     "changes_between",
-    "customer_of",
+    "find_customer",
     "decode_record",
     "encode_record",
     "find_job_class",
@@ -180,7 +180,7 @@
     "load_configuration",
     "load_intent",
     "new_proposal",
-    "operator_of",
+    "find_operator",
     "build_plan",
     "token_hash",
     "build_cluster_spec",
--- a/jackdawspur/configuration/_cluster_spec.py
+++ b/jackdawspur/configuration/_cluster_spec.py
@@ -22,9 +22,9 @@
 )
 
 __all__ = [
-    "customer_of",
+    "find_customer",
     "find_job_class",
-    "operator_of",
+    "find_operator",
     "update_cluster_spec",
     "token_hash",
     "build_cluster_spec",
@@ -65,12 +65,12 @@
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-def customer_of(configuration: Configuration, token: str) -> CustomerEntry | None:
+def find_customer(configuration: Configuration, token: str) -> CustomerEntry | None:
     """Return the customer that owns a bearer token."""
     return _find_token_owner(configuration.customers, token)
 
 
-def operator_of(configuration: Configuration, token: str) -> OperatorEntry | None:
+def find_operator(configuration: Configuration, token: str) -> OperatorEntry | None:
     """Return the operator that owns a bearer token."""
     return _find_token_owner(configuration.operators, token)
 
--- a/jackdawspur/configuration/_operations.py
+++ b/jackdawspur/configuration/_operations.py
@@ -8,7 +8,7 @@
 from jackdawspur.configuration._errors import FieldError
 from jackdawspur.configuration._planner import Plan
 from jackdawspur.configuration._readiness import LogHealth, Readiness
-from jackdawspur.configuration._reports import Skipped, Void
+from jackdawspur.configuration._reports import SkippedRecord, VoidConfirm
 from jackdawspur.configuration._zones import ZoneDelay, ZoneInForce
 
 __all__ = [
@@ -152,7 +152,7 @@
 
     plans: tuple[ChangeStatus, ...]
     changes: tuple[ChangeStatus, ...]
-    void: tuple[Void, ...]
+    void: tuple[VoidConfirm, ...]
     refused: tuple[AuditEntry, ...]
 
 
@@ -180,7 +180,7 @@
     log: LogHealth
     zones: tuple[ZoneInForce, ...]
     changes: tuple[ChangeStatus, ...]
-    skipped: tuple[Skipped, ...]
+    skipped: tuple[SkippedRecord, ...]
     delays: tuple[ZoneDelay, ...]
     appends: tuple[AppendCount, ...]
     refusals: int
--- a/jackdawspur/configuration/_operator_api.py
+++ b/jackdawspur/configuration/_operator_api.py
@@ -302,7 +302,7 @@
                 "confirmed",
                 views.change_status(self._replica, applied),
             )
-        if any(void.plan == record.plan for void in state_machine.voids):
+        if any(void.plan == record.plan for void in state_machine.void_confirms):
             conflict = views.conflict(self._replica, record.base)
             return OperatorReplyCode.CONFLICT, conflict_message(conflict.won), conflict
         if pending.offset is not None and state_machine.through >= pending.offset:
--- a/jackdawspur/configuration/_replica_events.py
+++ b/jackdawspur/configuration/_replica_events.py
@@ -4,7 +4,7 @@
 
 from jackdawspur.configuration._append_rate_limiter import AppendPurpose
 from jackdawspur.configuration._document import Configuration
-from jackdawspur.configuration._reports import Skipped
+from jackdawspur.configuration._reports import SkippedRecord
 from jackdawspur.external import LogRecord
 from jackdawspur.messages import Heartbeat, RecordsPassed, RecordsWanted
 from jackdawspur.model import ClusterSpec, HostId
@@ -158,7 +158,7 @@
 class ReportSkipped:
     """Report a skipped record to the operators."""
 
-    skipped: Skipped
+    skipped: SkippedRecord
 
 
 ReplicaEffect = (
--- a/jackdawspur/configuration/_reports.py
+++ b/jackdawspur/configuration/_reports.py
@@ -4,11 +4,11 @@
 
 from jackdawspur.configuration._errors import SkipReason
 
-__all__ = ["Skipped", "Void"]
+__all__ = ["SkippedRecord", "VoidConfirm"]
 
 
 @dataclass(frozen=True, slots=True)
-class Skipped:
+class SkippedRecord:
     """Record that was skipped because this program can't apply it."""
 
     offset: int
@@ -17,8 +17,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Void:
-    """Confirm that lost because its base was no longer current."""
+class VoidConfirm:
+    """Confirm without effect, because its base was no longer the newest version."""
 
     offset: int
     plan: str
--- a/jackdawspur/configuration/_state_machine.py
+++ b/jackdawspur/configuration/_state_machine.py
@@ -18,13 +18,13 @@
     decode_record,
     decode_snapshot_header,
 )
-from jackdawspur.configuration._reports import Skipped, Void
+from jackdawspur.configuration._reports import SkippedRecord, VoidConfirm
 from jackdawspur.external import LogRecord
 
 __all__ = ["NO_VERSION", "ConfigurationStateMachine"]
 
 NO_VERSION = -1
-MAX_VOIDS = 128
+MAX_VOID_CONFIRMS = 128
 MAX_SKIPPED = 64
 MAX_PLANS = 128
 # Bounds the memory of unconfirmed plans; one change takes about 1 KB.
@@ -56,8 +56,8 @@
         self._gap_end = NO_VERSION
         self._history: OrderedDict[str, HistoryEntry] = OrderedDict()
         self._plans: OrderedDict[str, Proposal] = OrderedDict()
-        self._voids: deque[Void] = deque(maxlen=MAX_VOIDS)
-        self._skipped: deque[Skipped] = deque(maxlen=MAX_SKIPPED)
+        self._void_confirms: deque[VoidConfirm] = deque(maxlen=MAX_VOID_CONFIRMS)
+        self._skipped: deque[SkippedRecord] = deque(maxlen=MAX_SKIPPED)
         self._buffered: deque[LogRecord] = deque()
 
     @property
@@ -71,12 +71,12 @@
         return tuple(self._history.values())
 
     @property
-    def voids(self) -> tuple[Void, ...]:
+    def void_confirms(self) -> tuple[VoidConfirm, ...]:
         """Return the most recent void confirms, oldest first."""
-        return tuple(self._voids)
+        return tuple(self._void_confirms)
 
     @property
-    def skipped(self) -> tuple[Skipped, ...]:
+    def skipped(self) -> tuple[SkippedRecord, ...]:
         """Return the most recent records skipped without effect, oldest first."""
         return tuple(self._skipped)
 
@@ -180,7 +180,7 @@
         if confirm.plan in self._history:
             return
         if confirm.base != self.head:
-            self._record_void(offset, confirm)
+            self._record_void_confirm(offset, confirm)
             return
         if self.head != self.version:
             # Based on a confirm that this program can't decode: advance the head only.
@@ -213,11 +213,11 @@
         self.configuration = after
         self.version = self.head = offset
 
-    def _record_void(self, offset: int, confirm: Confirm) -> None:
-        if any(void.plan == confirm.plan for void in self._voids):
+    def _record_void_confirm(self, offset: int, confirm: Confirm) -> None:
+        if any(void.plan == confirm.plan for void in self._void_confirms):
             return
-        self._voids.append(
-            Void(
+        self._void_confirms.append(
+            VoidConfirm(
                 offset,
                 confirm.plan,
                 confirm.base,
@@ -279,4 +279,4 @@
 
     def _record_skipped(self, offset: int, reason: SkipReason, message: str) -> None:
         if all(known.offset != offset for known in self._skipped):
-            self._skipped.append(Skipped(offset, reason, message))
+            self._skipped.append(SkippedRecord(offset, reason, message))
--- a/jackdawspur/configuration/_views.py
+++ b/jackdawspur/configuration/_views.py
@@ -82,7 +82,7 @@
     state_machine = replica.state_machine
     changes = tuple(change_status(replica, entry) for entry in state_machine.history)
     plans = tuple(_plan_status(replica, proposal) for proposal in state_machine.plans)
-    return History(plans, changes, state_machine.voids, refused)
+    return History(plans, changes, state_machine.void_confirms, refused)
 
 
 def status(replica: ConfigurationReplica, refusals: int) -> OperatorStatus:
--- a/jackdawspur/configuration/tests/test_checks.py
+++ b/jackdawspur/configuration/tests/test_checks.py
@@ -13,11 +13,11 @@
     apply_changes,
     build_cluster_spec,
     changes_between,
-    customer_of,
+    find_customer,
     find_job_class,
+    find_operator,
     load_configuration,
     load_intent,
-    operator_of,
 )
 from jackdawspur.configuration._cluster_spec import update_cluster_spec
 from jackdawspur.configuration.tests.conftest import EXAMPLES, intent_of
@@ -46,11 +46,11 @@
 
 
 def test_token_identifies_its_owner(document):
-    customer = customer_of(document, "example-roster-token")
+    customer = find_customer(document, "example-roster-token")
     assert not find_job_class(customer, "dispatch-reassign").idempotent
     assert find_job_class(customer, "unheard-of") is None
-    assert operator_of(document, "example-ann-token").name == "ann"
-    assert operator_of(document, "example-roster-token") is None
+    assert find_operator(document, "example-ann-token").name == "ann"
+    assert find_operator(document, "example-roster-token") is None
 
 
 def error_paths(load, raw, *more):
--- a/jackdawspur/configuration/tests/test_everywhere.py
+++ b/jackdawspur/configuration/tests/test_everywhere.py
@@ -68,7 +68,7 @@
     for host in cluster.hosts.values():
         state_machine = host.replica.state_machine
         assert state_machine.history == fresh.history
-        assert state_machine.voids == fresh.voids
+        assert state_machine.void_confirms == fresh.void_confirms
         assert state_machine.configuration == fresh.configuration
         assert host.activated == sorted(set(host.activated))
 
--- a/jackdawspur/configuration/tests/test_state_machine.py
+++ b/jackdawspur/configuration/tests/test_state_machine.py
@@ -66,7 +66,7 @@
     state_machine = replay(log_of(first, confirm("b", 0, "two"), first, first))
     assert [e.plan for e in state_machine.history] == ["a", "b"]
     assert state_machine.version == 1
-    assert not state_machine.voids
+    assert not state_machine.void_confirms
 
 
 def newer_schema_confirm(base, plan="n"):
@@ -113,7 +113,7 @@
     )
     state_machine = replay(records)
     assert state_machine.version == 0 and state_machine.head == 3
-    assert [void.plan for void in state_machine.voids] == ["b"]
+    assert [void.plan for void in state_machine.void_confirms] == ["b"]
     state = Configuration(
         operators=(OPERATOR,), zones=(ZoneEntry(name="q", region="r"),)
     )
@@ -161,7 +161,7 @@
     assert (
         state_machine.version == 0
         and not state_machine.contiguous
-        and not state_machine.voids
+        and not state_machine.void_confirms
     )
     covering = build_snapshot(replay(whole), wall=0.0)
     state_machine.apply_records(log_of(covering, first=4))
