--- a/jackdawspur/fuzz/tests/test_callers.py
+++ b/jackdawspur/fuzz/tests/test_callers.py
@@ -18,7 +18,11 @@
     token_hash,
 )
 from jackdawspur.dispatch import AnswerCall, IssueIds, SendPeerMessage
-from jackdawspur.dispatch.tests.conftest import LOCAL_ID, ZONE_PEER, harness  # noqa: F401
+from jackdawspur.dispatch.tests.conftest import (  # noqa: F401
+    LOCAL_ID,
+    ZONE_PEER,
+    harness,
+)
 from jackdawspur.entry._routes import Routes
 from jackdawspur.fuzz.tests.mutations import FUZZ, NESTED, mutated_bytes, mutated_json
 from jackdawspur.links import Envelope, encode
