--- a/jackdawspur/configuration/_operations.py
+++ b/jackdawspur/configuration/_operations.py
@@ -8,7 +8,7 @@
 from jackdawspur.configuration._errors import FieldError
 from jackdawspur.configuration._planner import Plan
 from jackdawspur.configuration._readiness import LogHealth, Readiness
-from jackdawspur.configuration._reports import Skipped, Void
+from jackdawspur.configuration._reports import SkippedRecord, VoidConfirm
 from jackdawspur.configuration._zones import ZoneDelay, ZoneInForce
 
 __all__ = [
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmAsked:
-    """Request to confirm a plan; a repeat counts as the same confirm."""
+    """Request to confirm a plan; repeated requests make a single confirm."""
 
     call: int
     token: str
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The version that won against a plan, and the changes since the plan's base."""
+    """Version `won` that superseded a plan, and the changes since the plan's `base`."""
 
     base: int
     won: int
@@ -152,7 +152,7 @@
 
     plans: tuple[ChangeStatus, ...]
     changes: tuple[ChangeStatus, ...]
-    void: tuple[Void, ...]
+    void: tuple[VoidConfirm, ...]
     refused: tuple[AuditEntry, ...]
 
 
@@ -167,7 +167,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorStatus:
-    """State of the configuration on this host."""
+    """State of the configuration on this host.
+
+    See `ConfigurationStateMachine` for `version`, `head`, `through` and `contiguous`.
+    """
 
     version: int
     head: int
@@ -177,7 +180,7 @@
     log: LogHealth
     zones: tuple[ZoneInForce, ...]
     changes: tuple[ChangeStatus, ...]
-    skipped: tuple[Skipped, ...]
+    skipped: tuple[SkippedRecord, ...]
     delays: tuple[ZoneDelay, ...]
     appends: tuple[AppendCount, ...]
     refusals: int
--- a/jackdawspur/configuration/_views.py
+++ b/jackdawspur/configuration/_views.py
@@ -14,12 +14,12 @@
 from jackdawspur.configuration._records import HistoryEntry, Proposal
 from jackdawspur.configuration._replica import ConfigurationReplica
 
-__all__ = ["change_status", "conflict", "history", "obstacle", "status"]
+__all__ = ["change_status", "conflict", "history", "not_ready_reason", "status"]
 
 CHANGES_IN_STATUS = 10
 
 
-def obstacle(replica: ConfigurationReplica) -> str:
+def not_ready_reason(replica: ConfigurationReplica) -> str:
     """Return why this host can't plan or confirm now, or an empty text if it can."""
     state_machine = replica.state_machine
     if not state_machine.contiguous:
@@ -82,7 +82,7 @@
     state_machine = replica.state_machine
     changes = tuple(change_status(replica, entry) for entry in state_machine.history)
     plans = tuple(_plan_status(replica, proposal) for proposal in state_machine.plans)
-    return History(plans, changes, state_machine.voids, refused)
+    return History(plans, changes, state_machine.void_confirms, refused)
 
 
 def status(replica: ConfigurationReplica, refusals: int) -> OperatorStatus:
--- a/jackdawspur/dispatch/_state.py
+++ b/jackdawspur/dispatch/_state.py
@@ -32,7 +32,14 @@
 )
 from jackdawspur.sharing import SlotPool
 
-__all__ = ["Action", "Forwarded", "InFlightTask", "RemoteCall", "Reserved", "State"]
+__all__ = [
+    "Action",
+    "PendingForward",
+    "InFlightTask",
+    "RemoteCall",
+    "Reservation",
+    "State",
+]
 
 ANSWER_TTL_S = 600.0
 MAX_ANSWER_BYTES = 8_388_608
@@ -54,16 +61,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forwarded:
-    """Call forwarded to another host, until `limit`, a time in seconds."""
+class PendingForward:
+    """Call forwarded to another host, and repeated until its deadline, in seconds."""
 
     submission: SubmissionId
     message: Forward | CancelForward
-    limit: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Reserved:
+class Reservation:
     """Reservation of an upstream, which gets no other starts, for a large task."""
 
     submission: SubmissionId
@@ -80,7 +87,14 @@
 
 
 class State:
-    """State that the functions of this package read and change."""
+    """State that the functions of this package read and change.
+
+    `pack` fills few upstreams, to save messages as all contracts ask.
+    `claiming` holds jobs whose claim of a key is not decided. `newer_attempts` maps
+    submissions to later attempts to run them. `slot_holders` and `peers` are those of
+    the view when slots and quotas were divided last. Keys are not claimed before
+    `claims_incomplete_until`, and tasks are not started before `starts_held_until`.
+    """
 
     def __init__(
         self, local_id: HostId, rng: random.Random, now: float, crosses_zones: bool
@@ -107,19 +121,19 @@
         self.claims_incomplete_until = now
         self.log_retry_ms = LOG_RETRY_MS
         self.draining = False
-        self.heartbeats = 0
+        self.heartbeat_sequence = 0
         self.slot_holders: tuple[HostId, ...] = ()
         self.peers: tuple[HostId, ...] = ()
         self.starts_held_until = now
         self.counters = Counters()
         self._effects: list[Effect] = []
         self._timers = Timers()
-        self._remote_number = 0
+        self._last_remote_call = 0
         self._stored_answers: OrderedDict[SubmissionId, int] = OrderedDict()
         self._stored_bytes = 0
 
     def _init_calls(self) -> None:
-        self.pending_forwards: dict[int, Forwarded] = {}
+        self.pending_forwards: dict[int, PendingForward] = {}
         self.remote_calls: dict[int, RemoteCall] = {}
         self.no_wait_calls: set[int] = set()
         self._job_of_call: dict[int, Job] = {}
@@ -127,8 +141,8 @@
     def _init_components(
         self, local_id: HostId, rng: random.Random, now: float
     ) -> None:
-        self.reserved: Reserved | None = None
-        self.failed: dict[UpstreamId, list[FailedTask]] = {}
+        self.reservation: Reservation | None = None
+        self.recent_failures: dict[UpstreamId, list[FailedTask]] = {}
         self.ids = IdIssuer(local_id)
         self.claims = IdempotencyKeyTable()
         self.view = View(local_id, now)
@@ -190,11 +204,11 @@
 
     def next_remote_call(self) -> int:
         """Return a negative number for a forwarded call; local calls are positive."""
-        self._remote_number -= 1
-        return self._remote_number
+        self._last_remote_call -= 1
+        return self._last_remote_call
 
     def latest_attempt(self, submission: SubmissionId) -> SubmissionId:
-        """Return the newest attempt of a submission whose claim was abandoned."""
+        """Return the newest attempt to run a submission, or the submission itself."""
         while submission in self.newer_attempts:
             submission = self.newer_attempts[submission]
         return submission
@@ -202,7 +216,7 @@
     def spare_slots(self, now: float) -> dict[HostId, int]:
         """Return the slots that other hosts last reported as lendable."""
         spare_slots = {}
-        for host in self.view.siblings():
+        for host in self.view.zone_peers():
             load = self.view.last_heartbeat(host)
             if load is not None:
                 spare_slots[host] = load.free_slots
@@ -214,8 +228,8 @@
             spare_slots.update(dict.fromkeys(hosts, free // max(1, len(hosts))))
         return spare_slots
 
-    def pool_slots(self) -> int:
-        """Return the total slots of the zones that share slots with this host."""
+    def total_slots(self) -> int:
+        """Return the total slots of all zones whose slots this host can use."""
         if not self.crosses_zones:
             return self.zone_slots[self.local_id.zone]
         zones = {host.zone for host in self.peers} | {self.local_id.zone}
@@ -223,7 +237,7 @@
 
     def remote_waiting_tasks(self) -> int:
         """Return the number of tasks that wait at hosts sharing slots with this one."""
-        loads = (self.view.last_heartbeat(host) for host in self.view.siblings())
+        loads = (self.view.last_heartbeat(host) for host in self.view.zone_peers())
         waiting = sum(load.waiting_tasks for load in loads if load is not None)
         if self.crosses_zones:
             zones = {host.zone for host in self.peers} - {self.local_id.zone}
@@ -231,7 +245,7 @@
         return waiting
 
     def find_job(self, submission: SubmissionId) -> Job | None:
-        """Return a live job or one whose answer is still stored, or None."""
+        """Return a job that is live or whose answer is still stored, or None."""
         return self.jobs.get(submission)
 
     def find_claiming(self, customer: str, key: str) -> Job | None:
--- a/jackdawspur/entry/tests/helpers.py
+++ b/jackdawspur/entry/tests/helpers.py
@@ -7,7 +7,7 @@
 
 from jackdawspur.cli._exit import ExitCode
 from jackdawspur.configuration import token_hash
-from jackdawspur.entry._trial_settings import CALLER
+from jackdawspur.entry._trial_settings import CALLER_TOKEN
 from jackdawspur.entry.trial import Deployment, HttpAnswer, Program, wait_until
 
 CALLER_POOL = ThreadPoolExecutor(32, thread_name_prefix="callers")
@@ -69,7 +69,9 @@
 def send(host, body: dict, key: str | None = None) -> PendingCall:
     """Submit a job in another thread, which waits for the answer."""
     return PendingCall(
-        CALLER_POOL.submit(host.call, "POST", "/v1/jobs?wait=true", CALLER, body, key)
+        CALLER_POOL.submit(
+            host.call, "POST", "/v1/jobs?wait=true", CALLER_TOKEN, body, key
+        )
     )
 
 
@@ -86,7 +88,7 @@
         f"load{before}",
         "load",
         f"--deployment={deployment.document}",
-        f"--token={CALLER}",
+        f"--token={CALLER_TOKEN}",
         f"--seconds={seconds}",
         f"--load={load}",
         f"--other_tasks={other_tasks}",
@@ -95,16 +97,16 @@
     return program
 
 
-def finish_load(program: Program, own_starts: int = 0) -> dict:
+def finish_load(program: Program, other_tasks: int = 0) -> dict:
     """Check that every invariant held in a load, and return its report.
 
-    `own_starts` is the number of tasks that the test itself started meanwhile. The load
-    can't distinguish them from tasks that ran although reported as not run.
+    `other_tasks` is the number of tasks that the test itself started meanwhile. The
+    load can't distinguish them from tasks that ran although reported as not run.
     """
     status = program.wait()
     report = msgspec.json.decode(program.output.splitlines()[-1])
     excess = report["not_run_but_started"]
-    assert excess <= own_starts, report
+    assert excess <= other_tasks, report
     assert status == (ExitCode.BROKEN if excess else ExitCode.OK), report
     for count in ("tasks_started_twice", "partial", "wrong", "unanswered"):
         assert report[count] == 0, report
--- a/jackdawspur/fuzz/tests/test_callers.py
+++ b/jackdawspur/fuzz/tests/test_callers.py
@@ -18,7 +18,11 @@
     token_hash,
 )
 from jackdawspur.dispatch import AnswerCall, IssueIds, SendPeerMessage
-from jackdawspur.dispatch.tests.conftest import OWN, SIBLING, harness  # noqa: F401
+from jackdawspur.dispatch.tests.conftest import (  # noqa: F401
+    LOCAL_ID,
+    ZONE_PEER,
+    harness,
+)
 from jackdawspur.entry._routes import Routes
 from jackdawspur.fuzz.tests.mutations import (
     DEEPLY_NESTED,
@@ -37,7 +41,14 @@
     "idempotent": True,
 }
 BODIES = mutated_json(BODY) | mutated_bytes(json.dumps(BODY).encode())
-IDS = (f"{OWN}.1", f"{SIBLING}.1", f"{OWN}.{2**64:x}", "a.b.-1.1", "x", "....")
+IDS = (
+    f"{LOCAL_ID}.1",
+    f"{ZONE_PEER}.1",
+    f"{LOCAL_ID}.{2**64:x}",
+    "a.b.-1.1",
+    "x",
+    "....",
+)
 PATHS = st.sampled_from(
     ["/v1/jobs", "/v1/submissions", "/livez", "/", "//", "/v1/jobs/"]
     + [f"/v1/submissions/{submission_id}" for submission_id in IDS]
@@ -128,7 +139,7 @@
     effects = host.effects + harness.wait(1.0)
     for effect in effects:
         if isinstance(effect, SendPeerMessage):
-            encode(Envelope(OWN, effect.to, 0.0, effect.message))
+            encode(Envelope(LOCAL_ID, effect.to, 0.0, effect.message))
     answers = [e for e in effects if isinstance(e, AnswerCall | IssueIds)]
     assert len(host.replies) + sum(e.call == call_id for e in answers) <= 1
     assert len(host.replies) == 1 or host.effects or harness.core.state.pending_forwards
--- a/jackdawspur/fuzz/tests/test_operators.py
+++ b/jackdawspur/fuzz/tests/test_operators.py
@@ -64,7 +64,7 @@
     """Guards against plans that end the pass or come into force unconfirmed."""
     before = cluster.versions()
     text = intent.decode(errors="replace")
-    reply = cluster.answered(HOST, PlanAsked, token, text, within=20.0)
+    reply = cluster.request_reply(HOST, PlanAsked, token, text, within=20.0)
     assert reply.status >= 200
     cluster.run(0.3)
     assert cluster.versions() == before
@@ -75,4 +75,6 @@
     text = template % DEEPLY_NESTED.decode()
     with pytest.raises(ConfigurationError):
         load_intent(text, CONFIGURATION)
-    assert cluster.answered(HOST, PlanAsked, "example-ann-token", text).status == 400
+    assert (
+        cluster.request_reply(HOST, PlanAsked, "example-ann-token", text).status == 400
+    )
