--- a/jackdawspur/front/_lead.py
+++ b/jackdawspur/front/_lead.py
@@ -290,7 +290,7 @@
             return
         group = self._owner.group
         for host in self._dispatcher.open_jobs.hosts():
-            if not group.alive(host, now):
+            if not group.is_alive(host, now):
                 self._dispatcher.drop_host(host, DropCause.SILENT, now)
         outsiders = set(
             filter(group.is_in_other_group, self._dispatcher.open_jobs.hosts())
--- a/jackdawspur/front/_process.py
+++ b/jackdawspur/front/_process.py
@@ -296,7 +296,7 @@
         if changed or lost:
             # Who lost the leading host tells all others, which chooses the next one.
             self._beat(now, to_all=True)
-        if self.group.claim(self.lead.fenced_for(now), unix_ms(), now):
+        if self.group.contend_for_upstreams(self.lead.fenced_for(now), unix_ms(), now):
             self.lead.leadership_changed(now)
             self._beat(now, to_all=True)
         self.callers.offer_waiting(now)
@@ -305,7 +305,7 @@
         """Give peers what the store refuses them: a newer configuration, the list."""
         group = self.group
         others = group.other_group_leaders(now) if group.is_leader else []
-        for beat in (*group.live_beats(now), *others):
+        for beat in (*group.live_heartbeats(now), *others):
             if beat.configuration < self.routes.version and self.views.document:
                 passed = ConfigurationUpdate(self.routes.version, self.views.document)
                 self.mesh.send(beat.host.name, passed)
--- a/jackdawspur/front/tests/test_lead.py
+++ b/jackdawspur/front/tests/test_lead.py
@@ -141,7 +141,7 @@
     # heard no heartbeat any more, had handed the job to another group.
     driver.offered(offer(owner.group.fence, sent_at=6.0 - late_s), 6.0)
     assert len(driver.dispatcher.open_jobs) == taken
-    assert owner.group.alive("h2", 6.0) == bool(taken)
+    assert owner.group.is_alive("h2", 6.0) == bool(taken)
 
 
 def test_a_lost_job_is_counted_by_route_and_cause(owner: Owner, driver: LeadDriver):
--- a/jackdawspur/group/__init__.py
+++ b/jackdawspur/group/__init__.py
@@ -1,13 +1,12 @@
-"""The group of hosts that work under one leading host."""
+"""Groups of hosts: liveness, leader election and the messages between hosts."""
 
-from jackdawspur.group._carried import HostLimits
 from jackdawspur.group._group import (
     FOLLOWER_TIMEOUT_S,
     HEARTBEAT_INTERVAL_S,
     HEARTBEAT_TIMEOUT_S,
     Group,
 )
-from jackdawspur.group._lateness import is_stale_message
+from jackdawspur.group._host_limits import HostLimits
 from jackdawspur.group._messages import (
     CapacityOffer,
     ConfigurationUpdate,
@@ -24,6 +23,7 @@
     decode_message,
     encode_message,
 )
+from jackdawspur.group._staleness import is_stale_message
 from jackdawspur.group._terms import Term
 
 __all__ = [
--- a/jackdawspur/group/_candidates.py
+++ b/jackdawspur/group/_candidates.py
@@ -1,23 +1,24 @@
-"""Which host is to lead next."""
+"""Eligibility and rank of hosts in a leader election."""
 
 from jackdawspur.group._messages import HostAddress, HostHeartbeat
 
-__all__ = ["is_fit", "rank"]
+__all__ = ["is_eligible", "rank"]
 
-# A host just started is likely to be one that fails; it leads if no other can.
-SETTLED_MS = 2000
+# A host that has run for less than this ranks last, since it is more likely to fail.
+MIN_UPTIME_MS = 2000
 
 
-def is_fit(beat: HostHeartbeat) -> bool:
-    """Tell whether a host may lead."""
-    return beat.ready and not beat.draining and not beat.slow
+def is_eligible(heartbeat: HostHeartbeat) -> bool:
+    """Return whether a host may lead."""
+    return heartbeat.ready and not heartbeat.draining and not heartbeat.slow
 
 
 def rank(host: HostAddress, unix_ms: float) -> tuple[bool, float, int, str]:
-    """Return a key whose lowest leads: the largest, of these the one restarted last.
+    """Return a sort key; the host with the lowest key leads.
 
-    A host started just now is passed over. While all hosts are restarted one after the
-    other, the one restarted last is the one whose turn comes last again.
+    The host with the largest processor share comes first, and among equals the one
+    that started last. In a rolling restart that host is restarted last again, so the
+    leader changes least often. A host that started just now ranks last.
     """
-    fresh = unix_ms - host.started_ms < SETTLED_MS
-    return (fresh, -host.processor, -(host.started_ms // SETTLED_MS), host.name)
+    fresh = unix_ms - host.started_ms < MIN_UPTIME_MS
+    return (fresh, -host.processor, -(host.started_ms // MIN_UPTIME_MS), host.name)
--- a/jackdawspur/group/_group.py
+++ b/jackdawspur/group/_group.py
@@ -1,10 +1,10 @@
-"""Which hosts are alive, and which of them leads."""
+"""Failure detection and leader election in a group of hosts."""
 
 import math
 
-from jackdawspur.group._candidates import is_fit, rank
-from jackdawspur.group._contest import Contest
-from jackdawspur.group._extent import MOST_UPSTREAMS, Extent
+from jackdawspur.group._candidates import is_eligible, rank
+from jackdawspur.group._contention import LeadershipContention
+from jackdawspur.group._extent import MAX_UPSTREAMS, Extent
 from jackdawspur.group._leadership_transfer import LeadershipTransfer
 from jackdawspur.group._messages import HostAddress, HostHeartbeat
 from jackdawspur.group._terms import Term, precedence
@@ -13,388 +13,388 @@
 __all__ = ["FOLLOWER_TIMEOUT_S", "HEARTBEAT_INTERVAL_S", "HEARTBEAT_TIMEOUT_S", "Group"]
 
 HEARTBEAT_INTERVAL_S = 0.1
-# Four heartbeats: a host whose share of the processor is used up stands still for up
-# to 0.1 s, and a lost message must not cost a change of the leading host.
+# Four heartbeat intervals: a host that has used up its processor quota is paused for up
+# to 0.1 s, and a single lost message must not cause a change of leader.
 HEARTBEAT_TIMEOUT_S = 0.4
-# Hosts that follow the same one tell each other of themselves every second.
+# Followers of the same leader send heartbeats to each other every second.
 FOLLOWER_TIMEOUT_S = 2.5
-# Other groups' leading hosts tell of themselves every second, and of room more often.
-OTHER_LEAD_SILENCE_S = 2.5
-# How long no host may lead before another takes over: all have then heard the same.
-VACANT_S = 0.1
-# A host that takes the lead tells all others at once, but after a cut their links must
-# connect first. An upstream that still obeys an unknown fence after this obeys a host
-# that this one does not hear. With less, both sides' leading hosts claim in turn what
-# the other holds.
-FENCED_CLAIM_S = 0.6
-# How long a host that does not hear a lead which others follow leaves it to that one:
-# links over which a cut healed connect again within half a second.
-UNHEARD_S = 0.6
-# At a start all hosts are to find each other before one leads: reading the store, a
+# Leaders of other groups send heartbeats every second, and offer capacity more often.
+OTHER_LEADER_TIMEOUT_S = 2.5
+# Time without a leader before a takeover, so that all hosts have the same heartbeats.
+TAKEOVER_S = 0.1
+# A new leader sends heartbeats at once, but links must reconnect after a partition. An
+# upstream that obeys an unknown fence for longer obeys a leader that can't be heard.
+# With less, the leaders of both sides alternately take upstreams from each other.
+CONTENTION_AFTER_S = 0.6
+# How long a host defers to a leader that others follow and that it doesn't hear itself:
+# links reconnect within half a second after a network partition ends.
+UNHEARD_LEADER_GRACE_S = 0.6
+# At startup hosts must discover each other before one leads: reading the store, a
 # connection and a heartbeat each way take 0.02 s, and hosts start within 0.3 s.
-FIRST_VACANT_S = 0.25
-# As long passes at least from when a host has read the store, which may answer late.
-MEET_S = 0.2
-# A heartbeat may have waited for this long before it was read: whoever stood still for
-# longer leads no more.
+INITIAL_TAKEOVER_S = 0.25
+# Least time between the first read of the store, which may answer late, and leading.
+PEERING_S = 0.2
+# Longest wait of a heartbeat before it is read; a host paused for longer can't lead.
 READ_MARGIN_S = 0.4
-# By how many milliseconds' worth a fence rises over one that an upstream refused: more
-# than clocks of hosts are known to differ.
-CLAIM_STEPS = 5000
+# How far a fence exceeds a refused one; more than clocks of hosts are known to differ.
+FENCE_JUMP_MS = 5000
 
 
 class Group:
-    """Follow the live host with the highest fence; lead when there is none.
+    """Follows the live host with the highest fence; leads when there is none.
 
-    Two hosts that both lead cost refused calls and nothing worse: upstreams obey the
-    higher fence alone, and the lower one gives up as soon as it hears of the other.
+    Two leaders at a time cost refused calls and nothing worse: upstreams obey only the
+    higher fence, and the other leader steps down when it hears of this one.
 
-    Which zones a group has is decided by its leading host and told with its heartbeats.
+    The leader decides which zones the group covers and sends this in its heartbeats.
     """
 
     def __init__(
-        self, own: HostAddress, now: float, most_upstreams: int = MOST_UPSTREAMS
+        self, local: HostAddress, now: float, max_upstreams: int = MAX_UPSTREAMS
     ) -> None:
-        self._own = own
-        self._beats: dict[str, HostHeartbeat] = {}
-        self._heard: dict[str, float] = {}
-        self._beat_heard: dict[str, float] = {}
-        self._known: dict[str, HostAddress] = {}
-        self._vacant_since = now + FIRST_VACANT_S - VACANT_S
-        self._highest: Fence = 0
-        self._followed: Fence = 0
-        self._extent = Extent(most_upstreams)
-        self._contest = Contest(now)
-        self._hand_over = LeadershipTransfer(own)
+        self._local = local
+        self._peers: dict[str, HostHeartbeat] = {}
+        self._seen_at: dict[str, float] = {}
+        self._sampled_at: dict[str, float] = {}
+        self._addresses: dict[str, HostAddress] = {}
+        self._vacant_since = now + INITIAL_TAKEOVER_S - TAKEOVER_S
+        self._max_fence: Fence = 0
+        self._followed_fence: Fence = 0
+        self._extent = Extent(max_upstreams)
+        self._contention = LeadershipContention(now)
+        self._transfer = LeadershipTransfer(local)
         self.fence: Fence = 0
         self.is_leader = False
         self.draining = False
         self.slow = False
-        # Whether the platform's store is within reach.
+        # Whether the platform's store answers.
         self.store_reachable = False
 
     @property
     def by_zone(self) -> bool:
-        """Tell whether the group is the own zone alone."""
+        """Return whether the group consists of this host's zone only."""
         return self._extent.by_zone
 
     @property
     def handed_to(self) -> str:
-        """Return which stronger host was last given the lead since this one had it."""
-        return self._hand_over.given_to
+        """Return the host to which this one last transferred the leadership, if any."""
+        return self._transfer.transferred_to
 
     @property
     def too_large(self) -> bool:
-        """Tell whether by the own list there are too many upstreams for one group."""
+        """Return whether this host's list has too many upstreams for one group."""
         return self._extent.too_large
 
     @property
     def known_peers(self) -> tuple[HostAddress, ...]:
-        """Return the other hosts of the group that are known by address."""
-        return tuple(h for h in self._known.values() if self.covers(h.zone))
+        """Return the other hosts of the group whose address is known."""
+        return tuple(h for h in self._addresses.values() if self.covers(h.zone))
 
     @property
     def other_group_hosts(self) -> tuple[HostAddress, ...]:
-        """Return the hosts of other groups that are known by address."""
-        return tuple(h for h in self._known.values() if not self.covers(h.zone))
+        """Return the hosts of other groups whose address is known."""
+        return tuple(h for h in self._addresses.values() if not self.covers(h.zone))
 
     def other_group_leaders(self, now: float) -> list[HostHeartbeat]:
-        """Return the last heartbeats of the hosts that lead other groups."""
-        return [beat for beat in self._leading(now) if not self.includes(beat)]
+        """Return the last heartbeats of the leaders of other groups."""
+        return [b for b in self._recent_leaders(now) if not self.includes(b)]
 
-    def _leading(self, now: float) -> list[HostHeartbeat]:
-        """Return the last heartbeats of all other hosts that led lately."""
+    def _recent_leaders(self, now: float) -> list[HostHeartbeat]:
+        """Return the heartbeats of other hosts that led within the timeout."""
         return [
-            beat
-            for beat in self._beats.values()
-            if beat.leads and now - self._heard[beat.host.name] < OTHER_LEAD_SILENCE_S
+            b
+            for b in self._peers.values()
+            if b.leads and now - self._seen_at[b.host.name] < OTHER_LEADER_TIMEOUT_S
         ]
 
     def is_term_active(self, term: Term, since: float, now: float) -> bool:
-        """Tell whether another group's term goes on; `since` is when it was named.
+        """Return whether another group's term, learned of at `since`, goes on.
 
-        Its host tells all hosts that wait for it, from the first it hears of them.
+        Its leader sends heartbeats to all hosts whose jobs it has.
         """
         silent_s = min(self.silent_s(term.leader, now), now - since)
-        beat = self._beats.get(term.leader)
-        changed = beat is not None and beat.fence != term.fence
-        # What was heard before the term was named may be of an earlier one.
-        heard_since = self._heard.get(term.leader, since) > since
-        return silent_s < HEARTBEAT_TIMEOUT_S and not (changed and heard_since)
+        heartbeat = self._peers.get(term.leader)
+        changed = heartbeat is not None and heartbeat.fence != term.fence
+        # A heartbeat received before `since` may belong to an earlier term.
+        seen_since = self._seen_at.get(term.leader, since) > since
+        return silent_s < HEARTBEAT_TIMEOUT_S and not (changed and seen_since)
 
     @property
     def last_heartbeats(self) -> tuple[HostHeartbeat, ...]:
         """Return the last heartbeat of every other host, alive or not."""
-        return tuple(self._beats.values())
+        return tuple(self._peers.values())
 
     def leads_other_group(self, term: Term, now: float) -> bool:
-        """Tell whether a term goes on in a group that is not this host's any more."""
-        beat = self._beats.get(term.leader)
-        if beat is None or not self.alive(term.leader, now):
+        """Return whether a term goes on in a group that excludes this host now."""
+        heartbeat = self._peers.get(term.leader)
+        if heartbeat is None or not self.is_alive(term.leader, now):
             return False
-        goes_on = beat.leads and beat.fence == term.fence
-        return goes_on and not self._takes_in(beat)
+        goes_on = heartbeat.leads and heartbeat.fence == term.fence
+        return goes_on and not self._leads_this_group(heartbeat)
 
     def set_upstream_count(self, upstreams: int, now: float) -> None:
-        """Be one group of all zones, or of the own zone where that is too large."""
+        """Record the length of this host's list, and update the zones of the group."""
         self._extent.set_upstream_count(upstreams)
         self._choose_zones(now)
 
     def _choose_zones(self, now: float) -> None:
-        """Have the zones of the leading host's group; decide where nobody leads."""
-        beat = None if self.is_leader else self._leading_beat(now)
-        if beat is not None:
-            self._extent.follow(beat.by_zone)
+        """Adopt the zones of the leader's group; decide on them without a leader."""
+        heartbeat = None if self.is_leader else self._leader_heartbeat(now)
+        if heartbeat is not None:
+            self._extent.follow(heartbeat.by_zone)
         else:
-            self._extent.decide(self._groups_of_zones(now))
+            self._extent.decide(self._zone_group_leaders(now))
 
-    def _groups_of_zones(self, now: float) -> list[HostHeartbeat]:
-        """Return the heartbeats of hosts that lead other zones' own groups."""
-        leading = self._leading(now)
-        return [b for b in leading if b.by_zone and b.host.zone != self._own.zone]
+    def _zone_group_leaders(self, now: float) -> list[HostHeartbeat]:
+        """Return the heartbeats of leaders of groups of one other zone."""
+        leading = self._recent_leaders(now)
+        return [b for b in leading if b.by_zone and b.host.zone != self._local.zone]
 
     def covers(self, zone: str) -> bool:
-        """Tell whether upstreams of a zone belong to the group."""
-        return not self._extent.by_zone or zone == self._own.zone
+        """Return whether a zone belongs to the group."""
+        return not self._extent.by_zone or zone == self._local.zone
 
-    def includes(self, beat: HostHeartbeat) -> bool:
-        """Tell whether a host belongs to the group, by what it says of its own."""
-        if beat.host.zone == self._own.zone:
+    def includes(self, heartbeat: HostHeartbeat) -> bool:
+        """Return whether a host belongs to the group, according to its heartbeat."""
+        if heartbeat.host.zone == self._local.zone:
             return True
-        return not (self._extent.by_zone or beat.by_zone)
+        return not (self._extent.by_zone or heartbeat.by_zone)
 
     def is_in_other_group(self, name: str) -> bool:
-        """Tell whether a host says that it belongs to another group."""
-        beat = self._beats.get(name)
-        return beat is not None and not self.includes(beat)
+        """Return whether a host belongs to another group by its last heartbeat."""
+        heartbeat = self._peers.get(name)
+        return heartbeat is not None and not self.includes(heartbeat)
 
-    def _takes_in(self, beat: HostHeartbeat) -> bool:
-        """Tell whether the group that a host leads is this host's too."""
-        return beat.host.zone == self._own.zone or not beat.by_zone
+    def _leads_this_group(self, heartbeat: HostHeartbeat) -> bool:
+        """Return whether the group led by a host includes this host."""
+        return heartbeat.host.zone == self._local.zone or not heartbeat.by_zone
 
     def add_host(self, host: HostAddress) -> bool:
-        """Take in a host's address; tell whether this run of it was not known."""
-        known = self._known.get(host.name)
-        if host.name == self._own.name:
+        """Record a host's address; return whether this incarnation is new."""
+        known = self._addresses.get(host.name)
+        if host.name == self._local.name:
             return False
         if known is not None and known.started_ms >= host.started_ms:
             return False
-        self._known[host.name] = host
+        self._addresses[host.name] = host
         return True
 
-    def record_heartbeat(self, beat: HostHeartbeat, now: float) -> bool:
-        """Take in a heartbeat; tell whether it named hosts not known before.
+    def record_heartbeat(self, heartbeat: HostHeartbeat, now: float) -> bool:
+        """Record a heartbeat; return whether it named hosts that were not known.
 
-        One that arrives after a later one, over a connection that was slow to break,
-        is left: by an old one a host would follow a lead that has ended, or its own.
+        One that arrives after a later one, over a connection that was slow to break, is
+        ignored: it could make this host follow an ended term, or lead itself.
         """
-        last = self._beats.get(beat.host.name)
-        if last is not None and beat.is_before(last):
+        last = self._peers.get(heartbeat.host.name)
+        if last is not None and heartbeat.is_before(last):
             return False
-        learned = [self.add_host(host) for host in (beat.host, *beat.knows)]
-        fresh = last is None or not self.alive(beat.host.name, now)
-        if fresh and self.includes(beat):
-            self._contest.heard_anew(now)
-        self._beats[beat.host.name] = beat
-        self._heard[beat.host.name] = self._beat_heard[beat.host.name] = now
-        self._highest = max(self._highest, beat.fence)
-        if beat.leads:
+        learned = [self.add_host(host) for host in (heartbeat.host, *heartbeat.knows)]
+        fresh = last is None or not self.is_alive(heartbeat.host.name, now)
+        if fresh and self.includes(heartbeat):
+            self._contention.reset(now)
+        self._peers[heartbeat.host.name] = heartbeat
+        self._seen_at[heartbeat.host.name] = self._sampled_at[heartbeat.host.name] = now
+        self._max_fence = max(self._max_fence, heartbeat.fence)
+        if heartbeat.leads:
             self._choose_zones(now)
         return any(learned)
 
     def record_message(self, name: str, now: float) -> None:
-        """Take a message as a sign of life; it may come before a heartbeat."""
-        self._heard[name] = now
+        """Record a message as a sign of life; it may precede the first heartbeat."""
+        self._seen_at[name] = now
 
-    def alive(self, name: str, now: float) -> bool:
-        """Tell whether a host was heard of lately; this one always is."""
-        if name == self._own.name:
+    def is_alive(self, name: str, now: float) -> bool:
+        """Return whether a host was heard within the timeout; true for this one."""
+        if name == self._local.name:
             return True
-        return now - self._heard.get(name, -HEARTBEAT_TIMEOUT_S) < HEARTBEAT_TIMEOUT_S
+        return now - self._seen_at.get(name, -HEARTBEAT_TIMEOUT_S) < HEARTBEAT_TIMEOUT_S
 
     def is_running(self, name: str, now: float) -> bool:
-        """Tell whether a host counts as running, though it need not be heard often."""
-        return self.silent_s(name, now) < FOLLOWER_TIMEOUT_S and name in self._beats
+        """Return whether a host was heard within the longer timeout of followers."""
+        return self.silent_s(name, now) < FOLLOWER_TIMEOUT_S and name in self._peers
 
     def is_leaderless(self, name: str, now: float) -> bool:
-        """Tell whether another host, lately heard, neither leads nor follows."""
-        beat = self._beats.get(name)
-        if beat is None or not self.alive(name, now):
+        """Return whether another live host neither leads nor follows a leader."""
+        heartbeat = self._peers.get(name)
+        if heartbeat is None or not self.is_alive(name, now):
             return False
-        return not beat.leads and not beat.follows
+        return not heartbeat.leads and not heartbeat.follows
 
     def silent_s(self, name: str, now: float) -> float:
-        """Return for how long a host was not heard."""
-        heard_at = self._heard.get(name)
-        return HEARTBEAT_TIMEOUT_S if heard_at is None else now - heard_at
+        """Return the time since the last message of a host."""
+        seen_at = self._seen_at.get(name)
+        return HEARTBEAT_TIMEOUT_S if seen_at is None else now - seen_at
 
     def clock_lower_bound(self, name: str, now: float) -> float:
-        """Return what another host's clock shows at least, by its last heartbeat.
-
-        Infinity without one: a message to it counts as late.
-        """
-        beat = self._beats.get(name)
-        if beat is None:
+        """Return a lower bound of a host's clock, infinity (stale) if it is unknown."""
+        heartbeat = self._peers.get(name)
+        if heartbeat is None:
             return float("inf")
-        return beat.sent_at + now - self._beat_heard[name]
+        return heartbeat.sent_at + now - self._sampled_at[name]
 
     def peer_list_bounds(self, now: float) -> tuple[int, float]:
-        """Return the longest list of the other hosts, and when all had read one.
+        """Return the greatest length of peers' lists, and when all had read one.
 
-        A host that has just started and has no list yet can't lead, so what it does not
-        know keeps nothing back: else no upstream could be used until it has one.
+        Hosts without a list are left out: they have just started and can't lead.
+        Otherwise no upstream could be used until they have one.
         """
-        beats = [beat for beat in self.running_heartbeats(now) if beat.ready]
-        longest = max((beat.upstreams for beat in beats), default=0)
-        ages = (self.silent_s(b.host.name, now) + b.upstreams_age_s for b in beats)
+        heartbeats = [b for b in self.running_heartbeats(now) if b.ready]
+        longest = max((b.upstreams for b in heartbeats), default=0)
+        ages = (self.silent_s(b.host.name, now) + b.upstreams_age_s for b in heartbeats)
         return longest, now - max(ages, default=0.0) - READ_MARGIN_S
 
     def newest_peer_list_age_s(self, now: float) -> float:
-        """Return how old the newest list of other hosts is, infinity without one."""
+        """Return the age of the newest list of other hosts, infinity without one."""
         return min(
             (
-                self.silent_s(beat.host.name, now) + beat.upstreams_age_s
-                for beat in self.running_heartbeats(now)
+                self.silent_s(heartbeat.host.name, now) + heartbeat.upstreams_age_s
+                for heartbeat in self.running_heartbeats(now)
             ),
             default=math.inf,
         )
 
-    def live_beats(self, now: float) -> list[HostHeartbeat]:
+    def live_heartbeats(self, now: float) -> list[HostHeartbeat]:
         """Return the last heartbeats of the other hosts that are alive."""
         return [
-            beat
-            for beat in self._beats.values()
-            if self.includes(beat) and self.alive(beat.host.name, now)
+            heartbeat
+            for heartbeat in self._peers.values()
+            if self.includes(heartbeat) and self.is_alive(heartbeat.host.name, now)
         ]
 
     def running_heartbeats(self, now: float) -> list[HostHeartbeat]:
-        """Return the last heartbeats of the other hosts that count as running."""
+        """Return the last heartbeats of the other hosts that are running."""
         return [
-            beat
-            for beat in self._beats.values()
-            if self.includes(beat) and self.is_running(beat.host.name, now)
+            heartbeat
+            for heartbeat in self._peers.values()
+            if self.includes(heartbeat) and self.is_running(heartbeat.host.name, now)
         ]
 
     def leader(self, now: float) -> str | None:
-        """Return the name of the host that leads, None without one."""
+        """Return the name of the leader, None without one."""
         term = self.term(now)
         return term.leader if term else None
 
     def term(self, now: float) -> Term | None:
-        """Return the leading host's present term, None without one."""
-        beat = self._leading_beat(now)
-        other = beat and Term(beat.host.name, beat.fence, beat.by_zone)
+        """Return the leader's current term, None without a leader."""
+        last = self._leader_heartbeat(now)
+        other = last and Term(last.host.name, last.fence, last.by_zone)
         if not self.is_leader:
             return other
-        own = Term(self._own.name, self.fence, self._extent.by_zone)
-        return max(own, other, key=precedence) if other else own
+        local = Term(self._local.name, self.fence, self._extent.by_zone)
+        return max(local, other, key=precedence) if other else local
 
-    def _leading_beat(self, now: float) -> HostHeartbeat | None:
-        """Return the last heartbeat of the other host that leads this one, if any."""
+    def _leader_heartbeat(self, now: float) -> HostHeartbeat | None:
+        """Return the last heartbeat of the leader if it is another host, else None."""
         leading = [
-            beat
-            for beat in self._beats.values()
-            if beat.leads and self._takes_in(beat) and self.alive(beat.host.name, now)
+            b
+            for b in self._peers.values()
+            if b.leads and self._leads_this_group(b) and self.is_alive(b.host.name, now)
         ]
         return max(leading, key=precedence, default=None)
 
     def update_leadership(self, ready: bool, unix_ms: float, now: float) -> bool:
-        """Take the lead or give it up; tell whether that changed."""
+        """Start or stop leading if due; return whether that changed."""
         self._choose_zones(now)
         leader = self.leader(now)
         if self.is_leader:
-            return self._give_up(leader, unix_ms, now)
+            return self._step_down(leader, unix_ms, now)
         if leader is not None:
             self._vacant_since = now
-            self._followed = self.term(now).fence
+            self._followed_fence = self.term(now).fence
             return False
         if not ready:
-            # What it has not read tells of the others too: hosts that read the store
-            # late, all at one moment, would otherwise all lead before they met.
-            self._vacant_since = max(self._vacant_since, now + MEET_S - VACANT_S)
+            # The store also lists the other hosts. Otherwise hosts that all read it
+            # late, at the same moment, would each lead before they are connected.
+            self._vacant_since = max(self._vacant_since, now + PEERING_S - TAKEOVER_S)
             return False
-        if self._contest.waits(now) or self._leaves_it_to_others(now):
+        if self._contention.must_wait(now) or self._defers_to_unheard_leader(now):
             return False
-        vacant = now - self._vacant_since >= VACANT_S
+        vacant = now - self._vacant_since >= TAKEOVER_S
         if not vacant or not self._is_first(unix_ms, now):
             return False
-        self._lead(unix_ms, now)
+        self._start_leading(unix_ms, now)
         return True
 
-    def _leaves_it_to_others(self, now: float) -> bool:
-        """Tell whether others follow a lead that this host does not hear yet.
+    def _defers_to_unheard_leader(self, now: float) -> bool:
+        """Return whether others follow a leader that this host does not hear yet.
 
-        After a cut one side's leading host gives up at once. A host of that side which
-        led before it heard the other's would have all work handed over twice. The lead
-        that was lost just now is not meant: others may notice its loss a little later.
+        After a network partition the leader of one side steps down at once. If a host
+        of that side led before it hears the other one, all jobs would be handed over
+        twice. The leader lost just now doesn't count: others may notice that later.
         """
-        if now - self._vacant_since > UNHEARD_S:
+        if now - self._vacant_since > UNHEARD_LEADER_GRACE_S:
             return False
-        return any(beat.follows > self._followed for beat in self.live_beats(now))
+        return any(b.follows > self._followed_fence for b in self.live_heartbeats(now))
 
     @property
     def backing_off(self) -> bool:
-        """Tell whether this host leaves the lead to one that it can't hear."""
-        return self._contest.backing_off
-
-    def claim(self, fenced_s: float, unix_ms: float, now: float) -> bool:
-        """Contest upstreams that have obeyed an unknown fence; tell whether it did."""
-        if not self.is_leader or fenced_s <= FENCED_CLAIM_S:
+        """Return whether this host leaves the leadership to one that it can't hear."""
+        return self._contention.backing_off
+
+    def contend_for_upstreams(
+        self, fenced_s: float, unix_ms: float, now: float
+    ) -> bool:
+        """Contend for upstreams fenced for `fenced_s`; return whether it did so."""
+        if not self.is_leader or fenced_s <= CONTENTION_AFTER_S:
             return False
         self.resolve_contention(unix_ms, now)
         return True
 
     def resolve_contention(self, unix_ms: float, now: float) -> None:
-        """Decide what to do when upstreams obey a fence that nobody here has.
+        """Raise the fence above an unknown one, or back off.
 
-        Once is no proof: the token may stem from a host that is gone. Again means that
-        another host leads that can't be heard. Both would take the upstreams from each
-        other and stop each other's work in turn, so the smaller side leaves off, for
-        longer each time.
+        The first time the fence may come from a host that is gone. A second time within
+        `CONTENTION_MEMORY_S` there is a leader that this host can't hear. Both would
+        alternately take the upstreams and stop each other's runs, so the smaller side
+        backs off, for longer each time.
         """
-        if self._contest.note(now) and self._is_smaller_side(now):
+        if self._contention.record(now) and self._is_smaller_side(now):
             self.is_leader = False
-            self._contest.leave(now)
+            self._contention.back_off(now)
             return
-        self._highest = max(self._highest, self.fence + CLAIM_STEPS * FENCE_STEP)
-        self._lead(unix_ms, now)
+        self._max_fence = max(self._max_fence, self.fence + FENCE_JUMP_MS * FENCE_STEP)
+        self._start_leading(unix_ms, now)
 
     def _is_smaller_side(self, now: float) -> bool:
-        present = {self._own.name, *(b.host.name for b in self.live_beats(now))}
-        every = {self._own.name, *(host.name for host in self.known_peers)}
-        if 2 * len(present) == len(every):
-            return min(every) not in present
-        return 2 * len(present) < len(every)
+        live = {self._local.name, *(b.host.name for b in self.live_heartbeats(now))}
+        known = {self._local.name, *(host.name for host in self.known_peers)}
+        if 2 * len(live) == len(known):
+            return min(known) not in live
+        return 2 * len(live) < len(known)
 
-    def _lead(self, unix_ms: float, now: float) -> None:
+    def _start_leading(self, unix_ms: float, now: float) -> None:
         self.is_leader = True
-        self._hand_over.lead_began(now)
-        self.fence = next_fence(unix_ms, self._own.name, self._highest)
-        self._highest = self._followed = self.fence
-
-    def _give_up(self, leader: str | None, unix_ms: float, now: float) -> bool:
-        outranked = leader != self._own.name
-        unfit = (self.draining or self.slow) and any(map(is_fit, self.live_beats(now)))
-        if not (outranked or unfit or self._hands_over(unix_ms, now)):
+        self._transfer.leadership_started(now)
+        self.fence = next_fence(unix_ms, self._local.name, self._max_fence)
+        self._max_fence = self._followed_fence = self.fence
+
+    def _step_down(self, leader: str | None, unix_ms: float, now: float) -> bool:
+        outranked = leader != self._local.name
+        must_step_down = (self.draining or self.slow) and any(
+            map(is_eligible, self.live_heartbeats(now))
+        )
+        if not (outranked or must_step_down or self._should_transfer(unix_ms, now)):
             return False
         self.is_leader = False
         self._vacant_since = now
         return True
 
-    def _hands_over(self, unix_ms: float, now: float) -> bool:
-        """Tell whether a host that carries more is to lead, and nothing is away."""
-        calm = self.store_reachable and not self._contest.recent(now)
-        if not calm or self._misses_zone(now):
+    def _should_transfer(self, unix_ms: float, now: float) -> bool:
+        """Return whether to transfer the leadership, which is done only when stable."""
+        stable = self.store_reachable and not self._contention.is_recent(now)
+        if not stable or self._is_zone_missing(now):
             return False
-        return self._hand_over.is_due(self.live_beats(now), self.fence, unix_ms, now)
+        return self._transfer.is_due(
+            self.live_heartbeats(now), self.fence, unix_ms, now
+        )
 
-    def _misses_zone(self, now: float) -> bool:
-        heard = {beat.host.zone for beat in self.running_heartbeats(now)}
-        return not {host.zone for host in self.known_peers} <= heard | {self._own.zone}
+    def _is_zone_missing(self, now: float) -> bool:
+        running = {b.host.zone for b in self.running_heartbeats(now)}
+        return not {h.zone for h in self.known_peers} <= running | {self._local.zone}
 
     def _is_first(self, unix_ms: float, now: float) -> bool:
-        fit = [beat.host for beat in self.live_beats(now) if is_fit(beat)]
+        eligible = [b.host for b in self.live_heartbeats(now) if is_eligible(b)]
         if self.draining or self.slow:
-            return not fit
-        own = rank(self._own, unix_ms)
-        return all(own <= rank(other, unix_ms) for other in fit)
+            return not eligible
+        local = rank(self._local, unix_ms)
+        return all(local <= rank(other, unix_ms) for other in eligible)
--- a/jackdawspur/group/_leadership_transfer.py
+++ b/jackdawspur/group/_leadership_transfer.py
@@ -1,57 +1,74 @@
-"""When the lead goes to a host that carries more."""
+"""Transfer of the leadership to a host with more processor capacity."""
 
 from collections.abc import Sequence
 
-from jackdawspur.group._candidates import is_fit, rank
+from jackdawspur.group._candidates import is_eligible, rank
 from jackdawspur.group._messages import HostAddress, HostHeartbeat
 from jackdawspur.leases import Fence
 
 __all__ = ["LeadershipTransfer"]
 
-# Each change of the leading host stops starts for a moment, so one that nothing forces
-# waits for this long, and twice as long each time that it goes to the same host: one
-# that loses the lead again and again must not have it passed to and fro.
+# Shortest time before a transfer that is not forced: during each change of leader no
+# task starts for a moment. The time doubles with each transfer to the same host, so
+# that the leadership doesn't oscillate with a host that fails repeatedly.
 MIN_LEADERSHIP_S = 5.0
-MOST_DOUBLINGS = 4
+MAX_DOUBLINGS = 4
 MS_PER_S = 1000.0
-# Below this ratio of processors the change costs more than it brings.
-STRONGER = 1.5
-# Its list must be as good as that of a leading host.
-FRESH_LIST_S = 2.0
+# Ratio of processor shares; below it a transfer costs more than it gains.
+MIN_PROCESSOR_RATIO = 1.5
+# The candidate's list of upstreams must be as recent as a leader's.
+MAX_LIST_AGE_S = 2.0
 
 
 class LeadershipTransfer:
-    """Choose the host to which the lead is to go, if any."""
+    """Decides whether and to which host the leadership is transferred."""
 
-    def __init__(self, own: HostAddress) -> None:
-        self._own = own
-        self._led_since = 0.0
-        self._handed: dict[str, int] = {}
-        self.given_to = ""
+    def __init__(self, local: HostAddress) -> None:
+        self._local = local
+        self._leading_since = 0.0
+        self._transfer_counts: dict[str, int] = {}
+        self.transferred_to = ""
 
-    def lead_began(self, now: float) -> None:
-        """Note that the own host leads from now on."""
-        self._led_since = now
-        self.given_to = ""
+    def leadership_started(self, now: float) -> None:
+        """Record that this host leads from now on."""
+        self._leading_since = now
+        self.transferred_to = ""
 
     def is_due(
-        self, beats: Sequence[HostHeartbeat], fence: Fence, unix_ms: float, now: float
+        self,
+        heartbeats: Sequence[HostHeartbeat],
+        fence: Fence,
+        unix_ms: float,
+        now: float,
     ) -> bool:
-        """Tell whether to give up the lead: who is chosen next carries more."""
-        fit = [beat for beat in beats if is_fit(beat)]
-        first = min(fit, key=lambda beat: rank(beat.host, unix_ms), default=None)
-        if first is None or not self._deserves_it(first, fence, unix_ms):
+        """Return whether to step down, because the next host in rank is stronger."""
+        eligible = [heartbeat for heartbeat in heartbeats if is_eligible(heartbeat)]
+        first = min(
+            eligible, key=lambda heartbeat: rank(heartbeat.host, unix_ms), default=None
+        )
+        if first is None or not self._is_better_leader(first, fence, unix_ms):
             return False
         name = first.host.name
-        handed = self._handed.get(name, 0)
-        if now - self._led_since < MIN_LEADERSHIP_S * 2 ** min(handed, MOST_DOUBLINGS):
+        transfers = self._transfer_counts.get(name, 0)
+        if now - self._leading_since < MIN_LEADERSHIP_S * 2 ** min(
+            transfers, MAX_DOUBLINGS
+        ):
             return False
-        self._handed[name] = handed + 1
-        self.given_to = name
+        self._transfer_counts[name] = transfers + 1
+        self.transferred_to = name
         return True
 
-    def _deserves_it(self, beat: HostHeartbeat, fence: Fence, unix_ms: float) -> bool:
-        stronger = beat.host.processor >= STRONGER * self._own.processor
-        settled = unix_ms - beat.host.started_ms >= MIN_LEADERSHIP_S * MS_PER_S
-        follows = beat.follows == fence
-        return stronger and settled and follows and beat.upstreams_age_s < FRESH_LIST_S
+    def _is_better_leader(
+        self, heartbeat: HostHeartbeat, fence: Fence, unix_ms: float
+    ) -> bool:
+        stronger = (
+            heartbeat.host.processor >= MIN_PROCESSOR_RATIO * self._local.processor
+        )
+        settled = unix_ms - heartbeat.host.started_ms >= MIN_LEADERSHIP_S * MS_PER_S
+        follows = heartbeat.follows == fence
+        return (
+            stronger
+            and settled
+            and follows
+            and heartbeat.upstreams_age_s < MAX_LIST_AGE_S
+        )
--- a/jackdawspur/group/_messages.py
+++ b/jackdawspur/group/_messages.py
@@ -27,14 +27,15 @@
 
 
 class GroupMessageDecodeError(JackdawspurError):
-    """Raise when bytes are no message of a host."""
+    """Raised when bytes do not decode as a message of a host."""
 
 
 @dataclass(frozen=True, slots=True)
 class HostAddress:
-    """Say where a host's link listens; `started_ms` (since 1970) names its run.
+    """Name, zone and link address of a host.
 
-    `processor` is its share of one, in cores.
+    `started_ms`, in milliseconds since 1970, identifies the incarnation. `processor`
+    is the host's processor share in cores.
     """
 
     name: str
@@ -45,16 +46,19 @@
 
 
 class HostHeartbeat(msgspec.Struct, frozen=True, tag="beat", omit_defaults=True):
-    """Tell the other hosts how this one is; `sent_at` is on its own clock.
-
-    `fence` is its own when it leads, else 0; `follows` is that of the leading host to
-    which it hands its jobs, 0 without one. `silent_s` is for how long it has not heard
-    the receiver. `room` is what a leading host offers to that of another group, and
-    `wants_room` tells that jobs found none in its own.
-    `by_zone` tells that its group is its own zone alone, `too_large` that the list of
-    a host that leads has too many upstreams for one group of all zones. `upstreams` is
-    how many are listed there. `learned` is what a leading host tells its own group of
-    upstreams and routes.
+    """State of the sending host; `sent_at` is on the sender's clock.
+
+    `fence` is the sender's own if it leads, else 0; `follows` is the fence of the
+    leader to which it offers its jobs, 0 without one. `knows` lists hosts for
+    discovery. `silent_s` is the time since the sender last heard the receiver.
+
+    `by_zone` is set if the sender's group consists of its zone only. `too_large` is set
+    if its list has too many upstreams for one group of all zones; `upstreams` is the
+    length of the list.
+
+    A leader sends `room`, the free capacity that it offers, to leaders of other groups,
+    and sets `wants_room` if jobs found no free capacity in its own group. `learned` are
+    its statistics of upstreams and routes, for its own group.
     """
 
     host: HostAddress
@@ -78,18 +82,18 @@
     learned: LearnedStats | None = None
 
     def is_before(self, other: "HostHeartbeat") -> bool:
-        """Tell whether the same run of a host sent this one before another.
+        """Return whether the same incarnation sent this heartbeat before another.
 
-        Of two runs nothing is told: the time of day may have been set back.
+        False for different incarnations: the time of day may have been set back.
         """
         same_run = self.host.started_ms == other.host.started_ms
         return same_run and self.sent_at < other.sent_at
 
 
 class CapacityOffer(msgspec.Struct, frozen=True):
-    """Offer what some upstreams of a service have left, in thousandths of a core.
+    """Free capacity of upstreams of a service, in thousandths of a core.
 
-    On those of `slow` tasks take longer than on the others.
+    `slow` are the capacities of upstreams on which tasks take longer.
     """
 
     service: str
@@ -98,23 +102,24 @@
 
 
 class JobProgress(msgspec.Struct, frozen=True):
-    """Tell a job's host what the next leading host must know of its tasks."""
+    """Progress of a job's tasks, kept by the job's host for the next leader."""
 
     job: str
     progress: Progress
 
 
 class JobOffer(msgspec.Struct, frozen=True, tag="offer"):
-    """Hand a job to the leading host; times in milliseconds, left or passed.
-
-    `handed` counts earlier hand-overs, `progress` is what is known of its tasks.
-    `fence` names the term to whose leading host it goes: in a later one the job
-    counts as new unless it is handed over. `far` tells that it comes from another
-    group. `attempt` counts the offers of the job. `zone` is the sender's;
-    `all_zones` tells that an earlier leading host could run the job on upstreams of
-    others too. `leader_at` is what the receiver's clock showed when this was sent,
-    or less: by it an offer that arrives late is known. `outranked` tells that an
-    earlier leading host had a higher fence.
+    """Offer of a job to a leader.
+
+    `age_ms` is the time since the job arrived, `left_ms` the time to its deadline.
+    `handed` counts earlier handovers, `attempt` the offers of the job, and `progress`
+    is what is known of its tasks. `fence` identifies the leader's term: in a later term
+    the job counts as new unless it is handed over. `leader_at` is a lower bound of the
+    receiver's clock at the time of sending; it shows whether the offer arrives late.
+
+    `far` is set if the sender belongs to another group. `zone` is the sender's zone.
+    `all_zones` is set if an earlier leader could also run the job on upstreams of other
+    zones, and `outranked` if an earlier leader had a higher fence.
     """
 
     sender: str
@@ -134,9 +139,9 @@
 
 
 class JobRedirect(msgspec.Struct, frozen=True, tag="passed"):
-    """Tell a job's host to offer it to the leading host of another group.
+    """Reply to an offer: the job's host should offer it to another group's leader.
 
-    `attempt` names the offer that this replies to.
+    `attempt` identifies the offer.
     """
 
     job: str
@@ -147,7 +152,7 @@
 
 
 class JobCancellation(msgspec.Struct, frozen=True, tag="drop"):
-    """Tell the leading host that nobody waits for a job any more."""
+    """Request to the leader to cancel a job whose caller no longer waits."""
 
     sender: str
     job: str
@@ -155,7 +160,7 @@
 
 
 class JobResult(msgspec.Struct, frozen=True, tag="answer"):
-    """Tell a job's host how the job ended; `handed` tells which offer is answered."""
+    """Outcome of a job, for its host; `handed` is the same as in the offer."""
 
     job: str
     call: int
@@ -164,17 +169,17 @@
 
 
 class ConfigurationUpdate(msgspec.Struct, frozen=True, tag="configuration"):
-    """Pass a configuration on as it was published."""
+    """A configuration as it was published, for a peer with an older one."""
 
     version: int
     document: bytes
 
 
 class UpstreamListUpdate(msgspec.Struct, frozen=True, tag="upstreams"):
-    """Pass the list of upstreams on; `age_s` is how old it is.
+    """The list of upstreams and its age, for a peer with an older one.
 
-    `receiver_at` is what the receiver's clock showed when this was sent, or less.
-    Nothing more may start in the zones that are `evacuated`.
+    `receiver_at` is a lower bound of the receiver's clock at the time of sending. No
+    task may start in the `evacuated` zones.
     """
 
     receiver_at: float
@@ -198,12 +203,12 @@
 
 
 def encode_message(message: GroupMessage) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def decode_message(data: bytes) -> GroupMessage:
-    """Return the message of bytes; raise `GroupMessageDecodeError`."""
+    """Decode a message; raise `GroupMessageDecodeError` if it is malformed."""
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
--- a/jackdawspur/group/_terms.py
+++ b/jackdawspur/group/_terms.py
@@ -1,4 +1,4 @@
-"""The time in which a host leads."""
+"""Terms of leaders and their precedence."""
 
 from dataclasses import dataclass, field
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """Name the time in which a host leads under one fence.
+    """A period in which one host leads under one fence.
 
-    `by_zone` tells whether its group is one zone alone, which may change meanwhile.
+    `by_zone` is true if its group consists of one zone; it may change within a term.
     """
 
     leader: str
@@ -21,9 +21,9 @@
 
 
 def precedence(term: Term | HostHeartbeat) -> tuple[bool, Fence]:
-    """Return a key whose highest leads a host.
+    """Return a sort key; a host follows the leader with the highest key.
 
-    Of one zone's leading host and one of all zones, the former gives up as soon as its
-    own list is short enough. Until then both run jobs, and each keeps those it has.
+    The leader of a single zone precedes one of all zones. It steps down as soon as its
+    own list is short enough. Until then both run jobs, and each keeps its own.
     """
     return (term.by_zone, term.fence)
--- a/jackdawspur/group/tests/beats.py
+++ b/jackdawspur/group/tests/heartbeats.py
@@ -1,12 +1,12 @@
-"""Heartbeats of groups under test."""
+"""Heartbeats for tests of groups."""
 
 from jackdawspur.group import Group, HostAddress, HostHeartbeat
 
-__all__ = ["beat_of"]
+__all__ = ["heartbeat_of"]
 
 
-def beat_of(group: Group, host: HostAddress, now: float) -> HostHeartbeat:
-    """Return what a host with a fresh list tells of its group."""
+def heartbeat_of(group: Group, host: HostAddress, now: float) -> HostHeartbeat:
+    """Return a heartbeat of a host whose list of upstreams was read just now."""
     term = group.term(now)
     return HostHeartbeat(
         host=host,
--- a/jackdawspur/group/tests/test_group.py
+++ b/jackdawspur/group/tests/test_group.py
@@ -1,20 +1,20 @@
-"""One host leads, and another takes over when it is gone."""
+"""Tests of leader election and of failure detection between hosts."""
 
 import pytest
 
 from jackdawspur.group import Group, HostAddress, HostHeartbeat, Term
 from jackdawspur.group._group import (
-    FIRST_VACANT_S,
     HEARTBEAT_TIMEOUT_S,
-    MEET_S,
+    INITIAL_TAKEOVER_S,
+    PEERING_S,
     READ_MARGIN_S,
-    UNHEARD_S,
-    VACANT_S,
+    TAKEOVER_S,
+    UNHEARD_LEADER_GRACE_S,
 )
-from jackdawspur.group.tests.beats import beat_of
+from jackdawspur.group.tests.heartbeats import heartbeat_of
 
 UNIX_MS = 1_800_000_000_000
-# Links over which a cut healed stand again half a second later.
+# Links reconnect half a second after a network partition ends.
 RECONNECTED_TENTHS = 5
 
 
@@ -23,28 +23,31 @@
 
 
 class Hosts:
-    """Let hosts hear each other, but over cut pairs."""
+    """Hosts that receive each other's heartbeats, except across partitioned pairs."""
 
     def __init__(self, *names: str) -> None:
         self.now = 50.0
         self.groups = {name: Group(address(name), self.now) for name in names}
-        self.away: set[str] = set()
+        self.stopped: set[str] = set()
         self.unready: set[str] = set()
-        self.cut: set[frozenset[str]] = set()
+        self.partitioned: set[frozenset[str]] = set()
 
-    def beat(self, name: str) -> HostHeartbeat:
-        return beat_of(self.groups[name], address(name), self.now)
+    def heartbeat(self, name: str) -> HostHeartbeat:
+        return heartbeat_of(self.groups[name], address(name), self.now)
 
     def advance(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
-            present = [name for name in self.groups if name not in self.away]
-            beats = {name: self.beat(name) for name in present}
-            for name in present:
-                for other in present:
-                    if other != name and frozenset((name, other)) not in self.cut:
-                        self.groups[name].record_heartbeat(beats[other], self.now)
-            for name in present:
+            running = [name for name in self.groups if name not in self.stopped]
+            heartbeats = {name: self.heartbeat(name) for name in running}
+            for name in running:
+                for other in running:
+                    if (
+                        other != name
+                        and frozenset((name, other)) not in self.partitioned
+                    ):
+                        self.groups[name].record_heartbeat(heartbeats[other], self.now)
+            for name in running:
                 ready = name not in self.unready
                 self.groups[name].update_leadership(ready, UNIX_MS, self.now)
 
@@ -54,50 +57,50 @@
 
 @pytest.fixture
 def hosts() -> Hosts:
-    three = Hosts("a", "b", "c")
-    three.advance(FIRST_VACANT_S + 1.0)
-    return three
+    cluster = Hosts("a", "b", "c")
+    cluster.advance(INITIAL_TAKEOVER_S + 1.0)
+    return cluster
 
 
-def test_one_host_leads_and_all_know_it(hosts: Hosts):
+def test_exactly_one_host_leads_and_all_follow_it(hosts: Hosts):
     (leader,) = hosts.leaders()
     assert {g.leader(hosts.now) for g in hosts.groups.values()} == {leader}
 
 
-def test_a_silent_leading_host_is_replaced_under_a_higher_fence(hosts: Hosts):
-    # Callers wait and nothing starts: the leading host lost power.
+def test_an_unresponsive_leader_is_replaced_under_a_higher_fence(hosts: Hosts):
+    # Callers wait and no task starts, because the leader lost power.
     (leader,) = hosts.leaders()
     before = hosts.groups[leader].fence
-    hosts.away.add(leader)
-    hosts.advance(HEARTBEAT_TIMEOUT_S + VACANT_S + 0.2)
+    hosts.stopped.add(leader)
+    hosts.advance(HEARTBEAT_TIMEOUT_S + TAKEOVER_S + 0.2)
     (second,) = [name for name in hosts.leaders() if name != leader]
     assert hosts.groups[second].fence > before
 
 
-def test_a_host_that_woke_gives_up_the_lead(hosts: Hosts):
-    # Upstreams obey two hosts in turn: the leading host stood still, was replaced, and
-    # went on where it had stopped when it woke.
+def test_a_paused_leader_steps_down_when_it_resumes(hosts: Hosts):
+    # Upstreams alternately obey two hosts: the leader was paused and replaced, and went
+    # on leading when it resumed.
     (leader,) = hosts.leaders()
-    hosts.away.add(leader)
+    hosts.stopped.add(leader)
     hosts.advance(1.0)
-    hosts.away.clear()
+    hosts.stopped.clear()
     hosts.advance(0.2)
     (second,) = hosts.leaders()
     assert second != leader
 
 
-def test_both_sides_of_a_cut_lead_and_one_after_it(hosts: Hosts):
+def test_both_sides_of_a_partition_have_a_leader_and_one_remains_after_it(hosts: Hosts):
     (leader,) = hosts.leaders()
     others = [name for name in hosts.groups if name != leader]
-    hosts.cut = {frozenset((leader, other)) for other in others}
+    hosts.partitioned = {frozenset((leader, other)) for other in others}
     hosts.advance(1.0)
     assert len(hosts.leaders()) == 2
-    hosts.cut.clear()
+    hosts.partitioned.clear()
     hosts.advance(0.3)
     assert len(hosts.leaders()) == 1
 
 
-def test_a_host_that_is_to_stop_hands_the_lead_on(hosts: Hosts):
+def test_a_draining_leader_is_replaced(hosts: Hosts):
     (leader,) = hosts.leaders()
     hosts.groups[leader].draining = True
     hosts.advance(0.4)
@@ -105,7 +108,7 @@
     assert second != leader
 
 
-def test_the_last_host_leads_on_though_it_is_to_stop():
+def test_the_only_host_goes_on_leading_while_it_drains():
     hosts = Hosts("a")
     hosts.advance(2.0)
     hosts.groups["a"].draining = True
@@ -113,7 +116,7 @@
     assert hosts.leaders() == ["a"]
 
 
-def test_a_refused_fence_is_raised_above_clocks_that_differ(hosts: Hosts):
+def test_a_refused_fence_is_raised_by_more_than_clocks_differ(hosts: Hosts):
     (leader,) = hosts.leaders()
     group = hosts.groups[leader]
     before = group.fence
@@ -121,12 +124,12 @@
     assert group.fence > before + (4000 << 22)
 
 
-def test_the_smaller_side_of_a_cut_leaves_contested_upstreams(hosts: Hosts):
-    # Hardly a job ends: a host that no other hears still reaches all upstreams, and it
-    # and the leading host of the others stop each other's tasks in turn.
+def test_the_smaller_side_of_a_partition_gives_up_contended_upstreams(hosts: Hosts):
+    # Hardly any job completes: a host that is partitioned from the others still reaches
+    # all upstreams, and it and the others' leader alternately stop each other's tasks.
     (leader,) = hosts.leaders()
     others = [name for name in hosts.groups if name != leader]
-    hosts.cut = {frozenset((leader, other)) for other in others}
+    hosts.partitioned = {frozenset((leader, other)) for other in others}
     hosts.advance(1.0)
     (second,) = [name for name in hosts.leaders() if name != leader]
     for _ in range(2):
@@ -135,41 +138,41 @@
     assert hosts.leaders() == [second]
     hosts.advance(1.0)
     assert hosts.leaders() == [second]
-    hosts.cut.clear()
+    hosts.partitioned.clear()
     hosts.advance(0.3)
     assert hosts.groups[leader].leader(hosts.now) == second
     assert not hosts.groups[leader].backing_off
 
 
-def test_the_lead_changes_once_after_a_cut_has_healed(hosts: Hosts):
-    # Jobs under way are handed over three times within half a second and end late.
-    # The upstreams were reached before the other hosts after a cut, so each side's
-    # leading host met a fence that it did not know, and claimed them from the other.
+def test_the_leader_changes_once_after_a_partition_ends(hosts: Hosts):
+    # Running jobs are handed over three times within half a second and end late. After
+    # a partition upstreams were reachable before the other hosts, so the leader of each
+    # side met an unknown fence and took the upstreams from the other.
     (leader,) = hosts.leaders()
     others = [name for name in hosts.groups if name != leader]
-    hosts.cut = {frozenset((leader, other)) for other in others}
+    hosts.partitioned = {frozenset((leader, other)) for other in others}
     hosts.advance(1.0)
     fences = {hosts.groups[name].fence for name in hosts.leaders()}
     for tenth in range(1, 11):
         both = hosts.leaders()
         for name in both if len(both) == 2 else ():
-            hosts.groups[name].claim(tenth / 10, UNIX_MS, hosts.now)
+            hosts.groups[name].contend_for_upstreams(tenth / 10, UNIX_MS, hosts.now)
         if tenth == RECONNECTED_TENTHS:
-            hosts.cut.clear()
+            hosts.partitioned.clear()
         hosts.advance(0.1)
     (second,) = hosts.leaders()
     assert hosts.groups[second].fence in fences
 
 
 def test_one_host_leads_soon_after_all_have_started():
-    # After all hosts lost power no request is served though all hosts are back: each
+    # After a power loss of all hosts no request is served although all are back: each
     # waits for the others before it leads.
     hosts = Hosts("a", "b", "c")
     hosts.advance(0.6)
     assert len(hosts.leaders()) == 1
 
 
-def far_beat(
+def remote_heartbeat(
     fence: int, leads: bool = True, sent_at: float = 0.0, started_ms: int = 1
 ) -> HostHeartbeat:
     host = HostAddress("far", "z9", "127.0.0.1:9", started_ms)
@@ -178,11 +181,11 @@
     )
 
 
-def test_a_group_does_not_split_and_join_with_every_upstream():
-    # All work is handed over again and again: the number of upstreams was about the
-    # limit, and with each that came or left the hosts changed between one group and one
-    # a zone.
-    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=64)
+def test_groups_do_not_change_with_every_upstream_around_the_limit():
+    # All jobs are handed over again and again: the number of upstreams varied around
+    # the limit, and with each one that came or left the hosts changed between one group
+    # and one group for each zone.
+    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, max_upstreams=64)
     sizes = (64, 65, 64, 60, 66, 47, 60, 64)
     covers = []
     for size in sizes:
@@ -191,137 +194,143 @@
     assert covers == [True, False, False, False, False, True, True, True]
 
 
-def test_another_groups_lead_is_found_but_never_followed():
-    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
+def test_the_leader_of_another_group_is_known_but_never_followed():
+    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, max_upstreams=2)
     group.set_upstream_count(3, 0.0)
-    group.record_heartbeat(far_beat(50), 1.0)
-    assert [beat.host.name for beat in group.other_group_leaders(1.1)] == ["far"]
+    group.record_heartbeat(remote_heartbeat(50), 1.0)
+    assert [heartbeat.host.name for heartbeat in group.other_group_leaders(1.1)] == [
+        "far"
+    ]
     assert group.leader(1.1) is None
     assert not group.known_peers
     assert [host.name for host in group.other_group_hosts] == ["far"]
     assert not group.other_group_leaders(4.0)
 
 
-def test_a_job_elsewhere_is_given_up_when_that_lead_is_silent_or_another():
-    # A caller waits in vain: the other zone's leading host died, or another leads there
-    # that knows nothing of the job.
-    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
+def test_another_groups_term_ends_when_its_leader_is_unresponsive_or_replaced():
+    # A caller waits for an answer that never comes: the leader of another zone that had
+    # the job died, or was replaced by one that does not know the job.
+    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, max_upstreams=2)
     group.set_upstream_count(3, 0.0)
     term = Term("far", 50)
     assert group.is_term_active(term, 5.0, 5.3)
     assert not group.is_term_active(term, 5.0, 5.5)
-    group.record_heartbeat(far_beat(50), 5.4)
+    group.record_heartbeat(remote_heartbeat(50), 5.4)
     assert group.is_term_active(term, 5.0, 5.7)
-    group.record_heartbeat(far_beat(0, leads=False), 5.8)
+    group.record_heartbeat(remote_heartbeat(0, leads=False), 5.8)
     assert not group.is_term_active(term, 5.0, 5.9)
 
 
-def test_a_lead_that_was_never_heard_is_given_up_at_any_time_of_day():
-    # Guards against a caller that waits for a rounded difference of times.
-    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
+def test_the_term_of_a_leader_that_was_never_heard_ends_at_any_time_of_day():
+    # Guards against rounding errors of time differences that keep a caller waiting.
+    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, max_upstreams=2)
     times = [1000.0 + 0.025 * tick for tick in range(200)]
-    kept = [now for now in times if group.is_term_active(Term("far", 50), 5.0, now)]
-    assert not kept
+    active = [now for now in times if group.is_term_active(Term("far", 50), 5.0, now)]
+    assert not active
 
 
-def test_what_another_lead_said_before_it_got_the_job_does_not_count():
-    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, most_upstreams=2)
+def test_a_heartbeat_from_before_the_term_was_known_does_not_end_it():
+    group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, max_upstreams=2)
     group.set_upstream_count(3, 0.0)
-    group.record_heartbeat(far_beat(40), 4.9)
+    group.record_heartbeat(remote_heartbeat(40), 4.9)
     assert group.is_term_active(Term("far", 50), 5.0, 5.1)
 
 
 @pytest.fixture
-def healing() -> Hosts:
-    """Return two sides of a cut that has healed between their leading hosts alone.
+def reconnecting() -> Hosts:
+    """Return two sides of a partition that has ended between their leaders only.
 
-    The host that follows on the first side would be chosen before the one that leads.
+    The follower on the first side ranks before the leader of that side.
     """
-    four = Hosts("a", "b", "c", "d")
-    four.advance(FIRST_VACANT_S + 1.0)
-    (mate,) = four.leaders()
-    four.away.add(mate)
-    four.advance(1.0)
-    four.away.clear()
-    four.advance(0.5)
-    (first,) = four.leaders()
-    others = [name for name in four.groups if name not in (first, mate)]
-    four.cut = {frozenset((n, other)) for n in (first, mate) for other in others}
-    four.advance(1.0)
-    second = next(name for name in four.leaders() if name != first)
-    four.cut.remove(frozenset((first, second)))
-    return four
-
-
-def test_no_third_host_leads_while_a_cut_heals(healing: Hosts):
-    # All work is handed over twice: the side whose leading host gave up had a host that
-    # did not hear the other side's yet, and led in its place for a moment.
-    healing.advance(0.4)
-    assert len(healing.leaders()) == 1
-    (leader,) = healing.leaders()
-    healing.cut.clear()
-    healing.advance(0.3)
-    assert healing.leaders() == [leader]
-
-
-def test_a_host_that_stays_cut_off_from_the_others_lead_leads_in_the_end(
-    healing: Hosts,
+    cluster = Hosts("a", "b", "c", "d")
+    cluster.advance(INITIAL_TAKEOVER_S + 1.0)
+    (former_leader,) = cluster.leaders()
+    cluster.stopped.add(former_leader)
+    cluster.advance(1.0)
+    cluster.stopped.clear()
+    cluster.advance(0.5)
+    (first,) = cluster.leaders()
+    others = [name for name in cluster.groups if name not in (first, former_leader)]
+    cluster.partitioned = {
+        frozenset((n, other)) for n in (first, former_leader) for other in others
+    }
+    cluster.advance(1.0)
+    second = next(name for name in cluster.leaders() if name != first)
+    cluster.partitioned.remove(frozenset((first, second)))
+    return cluster
+
+
+def test_no_third_host_leads_while_hosts_reconnect(reconnecting: Hosts):
+    # All jobs are handed over twice: on the side whose leader stepped down, a host that
+    # did not hear the other side's leader yet led for a moment.
+    reconnecting.advance(0.4)
+    assert len(reconnecting.leaders()) == 1
+    (leader,) = reconnecting.leaders()
+    reconnecting.partitioned.clear()
+    reconnecting.advance(0.3)
+    assert reconnecting.leaders() == [leader]
+
+
+def test_a_host_that_stays_partitioned_from_the_leader_leads_eventually(
+    reconnecting: Hosts,
 ):
-    healing.advance(UNHEARD_S + VACANT_S + 0.3)
-    assert len(healing.leaders()) == 2
-
-
-def test_hosts_that_read_the_store_late_have_one_leading_host():
-    # All callers wait longer after a power cut: the store answers late, all hosts learn
-    # of each other through it at one moment, and each takes the lead at once, since it
-    # has started long enough ago. They then take the upstreams from each other in turn.
-    three = Hosts("a", "b", "c")
-    three.unready = set(three.groups)
-    three.cut = {frozenset(pair) for pair in ("ab", "ac", "bc")}
-    three.advance(FIRST_VACANT_S + 0.2)
-    three.unready = set()
-    three.advance(0.05)
-    assert three.leaders() == []
-    three.advance(MEET_S - 0.1)
-    assert three.leaders() == []
-    three.cut = set()
-    three.advance(0.1)
-    assert len(three.leaders()) == 1
-
-
-def test_a_heartbeat_that_arrives_after_a_later_one_is_left():
-    # A task runs twice at one time: a connection that broke delivered its last
-    # heartbeat after the next connection's first one. By that old one a host took
-    # itself for the one that leads, and a job went from a higher fence to a lower.
+    reconnecting.advance(UNHEARD_LEADER_GRACE_S + TAKEOVER_S + 0.3)
+    assert len(reconnecting.leaders()) == 2
+
+
+def test_hosts_that_read_the_store_late_have_one_leader():
+    # Callers wait longer after a power loss: the store answers late, so all hosts learn
+    # of each other at the same moment, and each leads at once because it started long
+    # enough ago. They then alternately take the upstreams from each other.
+    hosts = Hosts("a", "b", "c")
+    hosts.unready = set(hosts.groups)
+    hosts.partitioned = {frozenset(pair) for pair in ("ab", "ac", "bc")}
+    hosts.advance(INITIAL_TAKEOVER_S + 0.2)
+    hosts.unready = set()
+    hosts.advance(0.05)
+    assert hosts.leaders() == []
+    hosts.advance(PEERING_S - 0.1)
+    assert hosts.leaders() == []
+    hosts.partitioned = set()
+    hosts.advance(0.1)
+    assert len(hosts.leaders()) == 1
+
+
+def test_a_heartbeat_that_arrives_after_a_later_one_is_ignored():
+    # A task runs twice at the same time: a connection that broke delivered its last
+    # heartbeat after the first one of the next connection. Because of the old heartbeat
+    # a host took itself for the leader, and a job went from a higher fence to a lower.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0)
-    group.record_heartbeat(far_beat(60, sent_at=2.0), 2.0)
-    group.record_heartbeat(far_beat(50, sent_at=1.0), 2.1)
-    (beat,) = group.last_heartbeats
-    assert beat.fence == 60
+    group.record_heartbeat(remote_heartbeat(60, sent_at=2.0), 2.0)
+    group.record_heartbeat(remote_heartbeat(50, sent_at=1.0), 2.1)
+    (heartbeat,) = group.last_heartbeats
+    assert heartbeat.fence == 60
     assert group.silent_s("far", 2.2) == pytest.approx(0.2)
 
 
-def test_a_host_that_started_again_is_heard_though_its_clock_began_anew():
+def test_heartbeats_of_a_restarted_host_count_although_its_clock_was_reset():
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0)
-    # Its time of day was set back meanwhile.
-    group.record_heartbeat(far_beat(60, sent_at=900.0, started_ms=2), 2.0)
-    group.record_heartbeat(far_beat(70, sent_at=1.0, started_ms=1), 3.0)
-    (beat,) = group.last_heartbeats
-    assert beat.fence == 70
+    # The time of day of the other host was set back in between.
+    group.record_heartbeat(remote_heartbeat(60, sent_at=900.0, started_ms=2), 2.0)
+    group.record_heartbeat(remote_heartbeat(70, sent_at=1.0, started_ms=1), 3.0)
+    (heartbeat,) = group.last_heartbeats
+    assert heartbeat.fence == 70
 
 
-def test_a_host_without_a_list_keeps_no_upstream_back():
-    # Jobs are late while hosts start one after the other: each had no list of upstreams
-    # for a moment, so that none counted as known to all, and nothing started on most.
+def test_a_host_without_a_list_does_not_block_any_upstream():
+    # Jobs are late during a rolling restart: each host had no list of upstreams for a
+    # moment, so no upstream counted as known to all hosts, and few tasks started.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0)
     host = HostAddress("other", "z1", "127.0.0.1:2", 1)
-    beat = HostHeartbeat(
+    heartbeat = HostHeartbeat(
         host, 5.0, False, 0, True, False, False, 1, 1.0, (), upstreams=8
     )
-    group.record_heartbeat(beat, 5.0)
+    group.record_heartbeat(heartbeat, 5.0)
     longest, all_read_at = group.peer_list_bounds(5.0)
     assert (longest, all_read_at) == (8, pytest.approx(4.0 - READ_MARGIN_S))
     started = HostAddress("started", "z1", "127.0.0.1:3", 1)
-    without = HostHeartbeat(started, 5.0, False, 0, False, False, False, 1, 1e9, ())
-    group.record_heartbeat(without, 5.0)
+    without_list = HostHeartbeat(
+        started, 5.0, False, 0, False, False, False, 1, 1e9, ()
+    )
+    group.record_heartbeat(without_list, 5.0)
     assert group.peer_list_bounds(5.0) == (longest, all_read_at)
--- a/jackdawspur/group/tests/test_carried.py
+++ b/jackdawspur/group/tests/test_host_limits.py
@@ -1,4 +1,4 @@
-"""How many upstreams a host carries follows from what it may use."""
+"""Tests of the number of upstreams that a host can lead within its limits."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     assert limits.max_upstreams == upstreams
 
 
-def test_limits_nobody_stated_are_logged_as_assumed():
+def test_limits_that_are_not_stated_are_logged_as_assumed():
     fields = HostLimits().log_fields()
     assert fields["assumed"] == ["processor", "link_mbps"]
     assert fields["carries_upstreams"] == HostLimits(1.0, 1000.0).max_upstreams
--- a/jackdawspur/messages/_messages.py
+++ b/jackdawspur/messages/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between entry hosts; times in milliseconds."""
+"""Typed messages between entry hosts. Times are in milliseconds."""
 
 from dataclasses import dataclass
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LivePeer:
-    """Report a peer that the sender heard from within its own time limit."""
+    """A peer that the sender heard from within its own timeout."""
 
     host: HostId
     draining: bool = False
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerUsage:
-    """Report the tasks that a customer has running and waiting at the sender."""
+    """Number of running and waiting tasks of a customer on the sender."""
 
     customer: str
     running: int
@@ -46,9 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatus:
-    """Report the configuration version in force on every live host of a zone.
+    """Configuration version in force on all live hosts of a zone, and their load.
 
-    `hosts` live there; `usage` lists the zone's heaviest customers.
+    `hosts` is the number of live hosts, and `usage` lists the zone's customers with
+    the highest usage.
     """
 
     zone: str
@@ -61,10 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Tell peers that the sender lives, and how busy it is.
+    """Liveness, load and configuration version of the sender.
 
-    To another zone `zones` holds the sender's own; to siblings, the other zones that
-    the sender hears itself. `usage` counts only when `reports_usage` is set.
+    For a receiver in another zone `zones` holds the sender's own zone; for peers in the
+    same zone, the other zones that the sender hears itself. `usage` is valid only if
+    `reports_usage` is set.
     """
 
     host: HostId
@@ -85,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pulse:
-    """Tell siblings, between heartbeats, that the sender lives and how busy it is."""
+    """Liveness and load, sent to peers in the same zone between heartbeats."""
 
     sequence: int
     free_slots: int
@@ -95,7 +97,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Pass a call on to the owner of its submission; `request` None asks for state."""
+    """Forwards a call to the owner of its submission.
+
+    Without a `request` it asks for the state of the submission.
+    """
 
     call: int
     customer: str
@@ -106,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelForward:
-    """Pass a cancellation on to the owner of the submission or to its delegate."""
+    """Forwards a cancellation to the owner of the submission or to its delegate."""
 
     call: int
     customer: str
@@ -115,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardAnswer:
-    """Answer a forwarded call."""
+    """The answer to a forwarded call."""
 
     call: int
     answer: Answer
@@ -123,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delegate:
-    """Hand a whole job, of which nothing was sent, to another host to run."""
+    """Delegates a whole job, of which no task was sent, to another host."""
 
     submission: SubmissionId
     request: JobRequest
@@ -132,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelegateAnswer:
-    """Return the end of a delegated job to its owner."""
+    """The outcome of a delegated job, for its owner."""
 
     submission: SubmissionId
     answer: Answer
@@ -140,10 +145,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """Ask a host to lend slots for one term; `number` tells requests apart.
+    """Asks a host to lend slots for one term; `number` identifies the request.
 
-    `slack_ms` is how long the most urgent job may wait and still be in time, `urgent`
-    the number of its tasks among the wanted.
+    `slack_ms` is how long the most urgent job may still wait and meet its deadline;
+    `urgent` is the number of its tasks among the wanted slots.
     """
 
     wanted: int
@@ -154,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSlots:
-    """Count slots of one upstream."""
+    """A number of slots of one upstream."""
 
     upstream: UpstreamId
     slots: int
@@ -162,9 +167,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotGrant:
-    """Lend slots until the term ends or they are returned.
+    """Lends slots until the term ends or they are returned.
 
-    `request` is the number of the request that is granted.
+    `request` is the number of the granted request.
     """
 
     grant: int
@@ -175,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedTask:
-    """Report that a task of the submission failed at an upstream."""
+    """A task of a submission that failed on an upstream."""
 
     upstream: UpstreamId
     submission: SubmissionId
@@ -184,9 +189,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotReturn:
-    """Give lent slots back before the term ends.
+    """Returns lent slots before the term ends.
 
-    `failed` names the tasks that failed on them.
+    `failed` lists the tasks that failed on them.
     """
 
     grant: int
@@ -196,14 +201,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsWanted:
-    """Ask for configuration records after a version."""
+    """Requests the configuration records after a version."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsPassed:
-    """Pass configuration records on, in log order; none is missing after `after`."""
+    """Configuration records in log order, without gaps after `after`."""
 
     records: tuple[LogRecord, ...]
     after: int = -1
