--- a/jackdawspur/front/__init__.py
+++ b/jackdawspur/front/__init__.py
@@ -1,4 +1,4 @@
-"""A host that serves callers on the customers' platform."""
+"""A host process that serves callers on the customers' platform."""
 
 from jackdawspur.front._ports import (
     CallerPort,
--- a/jackdawspur/front/_clock.py
+++ b/jackdawspur/front/_clock.py
@@ -1,4 +1,4 @@
-"""The clock of a host."""
+"""Clocks of a host."""
 
 import time
 
@@ -6,14 +6,14 @@
 
 
 def now_s() -> float:
-    """Return seconds that go on while the machine is suspended.
+    """Return the time since boot in seconds, including time in suspend.
 
-    A host that wakes must find its leases old; the usual monotonic clock stands still
-    meanwhile and would show them as fresh.
+    After a resume the host must see that its leases are old. `time.monotonic` stops
+    during suspend, so the leases would seem fresh.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unix_ms() -> int:
-    """Return milliseconds since 1970."""
+    """Return the time of day in milliseconds since 1970."""
     return int(time.time() * 1000)
--- a/jackdawspur/front/_early_calls.py
+++ b/jackdawspur/front/_early_calls.py
@@ -1,4 +1,4 @@
-"""Calls that came before their host has a configuration."""
+"""Calls that arrive before the host has a configuration."""
 
 from dataclasses import dataclass
 
@@ -6,50 +6,50 @@
 
 __all__ = ["EarlyCall", "EarlyCalls"]
 
-# A host that starts reads the configuration within a tenth of a second; with the store
-# away it has it from another host or refuses.
-LONGEST_S = 0.8
-MOST_CALLS = 256
+# A host reads the configuration within a tenth of a second of its start. During an
+# outage of the store it gets it from another host, or refuses the calls.
+MAX_WAIT_S = 0.8
+MAX_CALLS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class EarlyCall:
-    """Keep a call and when it came."""
+    """A call and the time of its arrival."""
 
     call: Call
     arrived: float
 
 
 class EarlyCalls:
-    """Keep some calls for a moment.
+    """A bounded buffer of calls that wait for the configuration.
 
-    After a loss of power all callers come to the first hosts that listen, and most have
-    no time left to come again.
+    After a power loss all callers connect to the first hosts that listen, and most
+    have no time left for another attempt.
     """
 
     def __init__(self) -> None:
         self._calls: dict[int, EarlyCall] = {}
 
     def add(self, call: Call, now: float) -> bool:
-        """Keep a call; tell whether there was room."""
-        if len(self._calls) >= MOST_CALLS:
+        """Add a call; return False if the buffer is full."""
+        if len(self._calls) >= MAX_CALLS:
             return False
         self._calls[call.call_id] = EarlyCall(call, now)
         return True
 
-    def drop(self, call_id: int) -> None:
-        """Forget a call whose caller left."""
+    def remove(self, call_id: int) -> None:
+        """Remove a call whose caller left."""
         self._calls.pop(call_id, None)
 
-    def take_all(self) -> list[EarlyCall]:
-        """Return all calls, which are kept no more."""
+    def pop_all(self) -> list[EarlyCall]:
+        """Remove and return all calls."""
         calls = list(self._calls.values())
         self._calls.clear()
         return calls
 
-    def take_late(self, now: float) -> list[EarlyCall]:
-        """Return the calls that waited for as long as they may."""
-        late = [one for one in self._calls.values() if now - one.arrived >= LONGEST_S]
-        for one in late:
-            del self._calls[one.call.call_id]
-        return late
+    def pop_overdue(self, now: float) -> list[EarlyCall]:
+        """Remove and return the calls that have waited for `MAX_WAIT_S`."""
+        overdue = [e for e in self._calls.values() if now - e.arrived >= MAX_WAIT_S]
+        for early in overdue:
+            del self._calls[early.call.call_id]
+        return overdue
--- a/jackdawspur/front/_heartbeats.py
+++ b/jackdawspur/front/_heartbeats.py
@@ -1,10 +1,10 @@
-"""Heartbeats to the hosts of the own group and to other groups."""
+"""Heartbeats to the hosts of this group and to other groups."""
 
 from typing import Protocol
 
 from msgspec.structs import replace
 
-from jackdawspur.front._lead import LeadDriver
+from jackdawspur.front._leader_driver import LeaderDriver
 from jackdawspur.front._mesh import Mesh
 from jackdawspur.front._routes import RouteTable
 from jackdawspur.front._service import CallerService
@@ -20,90 +20,92 @@
 
 __all__ = ["Heartbeats"]
 
-# A peer silent for this long gets a new connection, before it counts as lost.
+# After this time without a message a peer gets a new connection, before it counts as
+# lost.
 REDIAL_S = 0.28
-# Of the heartbeats to the own group, at 10 a second, every so many also tell which
-# hosts are known, go to the leading hosts of other groups, and to all of their hosts.
+# Heartbeats within the group are sent at 10 a second. Every n-th also lists the known
+# hosts, goes to the leaders of other groups, or to all hosts of other groups.
 KNOWN_EVERY = 5
-OTHER_LEADS_EVERY = 2
-OUTSIDERS_EVERY = 10
-# By these the own group hears what was learned, in a bound of bytes.
+OTHER_LEADERS_EVERY = 2
+OTHER_HOSTS_EVERY = 10
+# Every n-th carries learned statistics to the group, which bounds the bytes sent.
 LEARNED_EVERY = 5
-# Hosts that follow one leading host need each other only when that is lost.
+# Followers of one leader need each other only when it is lost.
 FOLLOWERS_EVERY = 10
 
 
-class BeatOwner(Protocol):
-    """Tell how a host is."""
+class HeartbeatOwner(Protocol):
+    """The host's parts whose state heartbeats report."""
 
     address: HostAddress
     group: Group
     routes: RouteTable
     views: StoreView
-    lead: LeadDriver
+    leader_driver: LeaderDriver
     callers: CallerService
-    able: bool
+    can_lead: bool
 
 
 class Heartbeats:
-    """Tell other hosts how this one is, and connect anew to silent ones."""
+    """Sends heartbeats to other hosts and reconnects to unresponsive ones."""
 
-    def __init__(self, owner: BeatOwner, mesh: Mesh) -> None:
+    def __init__(self, owner: HeartbeatOwner, mesh: Mesh) -> None:
         self._owner = owner
         self._mesh = mesh
         self._redialled: dict[str, float] = {}
         self._sent = 0
 
     def peers(self, now: float) -> tuple[HostAddress, ...]:
-        """Return the hosts to be connected to, those needed most first.
+        """Return the hosts to connect to, the most needed first.
 
-        Who leads tells all other groups, to find those that lead them; other hosts
-        may have to offer a job to one of these at any moment.
+        A leader connects to all hosts of other groups, to discover their leaders. Other
+        hosts connect to these leaders only, since they may have to offer a job to one
+        of them at any moment.
         """
         group = self._owner.group
-        leads = {beat.host.name for beat in group.other_group_leaders(now)}
-        leads |= self._owner.callers.far_leaders()
-        outsiders = group.other_group_hosts
-        leading = tuple(host for host in outsiders if host.name in leads)
+        names = {heartbeat.host.name for heartbeat in group.other_group_leaders(now)}
+        names |= self._owner.callers.remote_leaders()
+        other_hosts = group.other_group_hosts
+        leaders = tuple(host for host in other_hosts if host.name in names)
         if not group.is_leader:
-            return group.known_peers + leading
-        others = tuple(host for host in outsiders if host.name not in leads)
-        return group.known_peers + leading + others
+            return group.known_peers + leaders
+        followers = tuple(host for host in other_hosts if host.name not in names)
+        return group.known_peers + leaders + followers
 
     def send(self, now: float, to_all: bool = False) -> None:
-        """Send what is due to each host, `to_all` when the leading host has changed."""
+        """Send the heartbeats that are due; `to_all` if the leader has changed."""
         self._sent += 1
         owner, group = self._owner, self._owner.group
-        done = owner.lead.progress_by_host()
+        progress_by_host = owner.leader_driver.progress_by_host()
         leader = group.leader(now)
         common = self._common(now)
-        tells = group.is_leader and self._sent % LEARNED_EVERY == 0
-        learned = owner.lead.learned(now) if tells else None
+        sends_learned = group.is_leader and self._sent % LEARNED_EVERY == 0
+        learned = owner.leader_driver.next_learned(now) if sends_learned else None
         for peer in group.known_peers:
             if not (to_all or self._is_due(peer.name, leader, now)):
                 continue
             silent_s = group.silent_s(peer.name, now)
-            progress = done.get(peer.name, ())
-            beat = replace(
+            progress = progress_by_host.get(peer.name, ())
+            heartbeat = replace(
                 common, silent_s=silent_s, progress=progress, learned=learned
             )
-            self._mesh.send(peer.name, beat)
-            self.redial_if_silent(peer.name, silent_s, now)
+            self._mesh.send(peer.name, heartbeat)
+            self.redial_if_unresponsive(peer.name, silent_s, now)
         if group.is_leader:
-            self._send_outside(common, done, now, to_all)
+            self._send_to_other_groups(common, progress_by_host, now, to_all)
 
     def greet(self, names: list[str], now: float) -> None:
-        """Tell hosts just connected to of this one: they learn of it by that."""
+        """Send a heartbeat to hosts just connected to, so that they know this one."""
         common = self._common(now)
         for name in names:
             silent_s = self._owner.group.silent_s(name, now)
             self._mesh.send(name, replace(common, silent_s=silent_s))
 
     def _is_due(self, name: str, leader: str | None, now: float) -> bool:
-        """Tell whether a host of the group gets this heartbeat.
+        """Return whether a host of the group gets this heartbeat.
 
-        Who follows nobody is to hear of all others, to choose the next leading host or
-        to learn that there is one.
+        A host without a leader must hear all others, to elect the next leader or to
+        learn that there is one.
         """
         if leader in (self._owner.address.name, name, None):
             return True
@@ -111,50 +113,50 @@
             return True
         return self._owner.group.is_leaderless(name, now)
 
-    def redial_if_silent(self, name: str, silent_s: float, now: float) -> None:
-        """Connect anew to a host that this one does not hear, or that does not hear it.
+    def redial_if_unresponsive(self, name: str, silent_s: float, now: float) -> None:
+        """Reconnect to a host if messages are lost in one of the two directions.
 
-        Each connection carries one direction and may go silent by itself; who sends on
-        it learns that only from the other side. What is queued on it is lost.
+        Each connection carries one direction and may go silent by itself; its sender
+        learns that only from the other side. Messages queued on it are lost.
         """
         last = self._redialled.get(name, now - 2 * HEARTBEAT_TIMEOUT_S)
         ends = (name, self._owner.address.name)
-        leads = self._owner.group.leader(now) in ends
-        limit_s = REDIAL_S if leads else FOLLOWER_TIMEOUT_S
+        leader_involved = self._owner.group.leader(now) in ends
+        limit_s = REDIAL_S if leader_involved else FOLLOWER_TIMEOUT_S
         if silent_s > limit_s and now - last > HEARTBEAT_TIMEOUT_S:
             self._redialled[name] = now
             self._mesh.redial(name)
 
-    def _send_outside(
+    def _send_to_other_groups(
         self,
         common: HostHeartbeat,
-        done: dict[str, tuple[JobProgress, ...]],
+        progress_by_host: dict[str, tuple[JobProgress, ...]],
         now: float,
         to_all: bool,
     ) -> None:
-        """Tell other groups who leads here, and their leading hosts what room there is.
+        """Send heartbeats to other groups, and capacity offers to their leaders.
 
-        A host of which this one has a job hears it at the full rate, so that it notices
-        its loss.
+        Hosts that have a job here get them at the full rate, so that they notice the
+        loss of this host.
         """
         group = self._owner.group
-        waiting = self._owner.lead.hosts()
-        leads = [beat.host.name for beat in group.other_group_leaders(now)]
-        offers_room = self._sent % OTHER_LEADS_EVERY == 0
-        room = self._owner.lead.room_for(leads, now) if offers_room else {}
+        waiting = self._owner.leader_driver.hosts_with_jobs()
+        names = [heartbeat.host.name for heartbeat in group.other_group_leaders(now)]
+        is_due = self._sent % OTHER_LEADERS_EVERY == 0
+        offers = self._owner.leader_driver.capacity_for(names, now) if is_due else {}
         for peer in group.other_group_hosts:
-            due = to_all or peer.name in waiting or peer.name in room
-            if due or self._sent % OUTSIDERS_EVERY == 0:
+            due = to_all or peer.name in waiting or peer.name in offers
+            if due or self._sent % OTHER_HOSTS_EVERY == 0:
                 silent_s = group.silent_s(peer.name, now)
-                offered = room.get(peer.name, ())
-                progress = done.get(peer.name, ())
-                beat = replace(
+                offered = offers.get(peer.name, ())
+                progress = progress_by_host.get(peer.name, ())
+                heartbeat = replace(
                     common, silent_s=silent_s, room=offered, progress=progress
                 )
-                self._mesh.send(peer.name, beat)
+                self._mesh.send(peer.name, heartbeat)
 
     def _common(self, now: float) -> HostHeartbeat:
-        """Return what all hosts are told alike."""
+        """Return the heartbeat without the fields that depend on the receiver."""
         owner, group = self._owner, self._owner.group
         term = group.term(now)
         return HostHeartbeat(
@@ -162,7 +164,7 @@
             sent_at=now,
             leads=group.is_leader,
             fence=group.fence if group.is_leader else 0,
-            ready=owner.able,
+            ready=owner.can_lead,
             draining=group.draining,
             slow=group.slow,
             configuration=owner.routes.version,
@@ -172,5 +174,5 @@
             by_zone=group.by_zone,
             too_large=group.too_large,
             upstreams=len(owner.views.entries),
-            wants_room=owner.lead.wants_room(now),
+            wants_room=owner.leader_driver.needs_capacity(now),
         )
--- a/jackdawspur/front/_gauges.py
+++ b/jackdawspur/front/_host_metrics.py
@@ -1,15 +1,15 @@
-"""Counters and histograms of a host, as text."""
+"""Counters and histograms of a host in the text format for metrics."""
 
 from collections import Counter
 
 from jackdawspur.metrics import HistogramKey, Histograms, HistogramSummary
 from jackdawspur.runs import JobEnd, LossCause
 
-__all__ = ["Gauges"]
+__all__ = ["HostMetrics"]
 
 
-class Gauges:
-    """Count events, and keep a histogram of times for each route and end."""
+class HostMetrics:
+    """Counters of events, and histograms of times by route and end of the job."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -26,30 +26,32 @@
         self._times.record(HistogramKey(route, end.value), took_ms)
 
     def lost(self, route: str, cause: LossCause) -> None:
-        """Count a job that the leading host lost, by its cause."""
+        """Count a job that the leader lost, by its cause."""
         self._counts[f'jobs_lost{{route="{route}",cause="{cause.value}"}}'] += 1
 
-    def begun(self, route: str, last_start_ms: float) -> None:
-        """Record how long after its coming the last task of a job first started."""
+    def started(self, route: str, last_start_ms: float) -> None:
+        """Record the time from a job's arrival to the first start of its last task."""
         self._last_starts.record(HistogramKey(route, ""), last_start_ms)
 
     def lines(self) -> list[str]:
         """Return one line for each counter and percentile."""
         lines = [f"jackdawspur_{name} {n}" for name, n in sorted(self._counts.items())]
-        for one in self._times.summarize():
-            labels = f'route="{one.name.customer}",end="{one.name.job_class}"'
-            lines += _histogram("job_ms", labels, one)
-        for one in self._last_starts.summarize():
-            lines += _histogram("last_start_ms", f'route="{one.name.customer}"', one)
+        for summary in self._times.summarize():
+            labels = f'route="{summary.name.customer}",end="{summary.name.job_class}"'
+            lines += _histogram("job_ms", labels, summary)
+        for summary in self._last_starts.summarize():
+            lines += _histogram(
+                "last_start_ms", f'route="{summary.name.customer}"', summary
+            )
         return lines
 
 
-def _histogram(name: str, labels: str, one: HistogramSummary) -> list[str]:
-    quantiles = (("0.5", one.p50), ("0.99", one.p99))
+def _histogram(name: str, labels: str, summary: HistogramSummary) -> list[str]:
+    quantiles = (("0.5", summary.p50), ("0.99", summary.p99))
     return [
-        f"jackdawspur_{name}_count{{{labels}}} {one.count}",
+        f"jackdawspur_{name}_count{{{labels}}} {summary.count}",
         *(
-            f'jackdawspur_{name}{{{labels},quantile="{share}"}} {value}'
-            for share, value in quantiles
+            f'jackdawspur_{name}{{{labels},quantile="{quantile}"}} {value}'
+            for quantile, value in quantiles
         ),
     ]
--- a/jackdawspur/front/_limits.py
+++ b/jackdawspur/front/_limits.py
@@ -1,4 +1,4 @@
-"""How long callers wait for their answers, and who says so."""
+"""Time limits of callers and where they come from."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,12 +6,12 @@
 __all__ = ["LimitSource", "WaitLimit"]
 
 MS_PER_S = 1000.0
-# Of a caller that says nothing, over a route without a time-out.
+# Assumed if neither the caller nor the route states a timeout.
 ASSUMED_WAIT_S = 1.5
 
 
 class LimitSource(Enum):
-    """Say who stated how long a caller waits."""
+    """The source of a caller's time limit."""
 
     CALLER = "caller"
     ROUTE = "route"
@@ -20,16 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitLimit:
-    """Keep what a caller and its route state, None for nothing, in seconds."""
+    """Timeouts stated by a caller and by its route in seconds, None if not stated."""
 
     caller_s: float | None
     route_s: float | None
 
     @property
     def source(self) -> LimitSource:
-        """Tell who said how long the caller waits.
+        """Return the source of the limit; the caller's own timeout comes first.
 
-        Only a caller knows when it leaves; a job ended before that is lost to it.
+        Only the caller knows when it leaves, and a job that is ended before that is
+        lost to it.
         """
         if self.caller_s is not None:
             return LimitSource.CALLER
@@ -37,7 +38,7 @@
 
     @property
     def wait_s(self) -> float:
-        """Return how long the caller waits."""
+        """Return the limit in seconds."""
         stated = {
             LimitSource.CALLER: self.caller_s,
             LimitSource.ROUTE: self.route_s,
@@ -46,7 +47,7 @@
         return stated[self.source]
 
     def log_fields(self) -> dict[str, str | int | None]:
-        """Return what the log tells of it, times in milliseconds."""
+        """Return the fields for the log, times in milliseconds."""
         return {
             "limit": self.source.value,
             "limit_ms": _ms(self.wait_s),
--- a/jackdawspur/front/_mesh.py
+++ b/jackdawspur/front/_mesh.py
@@ -1,4 +1,4 @@
-"""Messages between the hosts of a group over pynng, polled by the circuits loop."""
+"""Transport of messages between hosts over pynng, polled by the circuits loop."""
 
 import logging
 from collections.abc import Callable
@@ -21,15 +21,15 @@
 MAX_MESSAGE_BYTES = 4_194_304
 RECONNECT_MIN_MS = 20
 RECONNECT_MAX_MS = 300
-# Each dial takes one or two milliseconds of a processor. A host that leads and dialled
-# a hundred at once would stand still while its followers wait for its heartbeats.
-DIALS_A_PASS = 8
+# Each dial takes one or two milliseconds of processor time. A leader that dialled a
+# hundred hosts at once would block while its followers wait for its heartbeats.
+DIALS_PER_PASS = 8
 
 log = logging.getLogger(__name__)
 
 
 class Mesh(BaseComponent):
-    """Send messages to hosts and receive theirs, in bounded queues."""
+    """Sends messages to hosts and receives theirs, with bounded queues."""
 
     channel = "mesh"
 
@@ -44,24 +44,24 @@
         self.bytes_sent = 0
 
     def set_peers(self, hosts: tuple[HostAddress, ...]) -> list[str]:
-        """Dial some of the hosts not dialled yet, the first ones first; name them.
+        """Dial up to `DIALS_PER_PASS` new hosts, in order, and return their names.
 
-        Earlier runs of hosts are dropped.
+        Connections to earlier incarnations and to other hosts are closed.
         """
         wanted = {host.name: host for host in hosts}
         for name, (host, _socket) in list(self._out.items()):
             if wanted.get(name) != host:
                 self._close(name)
         missing = [host for name, host in wanted.items() if name not in self._out]
-        for host in missing[:DIALS_A_PASS]:
+        for host in missing[:DIALS_PER_PASS]:
             self._dial(host)
-        return [host.name for host in missing[:DIALS_A_PASS]]
+        return [host.name for host in missing[:DIALS_PER_PASS]]
 
     def redial(self, name: str) -> None:
-        """Connect anew to a host that went silent.
+        """Reconnect to a host.
 
-        A channel can go silent for good without a reset while new ones work; what is
-        queued for it would wait for ever.
+        A connection can go silent for good without a reset while new ones work;
+        messages queued on it would never be sent.
         """
         known = self._out.get(name)
         if known is not None:
@@ -69,7 +69,7 @@
             self._dial(known[0])
 
     def send(self, name: str, message: GroupMessage) -> bool:
-        """Queue a message; False when the host is unknown or its queue is full."""
+        """Queue a message; return False if the host is unknown or its queue is full."""
         known = self._out.get(name)
         if known is None:
             self.dropped_messages += 1
--- a/jackdawspur/front/_own_jobs.py
+++ b/jackdawspur/front/_own_jobs.py
@@ -15,22 +15,24 @@
 
 __all__ = ["OwnJob", "OwnJobs"]
 
-# A caller refused for want of a leading host may find one after this.
+# A caller that is refused because there is no leader may retry after this time.
 RETRY_AFTER_S = 1.0
-# Answers to most jobs come sooner; repeating an offer costs a message and nothing else.
-OFFER_AGAIN_S = 0.4
+# Most jobs are answered sooner. Repeating an offer costs only a message.
+OFFER_RETRY_S = 0.4
 
 
 @dataclass(eq=False, slots=True)
 class OwnJob:
-    """Keep one waiting caller; times in seconds of this host's clock.
-
-    `attempt` counts the offers of its job, to whomever.
-    `far` is the term of another group that has the job since `far_since`: one that it
-    was passed on to, or that this host belonged to when it offered the job.
-    `all_zones` tells that some term that had the job covered all zones, and
-    `earlier_all_zones` that one before the present one did. `highest` is the highest
-    fence of them, and `outranked` tells that one before the present one had a higher.
+    """A job whose caller waits on this host; times in seconds of this host's clock.
+
+    `attempt` counts the offers of the job to any leader.
+    `remote_term` is the term of another group that has had the job since
+    `remote_since`: the job was redirected to it, or this host belonged to that group
+    when it offered the job.
+    `all_zones` is true if any term that had the job covered all zones, and
+    `earlier_all_zones` if one before the current term did. `highest_fence` is the
+    highest fence of these terms, and `outranked` is true if a term before the current
+    one had a higher fence.
     """
 
     call: int
@@ -44,26 +46,26 @@
     done: set[str] = field(default_factory=set)
     troubles: dict[str, TaskFailureCounts] = field(default_factory=dict)
     attempt: int = 0
-    far: Term | None = None
-    far_since: float = 0.0
+    remote_term: Term | None = None
+    remote_since: float = 0.0
     all_zones: bool = False
     earlier_all_zones: bool = False
-    highest: Fence = 0
+    highest_fence: Fence = 0
     outranked: bool = False
 
     @property
     def progress(self) -> Progress:
-        """Return what the leading host must know of the job's tasks."""
+        """Return what the leader must know of the job's tasks."""
         return Progress(tuple(self.done), tuple(self.troubles.values()))
 
     @property
-    def passed_on(self) -> bool:
-        """Tell whether the own group passed the job on to another."""
-        return self.far is not None and self.far != self.offered_to
+    def is_redirected(self) -> bool:
+        """Return whether this group redirected the job to another one."""
+        return self.remote_term is not None and self.remote_term != self.offered_to
 
 
 class OwnJobs:
-    """Keep the waiting callers by call and by job."""
+    """The jobs of the callers that wait on this host."""
 
     def __init__(self) -> None:
         self._by_call: dict[int, OwnJob] = {}
@@ -76,95 +78,95 @@
         return tuple(self._by_call.values())
 
     def add(self, job: OwnJob) -> None:
-        """Keep a caller that waits."""
+        """Add the job of a waiting caller."""
         self._by_call[job.call] = job
 
-    def end_by(self, deadline: float) -> None:
-        """Let no caller wait longer than this."""
+    def limit_deadlines(self, deadline: float) -> None:
+        """Bring all deadlines forward to this time at the latest."""
         for job in self._by_call.values():
             job.deadline = min(job.deadline, deadline)
 
-    def take(self, call: int) -> OwnJob | None:
-        """Forget a caller and return its job."""
+    def pop(self, call: int) -> OwnJob | None:
+        """Remove and return the job of a call, None if there is none."""
         return self._by_call.pop(call, None)
 
     def find(self, call: int, job_id: str) -> OwnJob | None:
-        """Return the job of a call, if it still is that job."""
+        """Return the job of a call if its id matches, else None."""
         job = self._by_call.get(call)
         return job if job is not None and job.request.id == job_id else None
 
     def by_job(self, job_id: str) -> OwnJob | None:
-        """Return a waiting caller's job by its id."""
+        """Return a job by its id, None if there is none."""
         for job in self._by_call.values():
             if job.request.id == job_id:
                 return job
         return None
 
-    def to_offer(self, term: Term, now: float) -> list[OwnJob]:
-        """Return the jobs that the leading host of a term may not have.
+    def jobs_to_offer(self, term: Term, now: float) -> list[OwnJob]:
+        """Return the jobs to offer to the leader of a term.
 
-        An offer or its answer is lost with a connection that went silent, so what has
-        no answer is offered again.
+        These are jobs that were not offered to it, and jobs without an answer: an offer
+        or its answer may be lost with a connection that went silent.
         """
         return [
             job
             for job in self._by_call.values()
-            if job.far is None
-            and (job.offered_to != term or now - job.offered_at > OFFER_AGAIN_S)
+            if job.remote_term is None
+            and (job.offered_to != term or now - job.offered_at > OFFER_RETRY_S)
         ]
 
-    def note_reach(self, term: Term) -> None:
-        """Keep which jobs upstreams of all zones may run."""
+    def record_zone_coverage(self, term: Term) -> None:
+        """Record for the jobs of a term whether it covers all zones."""
         for job in self._by_call.values():
             if job.offered_to == term and not term.by_zone:
                 job.all_zones = True
 
-    def left_behind(self, term: Term | None) -> list[OwnJob]:
-        """Return the jobs that were offered to another term than the present one."""
+    def offered_to_other_terms(self, term: Term | None) -> list[OwnJob]:
+        """Return the jobs that were last offered to another term of this group."""
         return [
             job
             for job in self._by_call.values()
-            if job.far is None and job.offered_to not in (None, term)
+            if job.remote_term is None and job.offered_to not in (None, term)
         ]
 
-    def far_jobs(self) -> list[OwnJob]:
+    def remote_jobs(self) -> list[OwnJob]:
         """Return the jobs that other groups have."""
-        return [job for job in self._by_call.values() if job.far is not None]
+        return [job for job in self._by_call.values() if job.remote_term is not None]
 
-    def note_progress(self, job_id: str, progress: Progress) -> None:
-        """Keep what the next leading host must know of a job's tasks."""
+    def record_progress(self, job_id: str, progress: Progress) -> None:
+        """Record what the next leader must know of a job's tasks."""
         job = self.by_job(job_id)
         if job is not None:
             job.done.update(progress.done)
-            job.troubles.update({one.task: one for one in progress.troubles})
+            job.troubles.update({counts.task: counts for counts in progress.troubles})
 
-    def given_up(
-        self, leaderless: bool, patience_s: float, now: float
+    def ended_jobs(
+        self, leaderless: bool, max_wait_s: float, now: float
     ) -> list[tuple[OwnJob, JobOutcome]]:
-        """Return the jobs that end here, with their outcome.
+        """Return the jobs that end without an answer of a leader, and their outcomes.
 
-        Without a leading host a new job waits for one no longer than `patience_s`.
+        Without a leader a new job waits for one for at most `max_wait_s`.
         """
         ended = []
         for job in self._by_call.values():
-            tired = leaderless and now - job.arrived >= patience_s
-            outcome = _outcome(job, tired, now)
+            gave_up_waiting = leaderless and now - job.arrived >= max_wait_s
+            outcome = _outcome(job, gave_up_waiting, now)
             if outcome is not None:
                 ended.append((job, outcome))
         return ended
 
 
-def _outcome(job: OwnJob, tired: bool, now: float) -> JobOutcome | None:
-    """Return the end of a job that no leading host answered in time.
+def _outcome(job: OwnJob, gave_up_waiting: bool, now: float) -> JobOutcome | None:
+    """Return the outcome of a job that no leader answered in time, else None.
 
-    A job that was handed to a host may have run there, so only one that never was is
-    refused as not run.
+    Only a job that was never offered is refused as not run: an offered one may have
+    run.
     """
     never_offered = job.offered_to is None and not job.handovers
     if now >= job.deadline:
         if never_offered:
             return JobOutcome(JobEnd.REFUSED, True, RETRY_AFTER_S, "no leading host")
         return JobOutcome(JobEnd.OUT_OF_TIME, False, 0.0, "the caller's time is over")
-    if tired and never_offered:
+    if gave_up_waiting and never_offered:
         return JobOutcome(JobEnd.REFUSED, True, RETRY_AFTER_S, "no leading host")
     return None
--- a/jackdawspur/front/_pages.py
+++ b/jackdawspur/front/_pages.py
@@ -1,4 +1,4 @@
-"""The pages for operators on a host's metrics address."""
+"""Pages for operators on a host's metrics address."""
 
 from typing import Protocol
 
@@ -7,9 +7,9 @@
 from jackdawspur.adapters import Call, WebService
 from jackdawspur.callers import HttpResponse
 from jackdawspur.front._clock import now_s
-from jackdawspur.front._gauges import Gauges
+from jackdawspur.front._host_metrics import HostMetrics
 from jackdawspur.front._mesh import Mesh
-from jackdawspur.front._status import StatusOwner, status_of, text_of
+from jackdawspur.front._status import StatusOwner, build_status, format_status
 
 __all__ = ["OperatorPages"]
 
@@ -19,9 +19,9 @@
 
 
 class PageOwner(StatusOwner, Protocol):
-    """Show figures, and reply."""
+    """The host's parts that the pages show, and its reply."""
 
-    gauges: Gauges
+    metrics: HostMetrics
     late_s: float
     mesh: Mesh
 
@@ -30,7 +30,7 @@
 
 
 class OperatorPages(WebService):
-    """Serve the counters of a host, and its status as JSON or text."""
+    """Serves the metrics of a host, and its status as JSON or text."""
 
     def __init__(self, owner: PageOwner) -> None:
         self._owner = owner
@@ -41,21 +41,21 @@
         self._owner.reply_metrics(call.call_id, reply)
 
     def caller_disconnected(self, call_id: int) -> None:
-        """Do nothing; a page keeps nothing."""
+        """Do nothing: a page has no state."""
 
     def _status(self, call: Call) -> HttpResponse:
-        status = status_of(self._owner, now_s())
+        status = build_status(self._owner, now_s())
         if AS_TEXT in call.query:
-            return HttpResponse(200, text_of(status).encode(), content_type=TEXT)
+            return HttpResponse(200, format_status(status).encode(), content_type=TEXT)
         return HttpResponse(200, msgspec.json.encode(status))
 
     def _metrics(self) -> HttpResponse:
-        lines = [*self._owner.gauges.lines(), *_gauge_lines(self._owner), ""]
+        lines = [*self._owner.metrics.lines(), *_gauge_lines(self._owner), ""]
         return HttpResponse(200, "\n".join(lines).encode(), content_type=TEXT)
 
 
 def _gauge_lines(owner: PageOwner) -> list[str]:
-    """Return one line for each figure of this moment."""
+    """Return one line for each gauge."""
     now = now_s()
     return [
         f"jackdawspur_leads {int(owner.group.is_leader)}",
@@ -63,7 +63,7 @@
         f"jackdawspur_upstreams {len(owner.views.entries)}",
         f"jackdawspur_upstreams_age_s {owner.views.age_s(now):.3f}",
         f"jackdawspur_hosts_alive {len(owner.group.running_heartbeats(now)) + 1}",
-        f"jackdawspur_open_jobs {len(owner.lead.dispatcher.open_jobs)}",
+        f"jackdawspur_open_jobs {len(owner.leader_driver.dispatcher.open_jobs)}",
         f"jackdawspur_callers_waiting {owner.callers.waiting}",
         f"jackdawspur_messages_dropped {owner.mesh.dropped_messages}",
         f"jackdawspur_message_bytes_sent {owner.mesh.bytes_sent}",
--- a/jackdawspur/front/_ports.py
+++ b/jackdawspur/front/_ports.py
@@ -1,4 +1,4 @@
-"""What a host needs of the platform, to be fitted by an adapter."""
+"""Interfaces to the platform, to be implemented by an adapter."""
 
 import abc
 from collections.abc import Callable
@@ -30,21 +30,21 @@
 
 
 class UpstreamPort(abc.ABC):
-    """Carry calls to upstreams; each `done` is called once, never at once."""
+    """Calls to upstreams; each `done` is called once, after the method has returned."""
 
     @abc.abstractmethod
-    def start(self, order: StartRun, done: Callable[[CallOutcome], None]) -> None:
+    def start(self, effect: StartRun, done: Callable[[CallOutcome], None]) -> None:
         """Start a run."""
 
     @abc.abstractmethod
-    def stop(self, order: StopRun, done: Callable[[CallOutcome], None]) -> None:
+    def stop(self, effect: StopRun, done: Callable[[CallOutcome], None]) -> None:
         """Stop a run."""
 
     @abc.abstractmethod
     def poll_runs(
-        self, order: PollUpstream, done: Callable[[PollReport | CallOutcome], None]
+        self, effect: PollUpstream, done: Callable[[PollReport | CallOutcome], None]
     ) -> None:
-        """Ask for all runs and prolong the lease."""
+        """Poll for all runs and renew the lease."""
 
     @abc.abstractmethod
     def close_connections_except(self, addresses: set[str]) -> None:
@@ -52,48 +52,48 @@
 
 
 class StoreListener(abc.ABC):
-    """Hear what stands in the platform's store."""
+    """Receives the content of the platform's store."""
 
     @property
     @abc.abstractmethod
     def upstream_list_interval_s(self) -> float:
-        """Return how often the list of upstreams is to be read, in seconds."""
+        """Return the interval between reads of the list of upstreams, in seconds."""
 
     @abc.abstractmethod
     def on_configuration(self, version: int, document: bytes) -> None:
-        """Take in the newest configuration, as published."""
+        """Handle the newest configuration, as published."""
 
     @abc.abstractmethod
     def on_upstreams(self, entries: tuple[UpstreamEntry, ...]) -> None:
-        """Take in the whole list of upstreams."""
+        """Handle the complete list of upstreams."""
 
     @abc.abstractmethod
     def on_evacuated_zones(self, zones: frozenset[str]) -> None:
-        """Take in the zones on whose upstreams nothing more may start."""
+        """Handle the zones on whose upstreams no run may start."""
 
     @abc.abstractmethod
     def on_hosts(self, hosts: tuple[HostAddress, ...]) -> None:
-        """Take in the hosts that announced themselves."""
+        """Handle the hosts that announced themselves."""
 
     @abc.abstractmethod
     def on_store_reachability(self, reachable: bool, reason: str) -> None:
-        """Take in that the store is lost or regained."""
+        """Handle the loss or return of the store."""
 
 
 class StorePort(abc.ABC):
-    """Follow the platform's store."""
+    """Access to the platform's store."""
 
     @abc.abstractmethod
     def start_watch(self, listener: StoreListener) -> None:
-        """Begin to read, and never stop."""
+        """Read the store at intervals from now on."""
 
     @abc.abstractmethod
     def announce(self, host: HostAddress) -> None:
-        """Publish where this host is, until it worked."""
+        """Publish this host's address, with retries until it succeeds."""
 
 
 class RequestKind(Enum):
-    """Say what a caller wants."""
+    """Kind of a caller's request."""
 
     SUBMIT = "submit"
     STATE = "state"
@@ -103,8 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Carry one caller's request; `caller_timeout_s` is how long it waits, if it said
-    so."""
+    """A caller's request; `caller_timeout_s` is None if the caller states none."""
 
     kind: RequestKind
     route: Route
@@ -114,13 +113,13 @@
 
 
 class CallerPort(abc.ABC):
-    """Translate between callers and the product."""
+    """Decodes requests of callers and encodes replies to them."""
 
     @abc.abstractmethod
     def decode_call(
         self, call: Call, routes: RouteTable
     ) -> CallerRequest | HttpResponse:
-        """Return what a caller asks, or the refusal of what can't be understood."""
+        """Decode a request; return the refusal instead if it is malformed."""
 
     @abc.abstractmethod
     def encode_outcome(self, outcome: JobOutcome) -> HttpResponse:
@@ -128,20 +127,20 @@
 
     @abc.abstractmethod
     def encode_waiting_count(self, waiting: int) -> HttpResponse:
-        """Return the reply to a question how many jobs wait."""
+        """Return the reply to a request for the number of waiting jobs."""
 
     @abc.abstractmethod
     def encode_unknown_job(self) -> HttpResponse:
-        """Return the reply to a question about a job that is not here."""
+        """Return the reply to a request for a job that is not known here."""
 
     @abc.abstractmethod
     def encode_cancelled(self) -> HttpResponse:
-        """Return the reply to a cancel that was carried out."""
+        """Return the reply to a successful cancellation."""
 
     @abc.abstractmethod
     def encode_not_ready(self, reason: str) -> HttpResponse:
-        """Return the refusal of a host that can't serve yet."""
+        """Return the refusal of a host that is not ready."""
 
     @abc.abstractmethod
     def decode_configuration(self, document: bytes) -> RouteTable:
-        """Return the routes of a configuration; raise `ConfigurationDecodeError`."""
+        """Decode the routes of a configuration; raise `ConfigurationDecodeError`."""
--- a/jackdawspur/front/_process.py
+++ b/jackdawspur/front/_process.py
@@ -1,4 +1,4 @@
-"""A host on one circuits loop."""
+"""The process of a host on one circuits loop."""
 
 import logging
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 from jackdawspur.adapters import TimerQueue, WebServer
 from jackdawspur.callers import HttpResponse
 from jackdawspur.front._clock import now_s, unix_ms
-from jackdawspur.front._gauges import Gauges
 from jackdawspur.front._heartbeats import Heartbeats
-from jackdawspur.front._lead import LeadDriver
+from jackdawspur.front._host_metrics import HostMetrics
+from jackdawspur.front._leader_driver import LeaderDriver
 from jackdawspur.front._mesh import Mesh
 from jackdawspur.front._pages import OperatorPages
 from jackdawspur.front._ports import CallerPort, StorePort, UpstreamPort
-from jackdawspur.front._reload import reloaded
+from jackdawspur.front._reload import reload_settings
 from jackdawspur.front._routes import NO_ROUTES, RouteTable
 from jackdawspur.front._service import CallerService, ReadyService
 from jackdawspur.front._views import StoreView
@@ -40,22 +40,22 @@
 
 TICK_S = 0.025
 NEVER_S = float("inf")
-# A host that follows and has no callers has nothing to give up in time. Heartbeats are
+# Tick of a follower without callers, which has no timeouts to handle. Heartbeats are
 # due at multiples of either tick.
-CALM_TICK_S = 0.05
-# A pass that comes this much late on average shows a processor that can't keep up.
-SLOW_LATE_S = 0.035
+IDLE_TICK_S = 0.05
+# Average lateness of ticks above which the processor is overloaded.
+SLOW_LATENESS_S = 0.035
 LATE_SMOOTHING = 0.1
-# Hosts learned of within this time are greeted together.
-GREET_S = 0.01
-# What a peer lacks is passed on to it at most this often.
-PASS_EVERY_S = 0.5
-# An own list of upstreams older than this is refreshed from a peer's.
+# Hosts discovered within this time are greeted together.
+GREETING_DELAY_S = 0.01
+# Shortest time between updates to a peer that lacks the configuration or the list.
+UPDATE_INTERVAL_S = 0.5
+# A list of upstreams older than this is refreshed from a peer's.
 STALE_LIST_S = 2.0
-# The balancer stops sending after two missed looks at readiness, a second apart.
-LEAST_DRAIN_S = 2.2
+# The balancer stops sending requests after two failed readiness probes, a second apart.
+MIN_DRAIN_S = 2.2
 EXIT_GRACE_S = 0.2
-# The last of the time until SIGKILL is left for closing.
+# Part of the time until SIGKILL that is left for closing.
 DRAIN_MARGIN_S = 0.6
 
 log = logging.getLogger("jackdawspur.host")
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformPorts:
-    """Carry the adapter's ways to the platform."""
+    """The adapter's ports to the platform."""
 
     callers: CallerPort
     upstreams: UpstreamPort
@@ -71,11 +71,11 @@
 
 
 class flush(LoopEvent):
-    """Let the decisions handle what came in during this pass of the loop."""
+    """Lets the dispatcher handle what arrived during this pass of the loop."""
 
 
 class FrontProcess(Component):
-    """Connect one host's decisions to its sockets."""
+    """Connects the dispatcher and the group of a host to its sockets."""
 
     channel = "front"
 
@@ -86,37 +86,37 @@
         make_ports: Callable[[Component, TimerQueue], PlatformPorts],
         read_settings: Callable[[], HostSettings],
     ) -> None:
-        """Open the sockets; circuits passes the constructor's arguments."""
+        """Open the sockets; circuits calls this with the constructor's arguments."""
         self._settings = settings
         self._read_settings = read_settings
-        self._reload_asked = False
+        self._reload_requested = False
         now = now_s()
         limits = HostLimits(settings.processor, settings.link_mbps)
         self.address = _address(settings, limits)
         self.routes: RouteTable = NO_ROUTES
-        self.gauges = Gauges()
+        self.metrics = HostMetrics()
         self._timer_queue = TimerQueue(now_s).register(self)
         self._ports = make_ports(self, self._timer_queue)
         most_upstreams = min(settings.most_upstreams, limits.max_upstreams)
         self.group = Group(self.address, now, most_upstreams)
         self.views = StoreView(self)
         self.mesh = Mesh(settings.link, poller, self._on_message).register(self)
-        self.lead = LeadDriver(self, self._ports.upstreams, now)
+        self.leader_driver = LeaderDriver(self, self._ports.upstreams, now)
         self.callers = CallerService(self, self._ports.callers)
         self._open_web(settings)
-        self._flushing = False
+        self._flush_pending = False
         self._flush_due = NEVER_S
-        self._greeting = False
+        self._greet_pending = False
         self._heartbeats = Heartbeats(self, self.mesh)
-        self._beat_due = self._pass_due = self._tick_due = now
+        self._heartbeat_due = self._update_due = self._tick_due = now
         self._followed: str | None = None
         self._by_zone = False
         self.late_s = 0.0
-        self._drain_from: float | None = None
+        self._draining_since: float | None = None
         self._exiting = False
-        self._timer_queue.call_later(0.0, self._begin)
-        place = {"host": settings.name, "zone": settings.zone}
-        log.info("host started", extra={**place, **limits.log_fields()})
+        self._timer_queue.call_later(0.0, self._start_work)
+        fields = {"host": settings.name, "zone": settings.zone}
+        log.info("host started", extra={**fields, **limits.log_fields()})
 
     def _open_web(self, settings: HostSettings) -> None:
         self._web = WebServer(settings.callers, self.callers, "callers").register(self)
@@ -130,26 +130,26 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether new connections are wanted: with routes and a leading host."""
-        led = self.group.leader(now_s()) is not None
-        return bool(self.routes.version) and led and not self.group.draining
+        """Return whether the host serves: with routes and a leader, not draining."""
+        has_leader = self.group.leader(now_s()) is not None
+        return bool(self.routes.version) and has_leader and not self.group.draining
 
     @property
-    def able(self) -> bool:
-        """Tell whether this host could lead: with routes and upstreams."""
+    def can_lead(self) -> bool:
+        """Return whether this host can lead: with routes and upstreams."""
         return bool(self.routes.version) and bool(self.views.entries)
 
     @property
     def _stops_at(self) -> float:
-        """Return when a host that drains ends at the latest."""
-        return self._drain_from + self._settings.grace_s - DRAIN_MARGIN_S
+        """Return the time at which a draining host stops at the latest."""
+        return self._draining_since + self._settings.grace_s - DRAIN_MARGIN_S
 
     def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a caller."""
         self._web.reply(call_id, reply)
 
     def reply_ready(self, call_id: int, reply: HttpResponse) -> None:
-        """Reply to a look at readiness."""
+        """Reply to a readiness probe."""
         self._ready_web.reply(call_id, reply)
 
     def reply_metrics(self, call_id: int, reply: HttpResponse) -> None:
@@ -161,35 +161,35 @@
         self.mesh.send(host, message)
 
     def upstreams_changed(self) -> None:
-        """Use a new list of upstreams, of all zones or of the own one."""
+        """Apply a new list of upstreams, of all zones or of this host's zone."""
         now = now_s()
         self.group.set_upstream_count(len(self.views.entries), now)
         if self.group.by_zone == self._by_zone:
-            self.lead.upstreams_changed(now)
+            self.leader_driver.upstreams_changed(now)
         else:
             self._zones_changed(now)
 
     def _zones_changed(self, now: float) -> None:
-        """Use the upstreams of the zones that the group has now."""
+        """Apply the upstreams of the zones that the group has now."""
         self._by_zone = self.group.by_zone
-        self.lead.upstreams_changed(now)
+        self.leader_driver.upstreams_changed(now)
         if self.group.is_leader:
-            # Hosts that now belong to another group choose its leading host.
+            # Hosts that now belong to another group elect its leader.
             log.info("group changed", extra={"by_zone": self._by_zone})
-            self._beat(now, to_all=True)
+            self._send_heartbeats(now, to_all=True)
 
-    def hosts_learned(self) -> None:
-        """Connect to new hosts at once.
+    def on_new_hosts(self) -> None:
+        """Connect to new hosts soon.
 
-        While hosts start together none leads until they have found each other. They
-        learn of many within milliseconds, which are connected to together.
+        Hosts that start together have no leader until they have discovered each other.
+        They discover many within milliseconds and connect to these together.
         """
-        if not self._greeting:
-            self._greeting = True
-            self._timer_queue.call_later(GREET_S, self._greet)
+        if not self._greet_pending:
+            self._greet_pending = True
+            self._timer_queue.call_later(GREETING_DELAY_S, self._greet)
 
     def _greet(self) -> None:
-        self._greeting = False
+        self._greet_pending = False
         self._connect(now_s())
 
     def _connect(self, now: float) -> None:
@@ -197,11 +197,11 @@
         self._heartbeats.greet(dialled, now)
 
     def waiting_jobs(self, route: str) -> int:
-        """Return the number of a route's jobs that wait, as far as known here."""
-        return self.lead.dispatcher.open_jobs.count_not_started(route)
+        """Return the number of a route's jobs known here that have not started."""
+        return self.leader_driver.dispatcher.open_jobs.count_not_started(route)
 
     def set_routes(self, routes: RouteTable) -> None:
-        """Serve these routes from now on; older versions are ignored."""
+        """Put routes in force unless their version is older."""
         if routes.version > self.routes.version:
             log.info(
                 "configuration in force",
@@ -209,22 +209,22 @@
             )
             services = self.routes.services
             self.routes = routes
-            self.callers.configured()
+            self.callers.on_configured()
             if routes.services != services:
                 self.upstreams_changed()
 
     def decode_configuration(self, document: bytes) -> RouteTable:
-        """Return the routes of a document; raise `ConfigurationDecodeError`."""
+        """Decode the routes of a document; raise `ConfigurationDecodeError`."""
         return self._ports.callers.decode_configuration(document)
 
     def flush_soon(self) -> None:
-        """Let the decisions act at the end of this pass."""
-        if not self._flushing:
-            self._flushing = True
+        """Schedule a flush at the end of this pass of the loop."""
+        if not self._flush_pending:
+            self._flush_pending = True
             self.fire(flush())
 
     def flush_at(self, when: float) -> None:
-        """Let the decisions act at a time; one already set for before that will do."""
+        """Schedule a flush at a time, unless an earlier one is scheduled."""
         if when < self._flush_due:
             self._flush_due = when
             wait_s = max(0.0, when - now_s())
@@ -236,10 +236,10 @@
 
     @handler("flush")
     def _on_flush(self) -> None:
-        self._flushing = False
-        self.lead.flush(now_s())
+        self._flush_pending = False
+        self.leader_driver.flush(now_s())
 
-    def _begin(self) -> None:
+    def _start_work(self) -> None:
         self._tick_due = now_s()
         self._tick()
         self._ports.store.start_watch(self.views)
@@ -249,138 +249,144 @@
         now = now_s()
         late = min(1.0, max(0.0, now - self._tick_due))
         self.late_s += LATE_SMOOTHING * (late - self.late_s)
-        tick_s = CALM_TICK_S if self._calm(now) else TICK_S
+        tick_s = IDLE_TICK_S if self._is_idle_follower(now) else TICK_S
         self._tick_due = now + tick_s
-        # First, so that an error further down costs one tick and not all to come: a
-        # host without ticks tells nobody that it lives, and no signal would stop it.
+        # Scheduled first, so that an exception below costs only one tick: without ticks
+        # a host sends no heartbeats, and no signal would stop it.
         self._timer_queue.call_later(tick_s, self._tick)
-        if self._reload_asked:
-            self._reload_asked = False
-            self._settings = reloaded(self._settings, self._read_settings)
-        self.group.slow = self.late_s > SLOW_LATE_S
+        if self._reload_requested:
+            self._reload_requested = False
+            self._settings = reload_settings(self._settings, self._read_settings)
+        self.group.slow = self.late_s > SLOW_LATENESS_S
         self.group.store_reachable = self.views.reachable
         self._connect(now)
         self._follow_leader(now)
         self.callers.tick(now)
-        self.lead.tick(now)
-        if now >= self._beat_due:
-            self._beat(now)
-        if now >= self._pass_due:
-            self._pass_due = now + PASS_EVERY_S
-            self._pass_on(now)
+        self.leader_driver.tick(now)
+        if now >= self._heartbeat_due:
+            self._send_heartbeats(now)
+        if now >= self._update_due:
+            self._update_due = now + UPDATE_INTERVAL_S
+            self._send_updates(now)
         self._exit_when_drained(now)
         self.flush_soon()
 
-    def _calm(self, now: float) -> bool:
-        """Tell whether this host only follows."""
+    def _is_idle_follower(self, now: float) -> bool:
+        """Return whether this host is a follower without callers."""
         group = self.group
-        led = group.leader(now) is not None and not group.is_leader
-        return led and not self.callers.waiting and not group.draining
+        follows = group.leader(now) is not None and not group.is_leader
+        return follows and not self.callers.waiting and not group.draining
 
-    def _beat(self, now: float, to_all: bool = False) -> None:
-        """Send heartbeats; those due between two ticks go with the earlier one."""
-        self._beat_due = now + HEARTBEAT_INTERVAL_S - TICK_S / 2
+    def _send_heartbeats(self, now: float, to_all: bool = False) -> None:
+        """Send heartbeats; those due between two ticks are sent at the earlier one."""
+        self._heartbeat_due = now + HEARTBEAT_INTERVAL_S - TICK_S / 2
         self._heartbeats.send(now, to_all)
 
     def _follow_leader(self, now: float) -> None:
-        changed = self.group.update_leadership(self.able, unix_ms(), now)
+        changed = self.group.update_leadership(self.can_lead, unix_ms(), now)
         if self.group.by_zone != self._by_zone:
             self._zones_changed(now)
         if changed:
-            self.lead.leadership_changed(now)
+            self.leader_driver.leadership_changed(now)
         leader = self.group.leader(now)
         lost = leader is None and self._followed is not None
         if leader != self._followed:
-            self.views.note_leader(self.group.term(now), now)
+            self.views.log_leader(self.group.term(now), now)
         self._followed = leader
         if changed or lost:
-            # Who lost the leading host tells all others, which chooses the next one.
-            self._beat(now, to_all=True)
-        if self.group.contend_for_upstreams(self.lead.fenced_for(now), unix_ms(), now):
-            self.lead.leadership_changed(now)
-            self._beat(now, to_all=True)
+            # A host that lost its leader tells all others, which elect the next one.
+            self._send_heartbeats(now, to_all=True)
+        if self.group.contend_for_upstreams(
+            self.leader_driver.fenced_s(now), unix_ms(), now
+        ):
+            self.leader_driver.leadership_changed(now)
+            self._send_heartbeats(now, to_all=True)
         self.callers.offer_waiting(now)
 
-    def _pass_on(self, now: float) -> None:
-        """Give peers what the store refuses them: a newer configuration, the list."""
+    def _send_updates(self, now: float) -> None:
+        """Send peers the newer configuration and list that they can't read."""
         group = self.group
         others = group.other_group_leaders(now) if group.is_leader else []
-        for beat in (*group.live_heartbeats(now), *others):
-            if beat.configuration < self.routes.version and self.views.document:
-                passed = ConfigurationUpdate(self.routes.version, self.views.document)
-                self.mesh.send(beat.host.name, passed)
+        for heartbeat in (*group.live_heartbeats(now), *others):
+            if heartbeat.configuration < self.routes.version and self.views.document:
+                update = ConfigurationUpdate(self.routes.version, self.views.document)
+                self.mesh.send(heartbeat.host.name, update)
             age = self.views.age_s(now)
-            fresh = beat.upstreams_age_s > STALE_LIST_S > age
-            # A host that started after the store went away has none, and could not
-            # lead when the others are gone.
-            if fresh or beat.upstreams_age_s - age > STALE_LIST_S:
-                passed = UpstreamListUpdate(
-                    group.clock_lower_bound(beat.host.name, now),
+            fresh = heartbeat.upstreams_age_s > STALE_LIST_S > age
+            # A host that started during an outage of the store has no list, and could
+            # not lead if the others fail.
+            if fresh or heartbeat.upstreams_age_s - age > STALE_LIST_S:
+                update = UpstreamListUpdate(
+                    group.clock_lower_bound(heartbeat.host.name, now),
                     age,
                     self.views.entries,
                     tuple(self.views.evacuated),
                 )
-                self.mesh.send(beat.host.name, passed)
+                self.mesh.send(heartbeat.host.name, update)
 
     def _on_message(self, message: GroupMessage) -> None:
         now = now_s()
         if isinstance(message, HostHeartbeat):
-            self._heard(message, now)
+            self._on_heartbeat(message, now)
         elif isinstance(message, JobOffer):
-            self.lead.offered(message, now)
+            self.leader_driver.receive_offer(message, now)
         elif isinstance(message, JobRedirect):
-            self.callers.passed_on(message)
+            self.callers.redirect(message)
         elif isinstance(message, JobCancellation):
-            self.lead.dropped(message.sender, message.job, message.call, now)
+            self.leader_driver.cancel_job(
+                message.sender, message.job, message.call, now
+            )
         elif isinstance(message, JobResult):
-            self.callers.answered(message)
+            self.callers.receive_result(message)
         elif isinstance(message, ConfigurationUpdate):
             self.views.on_configuration(message.version, message.document)
         elif isinstance(message, UpstreamListUpdate):
-            self.views.upstreams_passed(message, now)
+            self.views.on_upstream_update(message, now)
         self.flush_soon()
 
-    def _heard(self, beat: HostHeartbeat, now: float) -> None:
-        if self.group.record_heartbeat(beat, now):
-            self.hosts_learned()
-        for progress in beat.progress:
-            self.callers.note_progress(progress)
-        if not self.group.includes(beat):
-            if beat.leads:
-                self.lead.room_heard(beat, now)
+    def _on_heartbeat(self, heartbeat: HostHeartbeat, now: float) -> None:
+        if self.group.record_heartbeat(heartbeat, now):
+            self.on_new_hosts()
+        for progress in heartbeat.progress:
+            self.callers.record_progress(progress)
+        if not self.group.includes(heartbeat):
+            if heartbeat.leads:
+                self.leader_driver.record_capacity_offer(heartbeat, now)
             return
-        self._heartbeats.redial_if_silent(beat.host.name, beat.silent_s, now)
-        self.lead.learned_heard(beat, now)
-        self.lead.follower_heard(beat.host.name, beat.follows, now)
+        self._heartbeats.redial_if_unresponsive(
+            heartbeat.host.name, heartbeat.silent_s, now
+        )
+        self.leader_driver.record_learned(heartbeat, now)
+        self.leader_driver.record_follower(heartbeat.host.name, heartbeat.follows, now)
 
     @handler("signal", channel="*")
     def _on_signal(self, event, signo, _stack) -> None:
-        """Drain at the first signal that asks to stop."""
+        """Start to drain at the first stop signal."""
         event.stop()
-        if self._drain_from is None:
-            self._drain_from = now_s()
+        if self._draining_since is None:
+            self._draining_since = now_s()
             self.group.draining = True
             self.callers.stop_by(self._stops_at)
             self._web.drain()
             log.info("draining", extra={"waiting_callers": self.callers.waiting})
 
-    def ask_reload(self) -> None:
-        """Read the settings again at the next tick; safe in a signal handler."""
-        self._reload_asked = True
+    def request_reload(self) -> None:
+        """Reload the settings at the next tick; safe to call in a signal handler."""
+        self._reload_requested = True
 
     def _exit_when_drained(self, now: float) -> None:
-        """Stop once no caller waits and the balancer sends nobody any more."""
-        if self._drain_from is None or self._exiting:
+        """Stop once no caller waits and the balancer sends no more requests."""
+        if self._draining_since is None or self._exiting:
             return
         idle = not self._web.open_calls and not self.group.is_leader
-        settled = now - self._drain_from > LEAST_DRAIN_S
+        settled = now - self._draining_since > MIN_DRAIN_S
         if now > self._stops_at or (idle and settled):
             self._exiting = True
             self._web.close_idle_connections()
             self._timer_queue.call_later(EXIT_GRACE_S, self._exit)
 
     def _exit(self) -> None:
-        """Stop, unless a request came on a connection that was to be closed."""
+        """Stop, unless a request arrived on a connection before it was closed."""
         if self._web.open_calls and now_s() <= self._stops_at:
             self._exiting = False
             return
@@ -389,6 +395,6 @@
 
 
 def _address(settings: HostSettings, limits: HostLimits) -> HostAddress:
-    """Return what other hosts learn of this one, and of this run of it."""
+    """Return the address that other hosts get of this incarnation."""
     link = settings.announced or settings.link
     return HostAddress(settings.name, settings.zone, link, unix_ms(), limits.cores)
--- a/jackdawspur/front/_reload.py
+++ b/jackdawspur/front/_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a host runs."""
+"""Reloading of settings while a host runs."""
 
 import logging
 from collections.abc import Callable
@@ -6,20 +6,20 @@
 
 from jackdawspur.settings import HostSettings, SettingsError
 
-__all__ = ["reloaded"]
+__all__ = ["reload_settings"]
 
-# Settings that need no restart.
-RELOADED = ("grace_s", "log_level")
+# Settings that take effect without a restart.
+RELOADABLE = ("grace_s", "log_level")
 
 log = logging.getLogger("jackdawspur.host")
 
 
-def reloaded(
+def reload_settings(
     before: HostSettings, read_settings: Callable[[], HostSettings]
 ) -> HostSettings:
-    """Return what is in force once settings were read again.
+    """Read the settings again and return those in force.
 
-    A bad file changes nothing.
+    If the file is invalid the previous settings stay in force.
     """
     try:
         settings = read_settings()
@@ -33,7 +33,7 @@
         "settings read again",
         extra={
             "changed": changed,
-            "in_force_after_restart": [n for n in changed if n not in RELOADED],
+            "in_force_after_restart": [n for n in changed if n not in RELOADABLE],
         },
     )
-    return replace(before, **{name: getattr(settings, name) for name in RELOADED})
+    return replace(before, **{name: getattr(settings, name) for name in RELOADABLE})
--- a/jackdawspur/front/_routes.py
+++ b/jackdawspur/front/_routes.py
@@ -1,4 +1,4 @@
-"""The routes in force, and which of them a request takes."""
+"""The routes in force and their lookup by host and path."""
 
 from dataclasses import dataclass, field
 
@@ -9,12 +9,12 @@
 
 
 class ConfigurationDecodeError(JackdawspurError):
-    """Raise when a configuration can't be used; names the field."""
+    """Raised when a configuration is malformed or invalid; names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """Keep the routes of one version, longest prefix first."""
+    """The routes of one configuration version, by host, longest prefix first."""
 
     version: int
     routes: tuple[Route, ...]
@@ -22,16 +22,16 @@
     _by_host: dict[str, list[Route]] = field(default_factory=dict, repr=False)
 
     def __post_init__(self) -> None:
-        for route in sorted(self.routes, key=lambda one: -len(one.path_prefix)):
+        for route in sorted(self.routes, key=lambda r: -len(r.path_prefix)):
             self._by_host.setdefault(route.host, []).append(route)
 
     @property
     def services(self) -> frozenset[str]:
-        """Return the services that the routes name."""
+        """Return the services of all routes."""
         return frozenset(route.service for route in self.routes)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that the path begins with."""
+        """Return the route with the longest matching prefix, None without a match."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/jackdawspur/front/_run.py
+++ b/jackdawspur/front/_run.py
@@ -1,4 +1,4 @@
-"""Running a host until it has drained."""
+"""Start of a host process."""
 
 import gc
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 __all__ = ["run_front"]
 
-# Objects until a young collection, then how many of each until the next older one.
+# Thresholds of the garbage collector, as for `gc.set_threshold`.
 COLLECTOR_THRESHOLDS = (10_000, 20, 100)
 
 
@@ -22,15 +22,15 @@
     make_ports: Callable[[Component, TimerQueue], PlatformPorts],
     read_settings: Callable[[], HostSettings],
 ) -> None:
-    """Run a host until it is told to stop and has drained."""
+    """Run a host until it receives a stop signal and has drained."""
     root = Component()
     poller = EPoll().register(root)
     process = FrontProcess(settings, poller, make_ports, read_settings)
     process.register(root)
-    # circuits handles SIGTERM and SIGINT only; the default of this one is to die.
-    signal(SIGHUP, lambda _signo, _frame: process.ask_reload())
-    # Full collections stop the loop for tens of milliseconds: the modules, which live
-    # as long as the process, are frozen out of them.
+    # circuits handles SIGTERM and SIGINT only; the default of SIGHUP ends the process.
+    signal(SIGHUP, lambda _signo, _frame: process.request_reload())
+    # A full collection blocks the loop for tens of milliseconds. Objects of modules,
+    # which live as long as the process, are excluded from it.
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
--- a/jackdawspur/front/_service.py
+++ b/jackdawspur/front/_service.py
@@ -1,4 +1,4 @@
-"""Callers' requests on this host, and the platform's looks at its readiness."""
+"""Handlers of callers' requests and of the platform's readiness probes."""
 
 import logging
 from typing import Protocol
@@ -7,7 +7,7 @@
 from jackdawspur.callers import HttpResponse
 from jackdawspur.front._clock import now_s
 from jackdawspur.front._early_calls import EarlyCalls
-from jackdawspur.front._gauges import Gauges
+from jackdawspur.front._host_metrics import HostMetrics
 from jackdawspur.front._limits import WaitLimit
 from jackdawspur.front._own_jobs import OwnJob, OwnJobs
 from jackdawspur.front._ports import CallerPort, CallerRequest, RequestKind
@@ -28,13 +28,13 @@
 __all__ = ["CallerService", "ReadyService"]
 
 MS_PER_S = 1000.0
-# The answer must have left this host this long before its caller's time is over.
-ANSWER_S = 0.005
-# How long a job waits for a host to lead: the time in which a lost one is replaced.
-LEADERLESS_S = 0.8
-# A host counts as lost after 0.4 s without a sign; offers are all that another group's
-# leading host hears of this one.
-FAR_AGAIN_S = 0.12
+# The answer must be sent this long before the caller's timeout.
+ANSWER_MARGIN_S = 0.005
+# How long a job waits for a leader: a lost leader is replaced within this time.
+MAX_LEADERLESS_S = 0.8
+# Offers are the only messages that the leader of another group receives from this host,
+# which counts as lost after 0.4 s without one.
+REMOTE_OFFER_INTERVAL_S = 0.12
 READY = HttpResponse(200, b"{}")
 NOT_READY = HttpResponse(503, b"{}")
 
@@ -42,20 +42,20 @@
 
 
 class ServiceOwner(Protocol):
-    """Serve callers together with the rest of the host."""
+    """The host's parts that the services use."""
 
     address: HostAddress
     group: Group
-    gauges: Gauges
+    metrics: HostMetrics
     routes: RouteTable
-    lead: "JobTaker"
+    leader_driver: "LocalLeader"
     ready: bool
 
     def reply(self, call_id: int, reply: HttpResponse) -> None:
         """Reply to a caller."""
 
     def reply_ready(self, call_id: int, reply: HttpResponse) -> None:
-        """Reply to a look at readiness."""
+        """Reply to a readiness probe."""
 
     def waiting_jobs(self, route: str) -> int:
         """Return the number of a route's jobs that wait."""
@@ -64,33 +64,33 @@
         """Send a message to another host."""
 
 
-class JobTaker(Protocol):
-    """Run jobs while this host leads."""
+class LocalLeader(Protocol):
+    """The leader's part of this host."""
 
-    def take(self, offer: Offer, now: float) -> None:
-        """Take a job."""
+    def accept_offer(self, offer: Offer, now: float) -> None:
+        """Accept a job."""
 
-    def dropped(self, host: str, job: str, call: int, now: float) -> None:
-        """Stop a job whose caller left."""
+    def cancel_job(self, host: str, job: str, call: int, now: float) -> None:
+        """Cancel a job whose caller left."""
 
 
 class ReadyService(WebService):
-    """Tell the platform whether new connections are wanted."""
+    """Answers readiness probes: whether this host accepts new connections."""
 
     def __init__(self, owner: ServiceOwner) -> None:
         self._owner = owner
 
     def handle_call(self, call: Call) -> None:
-        """Answer one look."""
+        """Answer one probe."""
         reply = READY if self._owner.ready else NOT_READY
         self._owner.reply_ready(call.call_id, reply)
 
     def caller_disconnected(self, call_id: int) -> None:
-        """Do nothing; a look keeps nothing."""
+        """Do nothing: a probe has no state."""
 
 
 class CallerService(WebService):
-    """Keep callers waiting while the leading host runs their jobs."""
+    """Accepts callers' requests, offers their jobs to the leader and sends replies."""
 
     def __init__(self, owner: ServiceOwner, port: CallerPort) -> None:
         self._owner = owner
@@ -105,59 +105,61 @@
         return len(self._jobs)
 
     def handle_call(self, call: Call) -> None:
-        """Take one request."""
+        """Handle one request."""
         now = now_s()
         if self._owner.routes.version:
-            self._read(call, now)
+            self._decode_and_handle(call, now)
         elif self._stops_at is not None or not self._early.add(call, now):
             self._refuse_early(call)
 
-    def configured(self) -> None:
-        """Take the requests that waited for a configuration."""
-        for early in self._early.take_all():
-            self._read(early.call, early.arrived)
+    def on_configured(self) -> None:
+        """Handle the requests that waited for a configuration."""
+        for early in self._early.pop_all():
+            self._decode_and_handle(early.call, early.arrived)
 
     def _refuse_early(self, call: Call) -> None:
         reply = self._port.encode_not_ready("no configuration yet")
         self._owner.reply(call.call_id, reply)
 
-    def _read(self, call: Call, arrived: float) -> None:
-        asked = self._port.decode_call(call, self._owner.routes)
-        if isinstance(asked, HttpResponse):
+    def _decode_and_handle(self, call: Call, arrived: float) -> None:
+        request = self._port.decode_call(call, self._owner.routes)
+        if isinstance(request, HttpResponse):
             log.info(
                 "request refused",
-                extra={"path": call.path, "status": asked.status},
+                extra={"path": call.path, "status": request.status},
             )
-            self._owner.reply(call.call_id, asked)
+            self._owner.reply(call.call_id, request)
             return
-        self._asked(call, asked, arrived)
+        self._handle_request(call, request, arrived)
 
     def caller_disconnected(self, call_id: int) -> None:
-        """Stop the job of a caller that left, at once."""
-        self._early.drop(call_id)
-        job = self._jobs.take(call_id)
+        """Cancel the job of a caller that left."""
+        self._early.remove(call_id)
+        job = self._jobs.pop(call_id)
         if job is None:
             return
-        self._owner.gauges.count("callers_left")
+        self._owner.metrics.count("callers_left")
         log.info("caller left", extra={"job": job.request.id})
         self._drop(job)
 
     def stop_by(self, stops_at: float) -> None:
-        """Give every caller its answer by this time, also those still to come.
+        """Answer all current and future callers by this time.
 
-        What is cut off when the process ends looks to its caller as if it might still
-        run. The balancer and open connections bring requests until the end.
+        When the process ends with a request unanswered, its caller must assume that the
+        job may still run. The balancer and open connections deliver requests until the
+        end.
         """
         self._stops_at = stops_at
-        self._jobs.end_by(stops_at - ANSWER_S)
-        for early in self._early.take_all():
+        self._jobs.limit_deadlines(stops_at - ANSWER_MARGIN_S)
+        for early in self._early.pop_all():
             self._refuse_early(early.call)
 
-    def answered(self, answer: JobResult) -> None:
-        """Pass the leading host's answer on to the caller.
+    def receive_result(self, answer: JobResult) -> None:
+        """Reply to the caller with the leader's result.
 
-        A result is one whoever had the job. A refusal of a host that led before says
-        nothing: the job was handed to another since, which may have started it.
+        A result counts no matter which leader had the job. A refusal by an earlier
+        leader is ignored: the job was handed over since, and the next leader may have
+        started it.
         """
         job = self._jobs.find(answer.call, answer.job)
         if job is None:
@@ -165,105 +167,106 @@
         earlier = answer.handed != job.handovers
         if earlier and answer.outcome.end not in (JobEnd.COMPLETE, JobEnd.FAILED):
             return
-        self._jobs.take(job.call)
+        self._jobs.pop(job.call)
         if earlier:
             self._drop(job)
         self._reply(job, answer.outcome)
 
-    def passed_on(self, message: JobRedirect) -> None:
-        """Offer a job to another group, for which the own one has no room.
+    def redirect(self, message: JobRedirect) -> None:
+        """Offer a job for which this group has no free capacity to another group.
 
-        Only what was never handed over: an earlier leading host may run it. And only in
-        reply to the last offer: the leading host has taken that one, and may run it.
+        Not if the job was handed over: an earlier leader may run it. And only in reply
+        to the last offer: the leader has accepted a later one and may run the job.
         """
         job = self._jobs.find(message.call, message.job)
-        if job is None or job.handovers or job.far is not None:
+        if job is None or job.handovers or job.remote_term is not None:
             return
         if message.attempt != job.attempt:
             return
         now = now_s()
-        job.far = Term(message.leader, message.fence)
-        job.far_since = now
-        self._owner.gauges.count("jobs_passed_on")
-        self._offer(job, job.far, now)
+        job.remote_term = Term(message.leader, message.fence)
+        job.remote_since = now
+        self._owner.metrics.count("jobs_passed_on")
+        self._offer(job, job.remote_term, now)
 
-    def far_leaders(self) -> set[str]:
-        """Return the leading hosts of other groups that have jobs of this host."""
-        return {job.far.leader for job in self._jobs.far_jobs()}
+    def remote_leaders(self) -> set[str]:
+        """Return the leaders of other groups that have jobs of this host."""
+        return {job.remote_term.leader for job in self._jobs.remote_jobs()}
 
-    def note_progress(self, told: JobProgress) -> None:
-        """Keep what the next leading host must know of a job's tasks."""
-        self._jobs.note_progress(told.job, told.progress)
+    def record_progress(self, reported: JobProgress) -> None:
+        """Record what the next leader must know of a job's tasks."""
+        self._jobs.record_progress(reported.job, reported.progress)
 
     def tick(self, now: float) -> None:
-        """Answer callers whose time is over."""
-        for early in self._early.take_late(now):
+        """Answer callers whose time has run out, and update remote jobs."""
+        for early in self._early.pop_overdue(now):
             self._refuse_early(early.call)
         group = self._owner.group
         leaderless = group.leader(now) is None
-        patience_s = 0.0 if group.backing_off else LEADERLESS_S
-        for job, outcome in self._jobs.given_up(leaderless, patience_s, now):
-            self._jobs.take(job.call)
+        max_wait_s = 0.0 if group.backing_off else MAX_LEADERLESS_S
+        for job, outcome in self._jobs.ended_jobs(leaderless, max_wait_s, now):
+            self._jobs.pop(job.call)
             self._drop(job)
             self._reply(job, outcome)
-        for job in self._jobs.far_jobs():
-            self._tend_far(job, now)
+        for job in self._jobs.remote_jobs():
+            self._update_remote_job(job, now)
 
-    def _tend_far(self, job: OwnJob, now: float) -> None:
-        """Repeat the offer of a job that another group has, or give it up.
+    def _update_remote_job(self, job: OwnJob, now: float) -> None:
+        """Repeat the offer of a job that another group has, or give the job up.
 
-        The repeated offer is also what tells that group that this host lives. When it
-        is lost the job may have run there, on upstreams that this group does not hold.
+        The repeated offer also shows that group that this host is alive. If the group
+        is lost, the job may have run there, on upstreams that this group does not
+        lease.
         """
-        if self._owner.group.is_term_active(job.far, job.far_since, now):
-            if now - job.offered_at > FAR_AGAIN_S:
-                self._offer(job, job.far, now)
-        elif job.passed_on:
-            self._jobs.take(job.call)
+        if self._owner.group.is_term_active(job.remote_term, job.remote_since, now):
+            if now - job.offered_at > REMOTE_OFFER_INTERVAL_S:
+                self._offer(job, job.remote_term, now)
+        elif job.is_redirected:
+            self._jobs.pop(job.call)
             reason = "the other group that had it is lost"
             self._reply(job, JobOutcome(JobEnd.OUT_OF_TIME, False, 0.0, reason))
         else:
-            job.far = None
+            job.remote_term = None
 
     def offer_waiting(self, now: float) -> None:
-        """Hand the jobs that the leading host does not have to it."""
+        """Offer the jobs that the leader does not have to it."""
         group = self._owner.group
         term = group.term(now)
-        for job in self._jobs.left_behind(term):
+        for job in self._jobs.offered_to_other_terms(term):
             if group.leads_other_group(job.offered_to, now):
-                self._stay(job, now)
+                self._leave_with_other_group(job, now)
         if term is None:
             return
-        self._jobs.note_reach(term)
-        for job in self._jobs.to_offer(term, now):
+        self._jobs.record_zone_coverage(term)
+        for job in self._jobs.jobs_to_offer(term, now):
             if job.offered_to not in (None, term):
                 self._hand_over(job, term)
             job.offered_to = term
             job.all_zones |= not term.by_zone
-            job.highest = max(job.highest, term.fence)
+            job.highest_fence = max(job.highest_fence, term.fence)
             self._offer(job, term, now)
 
-    def _stay(self, job: OwnJob, now: float) -> None:
-        """Leave a job with the group that this host belonged to while it has it.
+    def _leave_with_other_group(self, job: OwnJob, now: float) -> None:
+        """Leave a job with the other group that this host belonged to.
 
-        Handed over, it would run twice at one time: the own leading host holds the
-        upstreams of its own group, and the other one goes on with the job on others.
+        If it were handed over it would run twice at the same time: on the upstreams of
+        this group's leader, and on those of the other leader, which goes on with it.
         """
-        job.far, job.far_since = job.offered_to, now
+        job.remote_term, job.remote_since = job.offered_to, now
         log.info(
             "job stays with another group",
             extra={
                 "job": job.request.id,
-                "leader": job.far.leader,
-                "fence": job.far.fence,
+                "leader": job.remote_term.leader,
+                "fence": job.remote_term.fence,
             },
         )
-        self._offer(job, job.far, now)
+        self._offer(job, job.remote_term, now)
 
     def _hand_over(self, job: OwnJob, term: Term) -> None:
         job.handovers += 1
         job.earlier_all_zones = job.all_zones
-        job.outranked = job.highest > term.fence
+        job.outranked = job.highest_fence > term.fence
         log.info(
             "job handed over",
             extra={
@@ -276,40 +279,42 @@
             },
         )
 
-    def _asked(self, call: Call, asked: CallerRequest, arrived: float) -> None:
-        if asked.kind is RequestKind.SUBMIT:
-            self._submit(call, asked, arrived)
-        elif asked.kind is RequestKind.COUNT:
-            waiting = self._owner.waiting_jobs(asked.route.name)
+    def _handle_request(
+        self, call: Call, request: CallerRequest, arrived: float
+    ) -> None:
+        if request.kind is RequestKind.SUBMIT:
+            self._submit(call, request, arrived)
+        elif request.kind is RequestKind.COUNT:
+            waiting = self._owner.waiting_jobs(request.route.name)
             self._owner.reply(call.call_id, self._port.encode_waiting_count(waiting))
-        elif asked.kind is RequestKind.CANCEL and self._cancel(asked.job):
+        elif request.kind is RequestKind.CANCEL and self._cancel(request.job):
             self._owner.reply(call.call_id, self._port.encode_cancelled())
         else:
             self._owner.reply(call.call_id, self._port.encode_unknown_job())
 
-    def _submit(self, call: Call, asked: CallerRequest, arrived: float) -> None:
+    def _submit(self, call: Call, request: CallerRequest, arrived: float) -> None:
         now = now_s()
-        limit = WaitLimit(asked.caller_timeout_s, asked.route.timeout_s)
-        ends = arrived + limit.wait_s
+        limit = WaitLimit(request.caller_timeout_s, request.route.timeout_s)
+        ends_at = arrived + limit.wait_s
         if self._stops_at is not None:
-            ends = min(ends, self._stops_at)
-        deadline = ends - ANSWER_S
+            ends_at = min(ends_at, self._stops_at)
+        deadline = ends_at - ANSWER_MARGIN_S
         if deadline <= now:
             reply = self._port.encode_not_ready("this host stops")
             self._owner.reply(call.call_id, reply)
             return
-        self._jobs.add(OwnJob(call.call_id, asked.request, arrived, deadline, limit))
+        self._jobs.add(OwnJob(call.call_id, request.request, arrived, deadline, limit))
         self.offer_waiting(now)
 
     def _offer(self, job: OwnJob, term: Term, now: float) -> None:
         job.offered_at = now
         job.attempt += 1
-        own = self._owner.address.name
-        if term.leader == own:
-            self._owner.lead.take(
+        local_name = self._owner.address.name
+        if term.leader == local_name:
+            self._owner.leader_driver.accept_offer(
                 Offer(
                     job.request,
-                    own,
+                    local_name,
                     job.call,
                     job.arrived,
                     job.deadline,
@@ -336,7 +341,7 @@
             left_ms=(job.deadline - now) * MS_PER_S,
             handed=job.handovers,
             progress=job.progress,
-            far=job.far is not None,
+            far=job.remote_term is not None,
             attempt=job.attempt,
             zone=self._owner.address.zone,
             all_zones=job.earlier_all_zones,
@@ -347,7 +352,7 @@
         job = self._jobs.by_job(job_id)
         if job is None:
             return False
-        self._jobs.take(job.call)
+        self._jobs.pop(job.call)
         self._drop(job)
         outcome = JobOutcome(JobEnd.FAILED, not_run=False, reason="cancelled")
         self._reply(job, outcome)
@@ -355,17 +360,23 @@
 
     def _drop(self, job: OwnJob) -> None:
         now = now_s()
-        leader = job.far.leader if job.far else self._owner.group.leader(now)
-        own = self._owner.address.name
-        if leader == own:
-            self._owner.lead.dropped(own, job.request.id, job.call, now)
+        leader = (
+            job.remote_term.leader if job.remote_term else self._owner.group.leader(now)
+        )
+        local_name = self._owner.address.name
+        if leader == local_name:
+            self._owner.leader_driver.cancel_job(
+                local_name, job.request.id, job.call, now
+            )
         elif leader is not None:
-            self._owner.send(leader, JobCancellation(own, job.request.id, job.call))
+            self._owner.send(
+                leader, JobCancellation(local_name, job.request.id, job.call)
+            )
 
     def _reply(self, job: OwnJob, outcome: JobOutcome) -> None:
         took_ms = (now_s() - job.arrived) * MS_PER_S
         route = job.request.route.name
-        self._owner.gauges.ended(route, outcome.end, took_ms)
+        self._owner.metrics.ended(route, outcome.end, took_ms)
         log.info(
             "job ended",
             extra={
--- a/jackdawspur/front/_status.py
+++ b/jackdawspur/front/_status.py
@@ -1,36 +1,39 @@
-"""What one host knows and does at this moment, for its operators."""
+"""The current status of a host, for operators."""
 
 from collections import Counter
 from dataclasses import dataclass
 from typing import Protocol
 
-from jackdawspur.front._lead import LeadDriver
+from jackdawspur.front._leader_driver import LeaderDriver
 from jackdawspur.front._routes import RouteTable
 from jackdawspur.front._service import CallerService
 from jackdawspur.front._views import StoreView
 from jackdawspur.group import Group, HostAddress
 from jackdawspur.leases import LeasedUpstream
 
-__all__ = ["FrontStatus", "StatusOwner", "status_of", "text_of"]
+__all__ = ["FrontStatus", "StatusOwner", "build_status", "format_status"]
 
 MS_PER_S = 1000.0
 
 
 class StatusOwner(Protocol):
-    """Show a host."""
+    """The host's parts that the status shows."""
 
     address: HostAddress
     group: Group
     routes: RouteTable
     views: StoreView
-    lead: LeadDriver
+    leader_driver: LeaderDriver
     callers: CallerService
     ready: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StoreStatus:
-    """Tell what the store last said, and how old what was read is; -1 for never."""
+    """Reachability of the store, its last error, and the age of what was read.
+
+    Ages are in seconds, -1 if nothing was read yet.
+    """
 
     reachable: bool
     said: str
@@ -41,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """Tell what another host last said and how long ago it was heard."""
+    """State of another host by its last heartbeat, and the time since then."""
 
     name: str
     zone: str
@@ -56,11 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """Tell how one upstream stands with the leading host.
+    """State of an upstream as seen by the leader.
 
-    `owned` tells whether it obeys this host, `answers` whether it answered the last
-    look. `allowed` is false while it is ejected. `pace` is the time that a task takes
-    there over what it takes elsewhere.
+    `owned` is true if this host holds the lease, `answers` if the upstream is
+    responsive. `allowed` is false while it is ejected. `pace` is the slowdown: the run
+    time of a task there, divided by that on other upstreams.
     """
 
     name: str
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueStatus:
-    """Count a route's open jobs on the leading host, and those not yet begun."""
+    """Number of a route's open jobs on the leader, and of those not yet started."""
 
     route: str
     open: int
@@ -86,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontStatus:
-    """Show a host; upstreams and queues only of one that leads."""
+    """Status of a host; only a leader has upstreams and queues."""
 
     host: str
     zone: str
@@ -102,7 +105,7 @@
     queues: tuple[QueueStatus, ...]
 
 
-def status_of(owner: StatusOwner, now: float) -> FrontStatus:
+def build_status(owner: StatusOwner, now: float) -> FrontStatus:
     """Return the status of a host."""
     group, term = owner.group, owner.group.term(now)
     return FrontStatus(
@@ -116,8 +119,8 @@
         callers_waiting=owner.callers.waiting,
         store=_store(owner, now),
         peers=_peers(group, now),
-        upstreams=_upstreams(owner.lead, now),
-        queues=_queues(owner.lead),
+        upstreams=_upstreams(owner.leader_driver, now),
+        queues=_queues(owner.leader_driver),
     )
 
 
@@ -125,7 +128,7 @@
     views = owner.views
     return StoreStatus(
         reachable=views.reachable,
-        said=views.store_said,
+        said=views.store_error,
         list_age_s=_age(views.list_read_at, now),
         configuration=owner.routes.version,
         configuration_age_s=_age(views.in_force_at, now),
@@ -139,27 +142,29 @@
 def _peers(group: Group, now: float) -> tuple[PeerStatus, ...]:
     return tuple(
         PeerStatus(
-            name=beat.host.name,
-            zone=beat.host.zone,
-            alive=group.is_running(beat.host.name, now),
-            silent_s=round(group.silent_s(beat.host.name, now), 3),
-            leads=beat.leads,
-            ready=beat.ready,
-            draining=beat.draining,
-            slow=beat.slow,
-            configuration=beat.configuration,
+            name=heartbeat.host.name,
+            zone=heartbeat.host.zone,
+            alive=group.is_running(heartbeat.host.name, now),
+            silent_s=round(group.silent_s(heartbeat.host.name, now), 3),
+            leads=heartbeat.leads,
+            ready=heartbeat.ready,
+            draining=heartbeat.draining,
+            slow=heartbeat.slow,
+            configuration=heartbeat.configuration,
         )
-        for beat in group.last_heartbeats
+        for heartbeat in group.last_heartbeats
     )
 
 
-def _upstreams(lead: LeadDriver, now: float) -> tuple[UpstreamStatus, ...]:
-    held = lead.dispatcher.upstream_pool.upstreams
-    return tuple(_upstream(one, lead, now) for one in held)
+def _upstreams(leader_driver: LeaderDriver, now: float) -> tuple[UpstreamStatus, ...]:
+    upstreams = leader_driver.dispatcher.upstream_pool.upstreams
+    return tuple(_upstream(leased, leader_driver, now) for leased in upstreams)
 
 
-def _upstream(held: LeasedUpstream, lead: LeadDriver, now: float) -> UpstreamStatus:
-    estimates, upstream = lead.dispatcher.estimates, held.entry.id
+def _upstream(
+    held: LeasedUpstream, leader_driver: LeaderDriver, now: float
+) -> UpstreamStatus:
+    estimates, upstream = leader_driver.dispatcher.estimates, held.entry.id
     return UpstreamStatus(
         name=upstream.name,
         zone=upstream.zone,
@@ -174,8 +179,8 @@
     )
 
 
-def _queues(lead: LeadDriver) -> tuple[QueueStatus, ...]:
-    jobs = lead.dispatcher.open_jobs.values()
+def _queues(leader_driver: LeaderDriver) -> tuple[QueueStatus, ...]:
+    jobs = leader_driver.dispatcher.open_jobs.values()
     opened = Counter(job.request.route.name for job in jobs)
     waiting = Counter(job.request.route.name for job in jobs if not job.started)
     return tuple(
@@ -184,8 +189,8 @@
     )
 
 
-def text_of(status: FrontStatus) -> str:
-    """Return the status as lines for people."""
+def format_status(status: FrontStatus) -> str:
+    """Return the status as text."""
     store = status.store
     lines = [
         f"host {status.host} in {status.zone}: ready {status.ready}, "
@@ -197,7 +202,7 @@
         f"{store.configuration_age_s} s",
     ]
     lines += [_peer_line(peer) for peer in status.peers]
-    lines += [_upstream_line(one) for one in status.upstreams]
+    lines += [_upstream_line(upstream) for upstream in status.upstreams]
     lines += [
         f"queue {queue.route}: {queue.open} jobs open, {queue.waiting} not begun"
         for queue in status.queues
@@ -208,14 +213,14 @@
 def _peer_line(peer: PeerStatus) -> str:
     words = [
         word
-        for word, said in (
+        for word, applies in (
             ("alive", peer.alive),
             ("leads", peer.leads),
             ("ready", peer.ready),
             ("draining", peer.draining),
             ("slow", peer.slow),
         )
-        if said
+        if applies
     ]
     return (
         f"host {peer.name} in {peer.zone}: {' '.join(words) or 'gone'}, "
@@ -223,13 +228,14 @@
     )
 
 
-def _upstream_line(one: UpstreamStatus) -> str:
+def _upstream_line(status: UpstreamStatus) -> str:
     words = [
-        "owned" if one.owned else "not owned",
-        "answers" if one.answers else f"silent for {one.silent_ms} ms",
+        "owned" if status.owned else "not owned",
+        "answers" if status.answers else f"silent for {status.silent_ms} ms",
     ]
-    words += ["draining"] * one.draining + ["ejected"] * (not one.allowed)
+    words += ["draining"] * status.draining + ["ejected"] * (not status.allowed)
     return (
-        f"upstream {one.name} in {one.zone}: {', '.join(words)}; {one.runs} runs, "
-        f"{one.free_cpu_millis} thousandths of a core free, pace {one.pace}"
+        f"upstream {status.name} in {status.zone}: {', '.join(words)}; "
+        f"{status.runs} runs, "
+        f"{status.free_cpu_millis} thousandths of a core free, pace {status.pace}"
     )
--- a/jackdawspur/front/_views.py
+++ b/jackdawspur/front/_views.py
@@ -1,4 +1,4 @@
-"""What this host knows of the store."""
+"""The host's view of the platform's store."""
 
 import logging
 from typing import Protocol
@@ -18,42 +18,42 @@
 __all__ = ["StoreView"]
 
 NEVER_S = 1e9
-# Upstreams report all the time, and each read costs a call that is paid for. Who leads
-# must know within 2 s of an upstream that leaves; who follows may lead at any moment,
-# and its list must still be good for that.
-LEADING_LIST_S = 0.5
-FOLLOWING_LIST_S = 1.5
+# Upstreams report continuously, and each read is a call that is paid for. A leader must
+# notice within 2 s that an upstream leaves. A follower may become the leader at any
+# moment, so its list must be recent enough for that.
+LEADER_LIST_INTERVAL_S = 0.5
+FOLLOWER_LIST_INTERVAL_S = 1.5
 
 log = logging.getLogger("jackdawspur.host")
 
 
 class ViewOwner(Protocol):
-    """Use what the store holds."""
+    """The host's parts that use the view."""
 
     group: Group
 
     def decode_configuration(self, document: bytes) -> RouteTable:
-        """Return the routes of a document."""
+        """Decode the routes of a document."""
 
     def set_routes(self, routes: RouteTable) -> None:
-        """Serve these routes."""
+        """Put routes in force."""
 
     def upstreams_changed(self) -> None:
-        """Use a new list of upstreams."""
+        """Apply the new list of upstreams."""
 
-    def hosts_learned(self) -> None:
-        """Get in touch with hosts that were not known before."""
+    def on_new_hosts(self) -> None:
+        """Connect to hosts that were not known before."""
 
 
 class StoreView(StoreListener):
-    """Keep the newest configuration and the list of upstreams, with their age."""
+    """Holds the newest configuration and list of upstreams, and their age."""
 
     def __init__(self, owner: "ViewOwner") -> None:
         self._owner = owner
         self._version = 0
         self.document = b""
         self.reachable = False
-        self.store_said = "not asked yet"
+        self.store_error = "not asked yet"
         self.list_read_at: float | None = None
         self.in_force_at: float | None = None
         self.entries: tuple[UpstreamEntry, ...] = ()
@@ -61,15 +61,19 @@
 
     @property
     def upstream_list_interval_s(self) -> float:
-        """Return how often the list of upstreams is to be read, in seconds."""
-        return LEADING_LIST_S if self._owner.group.is_leader else FOLLOWING_LIST_S
+        """Return the interval between reads of the list of upstreams, in seconds."""
+        return (
+            LEADER_LIST_INTERVAL_S
+            if self._owner.group.is_leader
+            else FOLLOWER_LIST_INTERVAL_S
+        )
 
     def age_s(self, now: float) -> float:
-        """Return how old the list of upstreams is."""
+        """Return the age of the list of upstreams in seconds."""
         return NEVER_S if self.list_read_at is None else now - self.list_read_at
 
     def on_configuration(self, version: int, document: bytes) -> None:
-        """Put a newer configuration in force; an unreadable one changes nothing."""
+        """Put a newer configuration in force; ignore and log an invalid one."""
         if version <= self._version:
             return
         try:
@@ -86,14 +90,14 @@
         self._owner.set_routes(routes)
 
     def on_upstreams(self, entries: tuple[UpstreamEntry, ...]) -> None:
-        """Take in the list as the store has it."""
+        """Record the list of upstreams read from the store."""
         self.list_read_at = now_s()
         self.reachable = True
-        self.store_said = ""
+        self.store_error = ""
         self._set_entries(entries)
 
     def on_evacuated_zones(self, zones: frozenset[str]) -> None:
-        """Start nothing more in these zones, and say so in the log."""
+        """Record and log the evacuated zones, in which no run may start."""
         if zones == self.evacuated:
             return
         log.info(
@@ -103,10 +107,11 @@
         self.evacuated = zones
         self._owner.upstreams_changed()
 
-    def upstreams_passed(self, passed: UpstreamListUpdate, now: float) -> None:
-        """Take in another host's list if it is newer.
+    def on_upstream_update(self, passed: UpstreamListUpdate, now: float) -> None:
+        """Record another host's list if it is newer.
 
-        One that was held up by a cut is older than it says.
+        A message delayed by a network partition is ignored: its list is older than the
+        stated age.
         """
         if is_stale_message(passed.receiver_at, now):
             return
@@ -117,22 +122,22 @@
             self._set_entries(passed.entries)
 
     def on_hosts(self, hosts: tuple[HostAddress, ...]) -> None:
-        """Learn where the other hosts are."""
+        """Record the addresses of the other hosts."""
         new = [host for host in hosts if self._owner.group.add_host(host)]
         if new:
-            self._owner.hosts_learned()
+            self._owner.on_new_hosts()
 
     def on_store_reachability(self, reachable: bool, reason: str) -> None:
-        """Say in the log that the store is lost or regained."""
+        """Record and log that the store is lost or regained."""
         self.reachable = reachable
-        self.store_said = "" if reachable else reason
+        self.store_error = "" if reachable else reason
         text = "store regained" if reachable else "store lost"
         log.info(
             text, extra={"reason": reason, "list_age_s": round(self.age_s(now_s()), 3)}
         )
 
-    def note_leader(self, term: Term | None, now: float) -> None:
-        """Say in the log whom this host follows, and what it knew when it chose."""
+    def log_leader(self, term: Term | None, now: float) -> None:
+        """Log which leader this host follows, and the state of its list then."""
         log.info(
             "leading host changed",
             extra={
--- a/jackdawspur/front/tests/faulty.py
+++ b/jackdawspur/front/tests/faulty.py
@@ -352,12 +352,12 @@
         away = upstream.silent or (upstream.boot_over and not upstream.gone)
         return away or life.name in self.isolated or not self.reachable(*zones)
 
-    def call(self, life: Life, order, act, done) -> None:
-        upstream = self.upstreams[order.upstream]
+    def call(self, life: Life, effect, act, done) -> None:
+        upstream = self.upstreams[effect.upstream]
         way_s = self.rng.uniform(0.0003, 0.002)
 
         def unknown() -> None:
-            self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
 
         def late() -> None:
             if not upstream.boot_over and not upstream.silent:
@@ -376,22 +376,22 @@
             else:
                 outcome = act(upstream)
                 if outcome is not None:
-                    self._return(life, upstream, order, outcome, done)
+                    self._return(life, upstream, effect, outcome, done)
 
         self.after(way_s, arrive)
 
-    def _return(self, life: Life, upstream, order, result, done) -> None:
+    def _return(self, life: Life, upstream, effect, result, done) -> None:
         lost = self._unreached(life, upstream) or self.rng.random() < self.lost_share
         if lost:
-            self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
         else:
             self.after(CALL_S, lambda: done(result), life)
 
-    def _answer_look(self, order, life: Life, done, until: float) -> None:
-        upstream = self.upstreams[order.upstream]
+    def _answer_look(self, effect, life: Life, done, until: float) -> None:
+        upstream = self.upstreams[effect.upstream]
         if upstream.boot_over:
-            self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
         elif not upstream.has_unacknowledged_ends and self.now < until:
-            self.waiting.append((order, life, done, until))
+            self.waiting.append((effect, life, done, until))
         else:
-            self._return(life, upstream, order, upstream.report(self.now), done)
+            self._return(life, upstream, effect, upstream.report(self.now), done)
--- a/jackdawspur/front/tests/test_between_groups.py
+++ b/jackdawspur/front/tests/test_between_groups.py
@@ -132,7 +132,7 @@
     assert process.group.by_zone
     world.run(2.0)
     assert not process.group.by_zone
-    held = process.lead.dispatcher.upstream_pool.upstreams
+    held = process.leader_driver.dispatcher.upstream_pool.upstreams
     assert {one.entry.id for one in held} == {world.listed[0].id}
 
 
--- a/jackdawspur/front/tests/test_callers.py
+++ b/jackdawspur/front/tests/test_callers.py
@@ -7,7 +7,7 @@
 from jackdawspur.adapters import Call
 from jackdawspur.callers import HttpResponse
 from jackdawspur.front import CallerRequest, RequestKind, RouteTable
-from jackdawspur.front._gauges import Gauges
+from jackdawspur.front._host_metrics import HostMetrics
 from jackdawspur.front._service import CallerService
 from jackdawspur.group import (
     Group,
@@ -43,7 +43,7 @@
     group: Group
     address: HostAddress = HostAddress("own", "z1", "127.0.0.1:1", 1)
     routes: RouteTable = RouteTable(1, (ROUTE,))
-    gauges: Gauges = field(default_factory=Gauges)
+    metrics: HostMetrics = field(default_factory=HostMetrics)
     replies: list[HttpResponse] = field(default_factory=list)
     sent: list[tuple[str, object]] = field(default_factory=list)
 
@@ -56,8 +56,8 @@
 
 def follow(group: Group, name: str, fence: int) -> None:
     host = HostAddress(name, "z1", "127.0.0.1:2", 1)
-    beat = HostHeartbeat(host, 0.0, True, fence, True, False, False, 1, 0.0, ())
-    group.record_heartbeat(beat, clock())
+    heartbeat = HostHeartbeat(host, 0.0, True, fence, True, False, False, 1, 0.0, ())
+    group.record_heartbeat(heartbeat, clock())
 
 
 def clock() -> float:
@@ -83,7 +83,7 @@
     ((to, offer),) = owner.sent
     assert to == "first"
     assert isinstance(offer, JobOffer)
-    service.answered(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
+    service.receive_result(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
     assert [r.status for r in owner.replies] == [200]
 
 
@@ -92,16 +92,16 @@
     # host that had just lost the lead, after the job was handed to the next.
     follow(owner.group, "second", 20)
     service.offer_waiting(clock())
-    service.answered(JobResult("aa", 1, 0, REFUSED))
+    service.receive_result(JobResult("aa", 1, 0, REFUSED))
     assert not owner.replies
-    service.answered(JobResult("aa", 1, 1, JobOutcome(JobEnd.COMPLETE, False)))
+    service.receive_result(JobResult("aa", 1, 1, JobOutcome(JobEnd.COMPLETE, False)))
     assert [r.status for r in owner.replies] == [200]
 
 
 def test_a_late_result_of_a_host_that_led_before_ends_the_job(owner, service):
     follow(owner.group, "second", 20)
     service.offer_waiting(clock())
-    service.answered(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
+    service.receive_result(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
     assert [r.status for r in owner.replies] == [200]
     assert owner.sent[-1] == ("second", JobCancellation("own", "aa", 1))
 
@@ -119,18 +119,18 @@
     ((_, first),) = owner.sent
     owner.group.record_message("first", clock() + 0.9)
     service.offer_waiting(clock() + 1.0)
-    service.passed_on(JobRedirect("aa", 1, first.attempt, "far", 30))
+    service.redirect(JobRedirect("aa", 1, first.attempt, "far", 30))
     assert [to for to, _ in owner.sent] == ["first", "first"]
-    service.passed_on(JobRedirect("aa", 1, owner.sent[-1][1].attempt, "far", 30))
+    service.redirect(JobRedirect("aa", 1, owner.sent[-1][1].attempt, "far", 30))
     assert [to for to, _ in owner.sent] == ["first", "first", "far"]
-    service.passed_on(JobRedirect("aa", 1, owner.sent[-1][1].attempt, "other", 40))
+    service.redirect(JobRedirect("aa", 1, owner.sent[-1][1].attempt, "other", 40))
     assert len(owner.sent) == 3
 
 
 def test_a_result_that_still_reaches_its_caller_in_time_is_passed_on(owner, service):
     # Guards against results thrown away that would reach their callers in time.
     service.tick(clock() + ROUTE.timeout_ms / 1000 - ANSWER_TAKES_S)
-    service.answered(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
+    service.receive_result(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
     assert [r.status for r in owner.replies] == [200]
 
 
@@ -165,7 +165,7 @@
 # Guards against ends of jobs in time-outs that the log doesn't say who stated.
 def test_the_end_of_a_job_says_who_stated_how_long_its_caller_waits(service, caplog):
     caplog.set_level("INFO", logger="jackdawspur.callers")
-    service.answered(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
+    service.receive_result(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
     line = caplog.records[-1]
     assert (line.limit, line.limit_ms) == ("route", ROUTE.timeout_ms)
     assert (line.caller_ms, line.route_ms) == (None, ROUTE.timeout_ms)
--- a/jackdawspur/front/tests/test_early_calls.py
+++ b/jackdawspur/front/tests/test_early_calls.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jackdawspur.adapters import Call
-from jackdawspur.front._early_calls import LONGEST_S, MOST_CALLS, EarlyCalls
+from jackdawspur.front._early_calls import MAX_CALLS, MAX_WAIT_S, EarlyCalls
 from jackdawspur.front.tests.virtual import World
 
 
@@ -33,10 +33,10 @@
     world.storeless |= {"h0", "h1"}
     start(world)
     asked = world.submit("h0", 0.1)
-    world.run(LONGEST_S + 0.2)
+    world.run(MAX_WAIT_S + 0.2)
     assert asked.reply.status == 503
     assert asked.reply.retry_after_s > 0
-    assert asked.answered_at - asked.sent_at < LONGEST_S + 0.1
+    assert asked.answered_at - asked.sent_at < MAX_WAIT_S + 0.1
 
 
 def test_a_caller_that_comes_early_waits_no_longer_than_it_says(world: World):
@@ -53,8 +53,8 @@
 
 def test_early_calls_are_bounded():
     early = EarlyCalls()
-    calls = [Call(n, "POST", "/q/a", "", None, b"") for n in range(MOST_CALLS + 1)]
+    calls = [Call(n, "POST", "/q/a", "", None, b"") for n in range(MAX_CALLS + 1)]
     assert [early.add(call, 0.0) for call in calls].count(False) == 1
-    early.drop(0)
-    assert len(early.take_late(LONGEST_S)) == MOST_CALLS - 1
-    assert early.take_all() == []
+    early.remove(0)
+    assert len(early.pop_overdue(MAX_WAIT_S)) == MAX_CALLS - 1
+    assert early.pop_all() == []
--- a/jackdawspur/front/tests/test_full_link.py
+++ b/jackdawspur/front/tests/test_full_link.py
@@ -42,7 +42,7 @@
         later = super().carry
         self.after(max(sent_s, taken_s), lambda: later(sender, name, data))
 
-    def call(self, life: Life, order, act, done) -> None:
+    def call(self, life: Life, effect, act, done) -> None:
         """Carry a call and its reply over the host's link, within the call's limit."""
         end_once = _once(done)
         forward = super().call
@@ -51,10 +51,10 @@
             back_s = self.wait_s(life.name, "in", REPLY_BYTES)
             self.after(back_s, lambda: end_once(result), life)
 
-        sent_s = self.wait_s(life.name, "out", ORDER_BYTES[type(order)])
-        self.after(sent_s, lambda: forward(life, order, act, replied), life)
+        sent_s = self.wait_s(life.name, "out", ORDER_BYTES[type(effect)])
+        self.after(sent_s, lambda: forward(life, effect, act, replied), life)
         late = CallOutcome.UNKNOWN
-        self.after(order.timeout_s, lambda: end_once(late), life)
+        self.after(effect.timeout_s, lambda: end_once(late), life)
 
 
 def _once(done: Callable) -> Callable:
--- a/jackdawspur/front/tests/test_heartbeats.py
+++ b/jackdawspur/front/tests/test_heartbeats.py
@@ -42,22 +42,22 @@
 
 
 @dataclass
-class Lead:
+class IdleLeader:
     """Lead nobody's jobs."""
 
     def progress_by_host(self) -> dict:
         return {}
 
-    def hosts(self) -> set[str]:
+    def hosts_with_jobs(self) -> set[str]:
         return set()
 
-    def room_for(self, leads: list[str], now: float) -> dict:
+    def capacity_for(self, leads: list[str], now: float) -> dict:
         return {}
 
-    def wants_room(self, now: float) -> bool:
+    def needs_capacity(self, now: float) -> bool:
         return False
 
-    def learned(self, now: float) -> None:
+    def next_learned(self, now: float) -> None:
         return None
 
 
@@ -65,7 +65,7 @@
 class Callers:
     """Have no callers."""
 
-    def far_leaders(self) -> set[str]:
+    def remote_leaders(self) -> set[str]:
         return set()
 
 
@@ -76,8 +76,8 @@
         self.sent: list[tuple[str, HostHeartbeat]] = []
         self.redialled: list[str] = []
 
-    def send(self, name: str, beat: HostHeartbeat) -> None:
-        self.sent.append((name, beat))
+    def send(self, name: str, heartbeat: HostHeartbeat) -> None:
+        self.sent.append((name, heartbeat))
 
     def redial(self, name: str) -> None:
         self.redialled.append(name)
@@ -90,10 +90,10 @@
     name: str = "b"
     knows: str = ""
     now: float = 50.0
-    able: bool = True
+    can_lead: bool = True
     routes: Routes = field(default_factory=Routes)
     views: Views = field(default_factory=Views)
-    lead: Lead = field(default_factory=Lead)
+    leader_driver: IdleLeader = field(default_factory=IdleLeader)
     callers: Callers = field(default_factory=Callers)
 
     def __post_init__(self) -> None:
@@ -109,7 +109,7 @@
 
     def hear(self, name: str, follows: int = 7) -> HostHeartbeat:
         leads = name == LEADER
-        beat = HostHeartbeat(
+        heartbeat = HostHeartbeat(
             host=address(name),
             sent_at=self.now,
             leads=leads,
@@ -122,11 +122,11 @@
             knows=(),
             follows=follows,
         )
-        self.group.record_heartbeat(beat, self.now)
-        return beat
+        self.group.record_heartbeat(heartbeat, self.now)
+        return heartbeat
 
-    def send(self, beats: int) -> None:
-        for _ in range(beats):
+    def send(self, heartbeats: int) -> None:
+        for _ in range(heartbeats):
             self.now += HEARTBEAT_INTERVAL_S
             self.hear(LEADER)
             self.heartbeats.send(self.now)
@@ -141,7 +141,7 @@
     # Hosts without callers cost most of what a large deployment's processors do: each
     # of 13 in a zone told all others ten times a second that it was there.
     host.send(10)
-    counts = Counter(name for name, _beat in host.mesh.sent)
+    counts = Counter(name for name, _send_heartbeats in host.mesh.sent)
     assert counts.pop(LEADER) == 10
     assert set(counts.values()) == {1} and len(counts) == len(HOSTS) - 2
 
@@ -167,7 +167,7 @@
     host.mesh.sent.clear()
     host.hear("c", follows=0)
     host.send(2)
-    assert sum(name == "c" for name, _beat in host.mesh.sent) == 2
+    assert sum(name == "c" for name, _send_heartbeats in host.mesh.sent) == 2
 
 
 class Zone:
@@ -179,7 +179,7 @@
         self.away: set[str] = set()
         self.cut: set[frozenset[str]] = set()
         self.led: set[str] = set()
-        self._beat_due = dict.fromkeys(names, self.now)
+        self._heartbeat_due = dict.fromkeys(names, self.now)
         self._followed: dict[str, str | None] = dict.fromkeys(names)
 
     def advance(self, seconds: float) -> None:
@@ -198,18 +198,18 @@
         leader = host.group.leader(self.now)
         lost = leader is None and self._followed[name] is not None
         self._followed[name] = leader
-        if changed or lost or self.now >= self._beat_due[name]:
-            self._beat_due[name] = self.now + HEARTBEAT_INTERVAL_S - TICK_S / 2
+        if changed or lost or self.now >= self._heartbeat_due[name]:
+            self._heartbeat_due[name] = self.now + HEARTBEAT_INTERVAL_S - TICK_S / 2
             host.heartbeats.send(self.now, to_all=changed or lost)
         self._deliver(name)
 
     def _deliver(self, sender: str) -> None:
         sent, self.hosts[sender].mesh.sent = self.hosts[sender].mesh.sent, []
-        for name, beat in sent:
+        for name, heartbeat in sent:
             if name in self.away or frozenset((sender, name)) in self.cut:
                 continue
             receiver = self.hosts[name]
-            receiver.group.record_heartbeat(beat, self.now)
+            receiver.group.record_heartbeat(heartbeat, self.now)
             self._deliver(name)
 
     def leaders(self) -> list[str]:
@@ -270,4 +270,4 @@
     # Guards against a host that starts beside a hundred others telling all of them of
     # itself with each one that it finds, which stops its loop for seconds.
     host.heartbeats.greet(["c", "d"], host.now)
-    assert [name for name, _beat in host.mesh.sent] == ["c", "d"]
+    assert [name for name, _send_heartbeats in host.mesh.sent] == ["c", "d"]
--- a/jackdawspur/front/tests/test_late_messages.py
+++ b/jackdawspur/front/tests/test_late_messages.py
@@ -63,5 +63,5 @@
 ):
     # Guards against a host that leads by a list which is older than it says.
     passed = UpstreamListUpdate(SENT_AT, 0.1, (ENTRY,))
-    view.upstreams_passed(passed, SENT_AT + way_s)
+    view.on_upstream_update(passed, SENT_AT + way_s)
     assert bool(view.entries) is taken
--- a/jackdawspur/front/tests/test_learned.py
+++ b/jackdawspur/front/tests/test_learned.py
@@ -19,7 +19,7 @@
 ROUNDED = 0.08
 
 
-class Beats:
+class HeartbeatSizes:
     """Keep how many bytes each heartbeat has, and how many for what was learned."""
 
     def __init__(self, world: World) -> None:
@@ -36,8 +36,8 @@
         self._carry(sender, name, data)
 
 
-def _without(beat: HostHeartbeat) -> HostHeartbeat:
-    values = {name: getattr(beat, name) for name in beat.__struct_fields__}
+def _without(heartbeat: HostHeartbeat) -> HostHeartbeat:
+    values = {name: getattr(heartbeat, name) for name in heartbeat.__struct_fields__}
     return HostHeartbeat(**values | {"learned": None})
 
 
@@ -54,7 +54,7 @@
 
 
 def dispatcher_of(world: World, name: str) -> Dispatcher:
-    return world.lives[name].process.lead.dispatcher
+    return world.lives[name].process.leader_driver.dispatcher
 
 
 def pace(world: World, name: str) -> float:
@@ -129,11 +129,11 @@
     for name, zone in (("a1", "z1"), ("b1", "z2"), ("a2", "z1"), ("b2", "z2")):
         world.start(name, zone)
     world.run(3.0)
-    beats = Beats(world)
+    heartbeats = HeartbeatSizes(world)
     for _ in range(10):
         world.submit("a1", RUN_S, 4)
         world.run(0.5)
-    told = {(sender, name) for sender, name, _, extra in beats.sizes if extra}
+    told = {(sender, name) for sender, name, _, extra in heartbeats.sizes if extra}
     assert told
     assert {(world.zones[one], world.zones[other]) for one, other in told} == {
         ("z1", "z1")
@@ -145,24 +145,28 @@
     work(world, 8.0)
     leader = leader_of(world, "z1")
     follower, other = sorted(set(alive(world)) - {leader})
-    lead = world.lives[follower].process.lead
+    leader_driver = world.lives[follower].process.leader_driver
     heard = []
-    lead.dispatcher.estimates.merge_update = lambda learned, _now: heard.append(learned)
-    beat = world.lives[leader].process._heartbeats._common(world.now)
+    leader_driver.dispatcher.estimates.merge_update = lambda learned, _now: (
+        heard.append(learned)
+    )
+    heartbeat = world.lives[leader].process._heartbeats._common(world.now)
     told = dispatcher_of(world, leader).estimates.next_update(world.now + 20.0)
-    values = {name: getattr(beat, name) for name in beat.__struct_fields__}
+    values = {name: getattr(heartbeat, name) for name in heartbeat.__struct_fields__}
     strange = {"host": world.announced[other], "learned": told}
-    lead.learned_heard(HostHeartbeat(**values | strange), world.now)
+    leader_driver.record_learned(HostHeartbeat(**values | strange), world.now)
     assert heard == []
-    lead.learned_heard(HostHeartbeat(**values | {"learned": told}), world.now)
+    leader_driver.record_learned(HostHeartbeat(**values | {"learned": told}), world.now)
     assert heard == [told]
 
 
 def test_heartbeats_take_few_bytes_for_what_was_learned(world):
     # Guards against a host's control that spends its bytes on what it learned.
-    beats = Beats(world)
+    heartbeats = HeartbeatSizes(world)
     began = world.now
     work(world, 20.0)
-    to_one = [extra for _, name, _, extra in beats.sizes if name == alive(world)[-1]]
+    to_one = [
+        extra for _, name, _, extra in heartbeats.sizes if name == alive(world)[-1]
+    ]
     assert sum(to_one) / (world.now - began) < 320
     assert max(to_one) <= 174
--- a/jackdawspur/front/tests/test_mesh.py
+++ b/jackdawspur/front/tests/test_mesh.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jackdawspur.front import _mesh
-from jackdawspur.front._mesh import DIALS_A_PASS, Mesh
+from jackdawspur.front._mesh import DIALS_PER_PASS, Mesh
 from jackdawspur.group import HostAddress
 
 
@@ -44,10 +44,10 @@
 def test_many_hosts_are_dialled_a_few_a_pass(mesh: Mesh):
     # Guards against a host that takes the lead, dials all others at once, stands still
     # meanwhile and loses the lead again.
-    peers = hosts(3 * DIALS_A_PASS)
+    peers = hosts(3 * DIALS_PER_PASS)
     passes = [mesh.set_peers(peers) for _ in range(4)]
-    assert [len(names) for names in passes] == [DIALS_A_PASS] * 3 + [0]
-    assert passes[0] == [host.name for host in peers[:DIALS_A_PASS]]
+    assert [len(names) for names in passes] == [DIALS_PER_PASS] * 3 + [0]
+    assert passes[0] == [host.name for host in peers[:DIALS_PER_PASS]]
 
 
 def test_a_host_that_started_again_is_dialled_anew(mesh: Mesh):
--- a/jackdawspur/front/tests/test_two_groups.py
+++ b/jackdawspur/front/tests/test_two_groups.py
@@ -22,7 +22,7 @@
     assert report.two_at_once == report.over_capacity == 0
 
 
-def passed_on(deployment: Deployment) -> int:
+def redirected_jobs(deployment: Deployment) -> int:
     lines = [line for host in deployment.hosts for line in host.log_lines()]
     return sum(line["message"] == "job passed on to another group" for line in lines)
 
@@ -36,7 +36,7 @@
     assert [a.status for a in got] == [200] * 2
     assert {a.body["state"] for a in got} == {"completed"}
     assert time.monotonic() - began < 2.8
-    assert passed_on(deployment) == 1
+    assert redirected_jobs(deployment) == 1
     assert deployment.report().starts == 2 * ROOM
 
 
@@ -48,7 +48,7 @@
     first = deployment.submit(host, run_ms=2500.0, tasks=ROOM)
     time.sleep(0.1)
     second = deployment.submit(host, run_ms=2500.0, tasks=ROOM)
-    wait_until(lambda: passed_on(deployment) == 1, "job passed on", 3.0)
+    wait_until(lambda: redirected_jobs(deployment) == 1, "job passed on", 3.0)
     time.sleep(0.3)
     other.process.kill()
     assert sorted(a.status for a in wait_for_answers([first, second])) == [200, 504]
@@ -60,7 +60,7 @@
     time.sleep(0.1)
     job = "00000000000000aa"
     second = deployment.submit(host, run_ms=4000.0, tasks=ROOM, job=job)
-    wait_until(lambda: passed_on(deployment) == 1, "job passed on", 3.0)
+    wait_until(lambda: redirected_jobs(deployment) == 1, "job passed on", 3.0)
     time.sleep(0.3)
     assert host.call("DELETE", f"/q/{job}").status == 200
     assert second.result(5).body["state"] == "failed"
--- a/jackdawspur/front/tests/test_zones_that_differ.py
+++ b/jackdawspur/front/tests/test_zones_that_differ.py
@@ -56,7 +56,7 @@
 
 def in_use(world: World, name: str) -> set[str]:
     """Return the zones whose upstreams a leading host has."""
-    held = world.lives[name].process.lead.dispatcher.upstream_pool.upstreams
+    held = world.lives[name].process.leader_driver.dispatcher.upstream_pool.upstreams
     return {one.entry.id.zone for one in held}
 
 
--- a/jackdawspur/front/tests/virtual.py
+++ b/jackdawspur/front/tests/virtual.py
@@ -239,14 +239,14 @@
         delay_s = LINK_S[zones[0] == zones[1]]
         self.after(delay_s, lambda: life.process.mesh.deliver(message), life)
 
-    def call(self, life: Life, order, act, done) -> None:
+    def call(self, life: Life, effect, act, done) -> None:
         """Carry a call to an upstream, and its reply back."""
-        upstream = self.upstreams[order.upstream]
-        zone = order.upstream.zone
+        upstream = self.upstreams[effect.upstream]
+        zone = effect.upstream.zone
 
         def arrive() -> None:
             if upstream.silent or not self.reachable(self.zones[life.name], zone):
-                self.after(order.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+                self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
                 return
             outcome = act(upstream)
             if outcome is not None:
@@ -262,10 +262,10 @@
             self._answer_look(*look)
         self.after(STEP_S, self._advance)
 
-    def _answer_look(self, order, life: Life, done, until: float) -> None:
-        upstream = self.upstreams[order.upstream]
+    def _answer_look(self, effect, life: Life, done, until: float) -> None:
+        upstream = self.upstreams[effect.upstream]
         if not upstream.has_unacknowledged_ends and self.now < until:
-            self.waiting.append((order, life, done, until))
+            self.waiting.append((effect, life, done, until))
             return
         report = upstream.report(self.now)
         self.after(CALL_S, lambda: done(report), life)
--- a/jackdawspur/front/tests/virtual_parts.py
+++ b/jackdawspur/front/tests/virtual_parts.py
@@ -14,7 +14,7 @@
     StorePort,
     UpstreamPort,
 )
-from jackdawspur.front._mesh import DIALS_A_PASS
+from jackdawspur.front._mesh import DIALS_PER_PASS
 from jackdawspur.front._process import FrontProcess
 from jackdawspur.group import GroupMessage, HostAddress, encode_message
 from jackdawspur.leases import CallOutcome
@@ -82,7 +82,7 @@
     def set_peers(self, hosts: tuple[HostAddress, ...]) -> list[str]:
         wanted = {host.name: host for host in hosts}
         kept = {n: h for n, h in self._peers.items() if wanted.get(n) == h}
-        dialled = [name for name in wanted if name not in kept][:DIALS_A_PASS]
+        dialled = [name for name in wanted if name not in kept][:DIALS_PER_PASS]
         self._peers = kept | {name: wanted[name] for name in dialled}
         return dialled
 
@@ -178,37 +178,37 @@
         self._world = world
         self._life = life
 
-    def start(self, order: StartRun, done: Callable[[CallOutcome], None]) -> None:
+    def start(self, effect: StartRun, done: Callable[[CallOutcome], None]) -> None:
         world = self._world
-        work = world.demand_of(order.run.task)
+        work = world.demand_of(effect.run.task)
 
         def act(upstream: SimulatedUpstream) -> CallOutcome:
             return upstream.start(
-                order.run, order.lease_until_ms, order.fence, work, world.now
+                effect.run, effect.lease_until_ms, effect.fence, work, world.now
             )
 
-        world.call(self._life, order, act, done)
+        world.call(self._life, effect, act, done)
 
-    def stop(self, order: StopRun, done: Callable[[CallOutcome], None]) -> None:
+    def stop(self, effect: StopRun, done: Callable[[CallOutcome], None]) -> None:
         def act(upstream: SimulatedUpstream) -> CallOutcome:
-            return upstream.stop(order.run, order.fence, self._world.now)
+            return upstream.stop(effect.run, effect.fence, self._world.now)
 
-        self._world.call(self._life, order, act, done)
+        self._world.call(self._life, effect, act, done)
 
-    def poll_runs(self, order: PollUpstream, done: Callable) -> None:
+    def poll_runs(self, effect: PollUpstream, done: Callable) -> None:
         world = self._world
 
         def act(upstream: SimulatedUpstream) -> CallOutcome | None:
             outcome = upstream.hold(
-                order.fence, order.last_seen, order.lease_until_ms, world.now
+                effect.fence, effect.last_seen, effect.lease_until_ms, world.now
             )
             if outcome is not CallOutcome.OK:
                 return outcome
-            until = world.now + order.wait_ms / MS_PER_S
-            world.waiting.append((order, self._life, done, until))
+            until = world.now + effect.wait_ms / MS_PER_S
+            world.waiting.append((effect, self._life, done, until))
             return None
 
-        world.call(self._life, order, act, done)
+        world.call(self._life, effect, act, done)
 
     def close_connections_except(self, addresses: set[str]) -> None:
         pass
