--- a/jackdawspur/front/tests/faulty.py
+++ b/jackdawspur/front/tests/faulty.py
@@ -1,4 +1,4 @@
-"""Virtual hosts whose links, upstreams and callers break as the platform's do."""
+"""A simulation of hosts with faults of links, upstreams and callers."""
 
 import logging
 import random
@@ -8,9 +8,9 @@
 
 from jackdawspur.adapters import Call
 from jackdawspur.front import _process
-from jackdawspur.front.tests.faulty_parts import Caller, FaultyUpstream, Starts
-from jackdawspur.front.tests.virtual import CALL_S, LINK_S, MS_PER_S, ROOM, TASK, World
-from jackdawspur.front.tests.virtual_parts import ROUTE, Life, VirtualDeadlines
+from jackdawspur.front.tests.faulty_parts import Caller, FaultyUpstream, TaskCounters
+from jackdawspur.front.tests.virtual import CALL_S, LINK_S, MS_PER_S, SIZE, TASK, World
+from jackdawspur.front.tests.virtual_parts import ROUTE, Node, VirtualTimerQueue
 from jackdawspur.group import decode_message
 from jackdawspur.leases import CallOutcome, UpstreamEntry
 from jackdawspur.model import UpstreamId
@@ -18,72 +18,72 @@
 
 __all__ = ["FaultyWorld"]
 
-ASKS_AGAIN_S = 1.3
-# For the ways of a request and its answer, and a host's ticks.
-WAYS_S = 0.1
-ASKS_AGAIN_AFTER = (502, 504)
-MOST_ATTEMPTS = 3
-# The balancer sends nobody to a host that missed two looks at readiness.
+RETRY_DELAY_S = 1.3
+# For the latency of a request and its answer, and the ticks of a host.
+MARGIN_S = 0.1
+RETRYABLE_STATUSES = (502, 504)
+MAX_ATTEMPTS = 3
+# The balancer sends no requests to a host that failed two readiness probes.
 UNREADY_S = 2.0
-LEAST_LATE_S, MOST_LATE_S = 2.0, 12.0
-# An entry of an upstream that crashed lapses in the store after the former; hosts keep
-# each that vanished for the latter.
-ENTRY_LAPSES_S = 1.5
-KEPT_S = 2.5
-# What was sent at first on a link that was cut is sent again for a while, as TCP does,
-# until the host connects anew.
-SENT_AGAIN_FOR_S = 0.4
-SENT_AGAIN_EVERY_S = 0.25
-SENDS_AGAIN = 12
+MIN_DELAY_S, MAX_DELAY_S = 2.0, 12.0
+# Time until the store's entry of a crashed upstream expires.
+ENTRY_EXPIRY_S = 1.5
+# Time for which hosts retain an entry that vanished from the list.
+VANISHED_RETENTION_S = 2.5
+# What is sent on a link just after it was cut is retransmitted for a while, as TCP does
+# until the host reconnects.
+RETRANSMIT_WINDOW_S = 0.4
+RETRANSMIT_INTERVAL_S = 0.25
+MAX_RETRANSMITS = 12
 
 
-class Timers(VirtualDeadlines):
-    """Call back at virtual times, after what was read or before."""
+class Timers(VirtualTimerQueue):
+    """Calls back at virtual times; after a pause, before or after received messages."""
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
-        life = self._life
-        frozen = None if self._world.timers_first else life
+        node = self._node
+        paused_node = None if self._world.timers_first else node
 
         def act() -> None:
-            if life.dead:
+            if node.dead:
                 return
-            if life.thaws_at > self._world.now:
-                self._world.after(life.thaws_at - self._world.now, act, frozen)
+            if node.resumes_at > self._world.now:
+                self._world.after(node.resumes_at - self._world.now, act, paused_node)
             else:
                 callback()
 
-        self._world.after(seconds, act, frozen)
+        self._world.after(seconds, act, paused_node)
 
 
-class FaultyLife(Life):
-    """Be one process of a host; `thaws_at` is when its timers go on."""
+class FaultyNode(Node):
+    """One process of a host; its timers resume at `resumes_at` after a pause."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name)
-        self.thaws_at = 0.0
-        self.stood_still: list[tuple[float, float]] = []
+        self.resumes_at = 0.0
+        self.pauses: list[tuple[float, float]] = []
         self.stopping = False
 
 
 class FaultyWorld(World):
-    """Run hosts under faults that a test draws."""
+    """Runs hosts under faults that a test injects."""
 
-    life_type = FaultyLife
+    node_type = FaultyNode
 
     def __init__(self, monkeypatch, most_upstreams: int, seed: int) -> None:
         super().__init__(monkeypatch, most_upstreams)
         self.rng = random.Random(seed)
-        self.counters = Starts()
+        self.counters = TaskCounters()
         self.callers: list[Caller] = []
         self.isolated: set[str] = set()
         self.one_way: set[tuple[str, str]] = set()
-        self.late_share = 0.0
-        self.lost_share = 0.0
+        self.delay_rate = 0.0
+        self.loss_rate = 0.0
         self.late_messages = False
         self.timers_first = False
-        # The share of callers that ask again in any zone.
-        self.roams = 0.0
-        self._cut_since: dict[tuple[Life, Life], float] = {}
+        # The fraction of callers that retry in any zone.
+        self.roaming_fraction = 0.0
+        self._partitioned_since: dict[tuple[Node, Node], float] = {}
         self.unready_since: dict[str, float] = {}
         self._watch()
 
@@ -96,39 +96,39 @@
     # Hosts.
 
     def start(self, name: str, zone: str) -> None:
-        """Start a host, or start it again."""
+        """Start or restart a host."""
         super().start(name, zone)
-        life = self.lives[name]
-        life.process.stop = lambda *_: self.kill(name)
+        node = self.nodes[name]
+        node.process.stop = lambda *_: self.kill(name)
         self.unready_since[name] = self.now
 
     def kill(self, name: str) -> None:
-        """Let a host die; the connections of its callers break."""
-        life = self.lives[name]
-        life.dead = True
-        for number in [n for one, n in self._calls if one is life]:
-            self._broken(life, number)
+        """Kill a host; the connections of its callers break."""
+        node = self.nodes[name]
+        node.dead = True
+        for number in [n for one, n in self._calls if one is node]:
+            self._break_call(node, number)
 
     def stop_gracefully(self, name: str) -> None:
-        """Tell a host to stop, and kill it when its time is over."""
-        life = self.lives[name]
-        life.stopping = True
+        """Send a host the stop signal, and kill it when its grace period is over."""
+        node = self.nodes[name]
+        node.stopping = True
         event = SimpleNamespace(stop=lambda: None)
-        self.after(0.0, lambda: life.process._on_signal(event, 15, None), life)
-        self.after(6.0, lambda: life.dead or self.kill(name))
+        self.after(0.0, lambda: node.process._on_signal(event, 15, None), node)
+        self.after(6.0, lambda: node.dead or self.kill(name))
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Let a host stand still; what arrived comes before its timers, or after."""
-        life = self.lives[name]
+        """Pause a host; received messages are handled before its timers, or after."""
+        node = self.nodes[name]
         super().freeze(name, seconds)
-        life.thaws_at = life.frozen_until + (-0.001 if self.timers_first else 0.001)
-        life.stood_still.append((self.now, life.frozen_until))
+        node.resumes_at = node.frozen_until + (-0.001 if self.timers_first else 0.001)
+        node.pauses.append((self.now, node.frozen_until))
 
     def _watch(self) -> None:
-        """Look at readiness as the balancer does."""
-        for name, life in self.lives.items():
-            ready = not life.dead and life.frozen_until <= self.now
-            if ready and life.process.ready:
+        """Probe readiness as the balancer does."""
+        for name, node in self.nodes.items():
+            ready = not node.dead and node.frozen_until <= self.now
+            if ready and node.process.ready:
                 self.unready_since.pop(name, None)
             else:
                 self.unready_since.setdefault(name, self.now)
@@ -138,53 +138,53 @@
 
     def add_upstreams(self, zone: str, count: int) -> None:
         for _ in range(count):
-            one = UpstreamId(zone, f"u{len(self.upstreams)}")
-            entry = UpstreamEntry(one, "s", f"{zone}:{one.name}", ROOM, (), False)
+            name = UpstreamId(zone, f"u{len(self.upstreams)}")
+            entry = UpstreamEntry(name, "s", f"{zone}:{name.name}", SIZE, (), False)
             self._add(entry)
 
     def _add(self, entry: UpstreamEntry) -> None:
         self.upstreams[entry.id] = FaultyUpstream(entry, 1.0, self.counters, self.rng)
         self.listed += (entry,)
 
-    def unlist(self, one: UpstreamId) -> None:
-        """Take an upstream off the list."""
-        self.listed = tuple(entry for entry in self.listed if entry.id != one)
+    def unlist(self, name: UpstreamId) -> None:
+        """Remove an upstream from the list."""
+        self.listed = tuple(entry for entry in self.listed if entry.id != name)
 
-    def crash(self, one: UpstreamId, down_s: float) -> None:
-        """Let an upstream crash, and come back as another boot if `down_s` ends."""
-        upstream = self.upstreams[one]
+    def crash(self, name: UpstreamId, down_s: float) -> None:
+        """Crash an upstream; after `down_s` a new one replaces it at its address."""
+        upstream = self.upstreams[name]
         upstream.crash()
-        self.after(ENTRY_LAPSES_S + KEPT_S, lambda: self.unlist(one))
+        self.after(ENTRY_EXPIRY_S + VANISHED_RETENTION_S, lambda: self.unlist(name))
 
-        def boot() -> None:
-            upstream.gone = True
-            name = UpstreamId(one.zone, f"u{len(self.upstreams)}")
-            self._add(UpstreamEntry(name, "s", upstream.entry.address, ROOM, (), False))
+        def replace_upstream() -> None:
+            upstream.is_replaced = True
+            new = UpstreamId(name.zone, f"u{len(self.upstreams)}")
+            self._add(UpstreamEntry(new, "s", upstream.entry.address, SIZE, (), False))
 
-        self.after(down_s, boot)
+        self.after(down_s, replace_upstream)
 
-    def restart(self, one: UpstreamId, down_s: float) -> None:
-        """Let an upstream crash, and come back under the same name."""
-        upstream = self.upstreams[one]
+    def restart(self, name: UpstreamId, down_s: float) -> None:
+        """Crash an upstream; after `down_s` it restarts under the same name."""
+        upstream = self.upstreams[name]
         upstream.crash()
         crashes = upstream.crashes
 
-        def boot() -> None:
+        def restart_upstream() -> None:
             if upstream.crashes == crashes:
-                upstream.start_again(self.now)
+                upstream.restart(self.now)
 
-        self.after(down_s, boot)
+        self.after(down_s, restart_upstream)
 
-    def drain(self, one: UpstreamId, drain_s: float) -> None:
-        """Empty an upstream and take it away."""
+    def drain(self, name: UpstreamId, drain_s: float) -> None:
+        """Drain an upstream and remove it."""
         self.listed = tuple(
-            replace(entry, draining=True) if entry.id == one else entry
+            replace(entry, draining=True) if entry.id == name else entry
             for entry in self.listed
         )
 
         def leave() -> None:
-            self.upstreams[one].crash()
-            self.after(KEPT_S, lambda: self.unlist(one))
+            self.upstreams[name].crash()
+            self.after(VANISHED_RETENTION_S, lambda: self.unlist(name))
 
         self.after(drain_s, leave)
 
@@ -195,121 +195,121 @@
         zone: str,
         seconds: float,
         tasks: int,
-        life: Life | None = None,
-        states_s: float | None = None,
+        node: Node | None = None,
+        caller_timeout_s: float | None = None,
     ) -> Caller:
-        """Let a caller of a zone send a job, to a host if one is named."""
+        """Send a job of a caller in a zone, to the given host if any."""
         job = f"{next(self._order):016x}"
         step = JobStep(tasks, TASK, seconds * MS_PER_S)
         request = JobRequest(job, "", (step,), ROUTE)
-        caller = Caller(zone, request, states_s)
+        caller = Caller(zone, request, caller_timeout_s)
         self.callers.append(caller)
-        self._send(caller, life)
+        self._send(caller, node)
         return caller
 
-    def _host_for(self, zone: str) -> Life | None:
-        """Return a host as the balancer chooses it."""
+    def _host_for(self, zone: str) -> Node | None:
+        """Choose a host as the balancer does."""
 
-        def unready(life: Life) -> bool:
-            since = self.unready_since.get(life.name, self.now)
+        def unready(node: Node) -> bool:
+            since = self.unready_since.get(node.name, self.now)
             return self.now - since > UNREADY_S
 
-        alive = [life for life in self.lives.values() if not life.dead]
-        own = [life for life in alive if self.zones[life.name] == zone]
-        for some in (own, alive):
-            chosen = [one for one in some if not unready(one)]
-            if chosen or some:
-                return self.rng.choice(chosen or some)
+        alive = [node for node in self.nodes.values() if not node.dead]
+        in_zone = [node for node in alive if self.zones[node.name] == zone]
+        for candidates in (in_zone, alive):
+            chosen = [node for node in candidates if not unready(node)]
+            if chosen or candidates:
+                return self.rng.choice(chosen or candidates)
         return None
 
-    def _send(self, caller: Caller, life: Life | None = None) -> None:
-        life = life or self._host_for(caller.zone)
-        if life is None:
+    def _send(self, caller: Caller, node: Node | None = None) -> None:
+        node = node or self._host_for(caller.zone)
+        if node is None:
             self.after(0.2, lambda: self._send(caller))
             return
-        asked = caller.ask(life, self.now)
+        attempt = caller.ask(node, self.now)
         path = f"/q/{caller.request.id}"
-        self.asked[path] = asked
+        self.sent[path] = attempt
         number = next(self._order)
-        self._calls[life, number] = asked
-        life.process._web.open_calls += 1
+        self._calls[node, number] = attempt
+        node.process._web.open_calls += 1
         call = Call(number, "POST", path, "", None, b"")
-        self.after(CALL_S, lambda: life.process.callers.handle_call(call), life)
-        self.after(asked.waits_s + WAYS_S, lambda: self._give_up(life, number))
-        logging.getLogger("caller").info("%s asks %s", caller.request.id, life.name)
-
-    def _give_up(self, life: Life, number: int) -> None:
-        """Let a caller leave whose time is over."""
-        asked = self._calls.pop((life, number), None)
-        if asked is not None:
-            asked.in_vain = True
-            self._tell_closed(life, number)
-
-    def replied(self, life: Life, number: int, reply) -> None:
-        asked = self._calls.pop((life, number), None)
-        if asked is None:
+        self.after(CALL_S, lambda: node.process.callers.handle_call(call), node)
+        self.after(attempt.timeout_s + MARGIN_S, lambda: self._give_up(node, number))
+        logging.getLogger("caller").info("%s asks %s", caller.request.id, node.name)
+
+    def _give_up(self, node: Node, number: int) -> None:
+        """Disconnect a caller whose timeout has passed."""
+        attempt = self._calls.pop((node, number), None)
+        if attempt is not None:
+            attempt.unanswered = True
+            self._notify_disconnect(node, number)
+
+    def replied(self, node: Node, number: int, reply) -> None:
+        attempt = self._calls.pop((node, number), None)
+        if attempt is None:
             return
-        asked.reply, asked.answered_at = reply, self.now
-        asked.whole = asked.caller.tasks <= self.counters.done
+        attempt.reply, attempt.answered_at = reply, self.now
+        attempt.all_done = attempt.caller.tasks <= self.counters.done
         logging.getLogger("caller").info(
-            "%s gets %s from %s", asked.request.id, reply.status, life.name
+            "%s gets %s from %s", attempt.request.id, reply.status, node.name
         )
-        if reply.status in ASKS_AGAIN_AFTER:
-            self._ask_again(asked.caller)
+        if reply.status in RETRYABLE_STATUSES:
+            self._retry(attempt.caller)
 
-    def _broken(self, life: Life, number: int) -> None:
-        asked = self._calls.pop((life, number))
-        asked.broken = True
-        self._ask_again(asked.caller)
+    def _break_call(self, node: Node, number: int) -> None:
+        attempt = self._calls.pop((node, number))
+        attempt.broken = True
+        self._retry(attempt.caller)
 
-    def _ask_again(self, caller: Caller) -> None:
-        if not caller.left and len(caller.attempts) < MOST_ATTEMPTS:
-            caller.again += 1
+    def _retry(self, caller: Caller) -> None:
+        if not caller.left and len(caller.attempts) < MAX_ATTEMPTS:
+            caller.pending_retries += 1
 
-            def again() -> None:
-                caller.again -= 1
+            def retry() -> None:
+                caller.pending_retries -= 1
                 if not caller.left:
                     self._roam(caller)
                     self._send(caller)
 
-            self.after(ASKS_AGAIN_S, again)
+            self.after(RETRY_DELAY_S, retry)
 
     def _roam(self, caller: Caller) -> None:
-        """Let a caller ask in another zone, as the platform may have it do."""
-        if self.roams and self.rng.random() < self.roams:
+        """Move a caller to a random zone, as the platform may do."""
+        if self.roaming_fraction and self.rng.random() < self.roaming_fraction:
             caller.zone = self.rng.choice(sorted(set(self.zones.values())))
 
-    def reset(self, life: Life, number: int) -> None:
+    def reset(self, node: Node, number: int) -> None:
         """Break the connection of a caller."""
-        if (life, number) in self._calls:
-            self._broken(life, number)
-            self._tell_closed(life, number)
+        if (node, number) in self._calls:
+            self._break_call(node, number)
+            self._notify_disconnect(node, number)
 
     def leave(self, caller: Caller) -> None:
-        """Let a caller leave."""
+        """Disconnect a caller that no longer waits."""
         caller.left = True
-        for (life, number), asked in list(self._calls.items()):
-            if asked.caller is caller:
-                self._calls.pop((life, number))
-                asked.broken = True
-                self._tell_closed(life, number)
+        for (node, number), attempt in list(self._calls.items()):
+            if attempt.caller is caller:
+                self._calls.pop((node, number))
+                attempt.broken = True
+                self._notify_disconnect(node, number)
 
-    def _tell_closed(self, life: Life, number: int) -> None:
+    def _notify_disconnect(self, node: Node, number: int) -> None:
         def closed() -> None:
-            life.process._web.open_calls -= 1
-            life.process.callers.caller_disconnected(number)
+            node.process._web.open_calls -= 1
+            node.process.callers.caller_disconnected(number)
 
-        self.after(CALL_S, closed, life)
+        self.after(CALL_S, closed, node)
 
     @property
-    def open_calls(self) -> list[tuple[Life, int]]:
-        """Return the calls that wait."""
+    def open_calls(self) -> list[tuple[Node, int]]:
+        """Return the unanswered calls."""
         return list(self._calls)
 
     # Messages and calls.
 
     def lost(self, sender: str, name: str) -> bool:
-        """Tell whether a host's messages do not arrive."""
+        """Return whether messages from one host to another are lost."""
         zones = self.zones[sender], self.zones[name]
         return (
             (sender, name) in self.silent_links
@@ -319,79 +319,79 @@
             or not self.reachable(*zones)
         )
 
-    def carry(self, sender: Life, name: str, data: bytes) -> None:
-        life, link = self.lives[name], (sender, self.lives[name])
-        if life.dead:
+    def carry(self, sender: Node, name: str, data: bytes) -> None:
+        node, link = self.nodes[name], (sender, self.nodes[name])
+        if node.dead:
             return
         if not self.lost(sender.name, name):
-            self._cut_since.pop(link, None)
-            self._deliver(sender, life, data)
+            self._partitioned_since.pop(link, None)
+            self._deliver(sender, node, data)
         elif self.late_messages and (sender.name, name) not in self.silent_links:
-            since = self._cut_since.setdefault(link, self.now)
-            if self.now - since < SENT_AGAIN_FOR_S:
-                self._send_again(sender, life, data, SENDS_AGAIN)
+            since = self._partitioned_since.setdefault(link, self.now)
+            if self.now - since < RETRANSMIT_WINDOW_S:
+                self._retransmit(sender, node, data, MAX_RETRANSMITS)
 
-    def _deliver(self, sender: Life, life: Life, data: bytes) -> None:
+    def _deliver(self, sender: Node, node: Node, data: bytes) -> None:
         message = decode_message(data)
-        same = self.zones[sender.name] == self.zones[life.name]
-        self.after(LINK_S[same], lambda: life.process.mesh.deliver(message), life)
+        same = self.zones[sender.name] == self.zones[node.name]
+        self.after(LINK_S[same], lambda: node.process.mesh.deliver(message), node)
 
-    def _send_again(self, sender: Life, life: Life, data: bytes, left: int) -> None:
-        def again() -> None:
-            if life.dead or not left:
+    def _retransmit(self, sender: Node, node: Node, data: bytes, left: int) -> None:
+        def retransmit() -> None:
+            if node.dead or not left:
                 return
-            if self.lost(sender.name, life.name):
-                self._send_again(sender, life, data, left - 1)
+            if self.lost(sender.name, node.name):
+                self._retransmit(sender, node, data, left - 1)
             else:
-                self._deliver(sender, life, data)
+                self._deliver(sender, node, data)
 
-        self.after(SENT_AGAIN_EVERY_S, again)
+        self.after(RETRANSMIT_INTERVAL_S, retransmit)
 
-    def _unreached(self, life: Life, upstream: FaultyUpstream) -> bool:
-        zones = self.zones[life.name], upstream.entry.id.zone
-        away = upstream.silent or (upstream.boot_over and not upstream.gone)
-        return away or life.name in self.isolated or not self.reachable(*zones)
+    def _unreachable(self, node: Node, upstream: FaultyUpstream) -> bool:
+        zones = self.zones[node.name], upstream.entry.id.zone
+        is_down = upstream.silent or (upstream.is_down and not upstream.is_replaced)
+        return is_down or node.name in self.isolated or not self.reachable(*zones)
 
-    def call(self, life: Life, effect, act, done) -> None:
+    def call(self, node: Node, effect, act, done) -> None:
         upstream = self.upstreams[effect.upstream]
-        way_s = self.rng.uniform(0.0003, 0.002)
+        latency_s = self.rng.uniform(0.0003, 0.002)
 
         def unknown() -> None:
-            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), node)
 
         def late() -> None:
-            if not upstream.boot_over and not upstream.silent:
+            if not upstream.is_down and not upstream.silent:
                 pending_polls = len(self.waiting)
                 act(upstream)
                 del self.waiting[pending_polls:]
 
         def arrive() -> None:
-            if self._unreached(life, upstream):
+            if self._unreachable(node, upstream):
                 unknown()
-            elif upstream.gone:
-                self.after(way_s, lambda: done(CallOutcome.GONE), life)
-            elif self.rng.random() < self.late_share:
+            elif upstream.is_replaced:
+                self.after(latency_s, lambda: done(CallOutcome.GONE), node)
+            elif self.rng.random() < self.delay_rate:
                 unknown()
-                self.after(self.rng.uniform(LEAST_LATE_S, MOST_LATE_S), late)
+                self.after(self.rng.uniform(MIN_DELAY_S, MAX_DELAY_S), late)
             else:
                 outcome = act(upstream)
                 if outcome is not None:
-                    self._return(life, upstream, effect, outcome, done)
+                    self._return(node, upstream, effect, outcome, done)
 
-        self.after(way_s, arrive)
+        self.after(latency_s, arrive)
 
-    def _return(self, life: Life, upstream, effect, result, done) -> None:
-        lost = self._unreached(life, upstream) or self.rng.random() < self.lost_share
+    def _return(self, node: Node, upstream, effect, result, done) -> None:
+        lost = self._unreachable(node, upstream) or self.rng.random() < self.loss_rate
         if lost:
-            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), node)
         else:
-            self.after(CALL_S, lambda: done(result), life)
+            self.after(CALL_S, lambda: done(result), node)
 
-    def _answer_look(self, effect, life: Life, done, until: float) -> None:
+    def _answer_poll(self, effect, node: Node, done, until: float) -> None:
         upstream = self.upstreams[effect.upstream]
-        if upstream.boot_over:
-            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), life)
+        if upstream.is_down:
+            self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), node)
         elif not upstream.has_unacknowledged_ends and self.now < until:
-            self.waiting.append((effect, life, done, until))
+            self.waiting.append((effect, node, done, until))
         else:
-            self._return(life, upstream, effect, upstream.report(self.now), done)
+            self._return(node, upstream, effect, upstream.report(self.now), done)
--- a/jackdawspur/front/tests/findings.py
+++ b/jackdawspur/front/tests/findings.py
@@ -1,4 +1,4 @@
-"""What must hold under drawn faults."""
+"""Rules that must hold under random faults."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """Name a rule that was broken, and where."""
+    """A rule that was broken, and where."""
 
     rule: str
     detail: str
@@ -31,34 +31,34 @@
     for caller in last:
         reply = caller.attempts[0].reply
         if reply is None or reply.status != 200:
-            name = caller.attempts[0].life.name
+            name = caller.attempts[0].node.name
             found.append(Finding("SERVES", f"{name} {reply and reply.status}"))
     return found
 
 
 def _broken(world: FaultyWorld, caller: Caller) -> list[str]:
-    replies = [one.reply for one in caller.attempts if one.reply is not None]
+    replies = [a.reply for a in caller.attempts if a.reply is not None]
     broken = []
-    refused = [one.status in REFUSED for one in replies]
+    refused = [reply.status in REFUSED for reply in replies]
     if refused and all(refused) and len(replies) == len(caller.attempts):
         if caller.tasks & world.counters.started:
             broken.append("REFUSED")
-    ended = [one for one in caller.attempts if one.reply and one.reply.status == 200]
-    done = [one for one in ended if one.reply.body != FAILED]
-    if not all(one.whole for one in done):
+    ended = [a for a in caller.attempts if a.reply and a.reply.status == 200]
+    done = [attempt for attempt in ended if attempt.reply.body != FAILED]
+    if not all(attempt.all_done for attempt in done):
         broken.append("COMPLETED")
     if len(done) < len(ended) and not caller.tasks & world.counters.crashed:
         broken.append("FAILED")
-    if any(not _in_time(one) for one in caller.attempts):
+    if any(not _in_time(attempt) for attempt in caller.attempts):
         broken.append("ANSWER")
     return broken
 
 
-def _in_time(asked: Attempt) -> bool:
-    """Tell whether a caller had its answer, as far as its host could give one."""
-    ends = asked.sent_at + asked.waits_s
-    stood_still = any(
-        froze < ends and thawed > asked.sent_at
-        for froze, thawed in asked.life.stood_still
+def _in_time(attempt: Attempt) -> bool:
+    """Return whether an attempt was answered, or its host was paused meanwhile."""
+    ends = attempt.sent_at + attempt.timeout_s
+    pauses = any(
+        froze < ends and thawed > attempt.sent_at
+        for froze, thawed in attempt.node.pauses
     )
-    return stood_still or not asked.in_vain
+    return pauses or not attempt.unanswered
--- a/jackdawspur/front/tests/test_callers.py
+++ b/jackdawspur/front/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""A host's callers get one true answer each."""
+"""Tests of the caller service: each caller gets exactly one correct answer."""
 
 from dataclasses import dataclass, field
 
@@ -25,12 +25,12 @@
 ROUTE = Route("r", "h", "/q/", "s", 1500.0, 60.0, 1.6, 0, 3)
 REQUEST = JobRequest("aa", "", (JobStep(1, Resources(1), 10.0),), ROUTE)
 REFUSED = JobOutcome(JobEnd.REFUSED, True, 1.0, "full")
-# To the caller, and what the request took from there: 2 ms each, and some to spare.
-ANSWER_TAKES_S = 0.006
+# Latency of the request and of the answer, 2 ms each, and a margin.
+ANSWER_LATENCY_S = 0.006
 
 
 class Port(PlatformCallerCodec):
-    """Take every call for the same job."""
+    """A codec that decodes each call as the same job."""
 
     def decode_call(self, call: Call, routes: RouteTable) -> CallerRequest:
         return CallerRequest(RequestKind.SUBMIT, ROUTE, "aa", REQUEST, None)
@@ -38,7 +38,7 @@
 
 @dataclass
 class Owner:
-    """Stand in for the rest of a host that follows others."""
+    """Stand-in for the rest of a follower."""
 
     group: Group
     address: HostAddress = HostAddress("own", "z1", "127.0.0.1:1", 1)
@@ -74,12 +74,12 @@
 @pytest.fixture
 def service(owner: Owner) -> CallerService:
     follow(owner.group, "first", 10)
-    one = CallerService(owner, Port())
-    one.handle_call(Call(1, "POST", "/q/aa", "", None, b""))
-    return one
+    caller_service = CallerService(owner, Port())
+    caller_service.handle_call(Call(1, "POST", "/q/aa", "", None, b""))
+    return caller_service
 
 
-def test_an_offer_goes_to_the_leading_host_and_its_answer_back(owner, service):
+def test_a_job_is_offered_to_the_leader_and_its_answer_is_returned(owner, service):
     ((to, offer),) = owner.sent
     assert to == "first"
     assert isinstance(offer, JobOffer)
@@ -87,9 +87,9 @@
     assert [r.status for r in owner.replies] == [200]
 
 
-def test_a_late_refusal_of_a_host_that_led_before_is_not_passed_on(owner, service):
-    # A caller is told that its job did not run, and it runs: the refusal came from a
-    # host that had just lost the lead, after the job was handed to the next.
+def test_a_late_refusal_by_an_earlier_leader_is_ignored(owner, service):
+    # A caller gets the answer that its job did not run, although it runs: the refusal
+    # came from a host that had just lost the leadership, after the job was handed over.
     follow(owner.group, "second", 20)
     service.offer_waiting(clock())
     service.receive_result(JobResult("aa", 1, 0, REFUSED))
@@ -98,7 +98,7 @@
     assert [r.status for r in owner.replies] == [200]
 
 
-def test_a_late_result_of_a_host_that_led_before_ends_the_job(owner, service):
+def test_a_late_result_of_an_earlier_leader_ends_the_job(owner, service):
     follow(owner.group, "second", 20)
     service.offer_waiting(clock())
     service.receive_result(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
@@ -106,16 +106,16 @@
     assert owner.sent[-1] == ("second", JobCancellation("own", "aa", 1))
 
 
-def test_a_caller_that_leaves_drops_its_job_at_once(owner, service):
+def test_a_job_is_cancelled_at_once_when_its_caller_leaves(owner, service):
     service.caller_disconnected(1)
     assert owner.sent[-1] == ("first", JobCancellation("own", "aa", 1))
     assert not owner.replies
 
 
-def test_a_job_offered_again_is_not_also_passed_on(owner, service):
-    # A crew is sent twice: a host stood still, offered its job again when it woke, and
-    # then read that the leading host had passed the first offer on to another group.
-    # The leading host has taken the second offer by then.
+def test_a_redirect_of_an_earlier_offer_is_ignored(owner, service):
+    # A task runs twice: a host was paused, repeated its offer when it resumed, and then
+    # read the leader's redirect of the first offer to another group. The leader had
+    # accepted the second offer at that point.
     ((_, first),) = owner.sent
     owner.group.record_message("first", clock() + 0.9)
     service.offer_waiting(clock() + 1.0)
@@ -127,16 +127,16 @@
     assert len(owner.sent) == 3
 
 
-def test_a_result_that_still_reaches_its_caller_in_time_is_passed_on(owner, service):
-    # Guards against results thrown away that would reach their callers in time.
-    service.tick(clock() + ROUTE.timeout_ms / 1000 - ANSWER_TAKES_S)
+def test_a_result_that_can_still_reach_its_caller_in_time_is_sent(owner, service):
+    # Guards against discarding results that would reach their callers in time.
+    service.tick(clock() + ROUTE.timeout_ms / 1000 - ANSWER_LATENCY_S)
     service.receive_result(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
     assert [r.status for r in owner.replies] == [200]
 
 
-def test_a_stopping_host_answers_all_callers_before_it_ends(owner, service):
-    # A request is cut off by a rolling restart: it came late in the host's time to
-    # stop, its caller would have waited longer than that, and the process ended.
+def test_a_draining_host_answers_all_callers_before_it_stops(owner, service):
+    # A rolling restart breaks a request: it arrived late in the host's grace period,
+    # its caller's timeout was later than the end of the period, and the process ended.
     service.stop_by(clock() + 0.1)
     service.tick(clock() + 0.05)
     assert not owner.replies
@@ -145,8 +145,8 @@
     assert owner.sent[-1] == ("first", JobCancellation("own", "aa", 1))
 
 
-def test_a_host_at_its_end_refuses_as_not_run_at_once(owner, service):
-    # A caller waits in vain: its request reached a host that was about to end.
+def test_a_host_about_to_stop_refuses_requests_as_not_run_at_once(owner, service):
+    # A caller gets no answer: its request reached a host that was about to stop.
     service.stop_by(clock())
     service.handle_call(Call(2, "POST", "/q/aa", "", None, b""))
     (reply,) = owner.replies
@@ -154,7 +154,7 @@
     assert len(owner.sent) == 1
 
 
-def test_a_job_handed_to_a_lower_fence_says_so(owner, service):
+def test_a_job_handed_over_to_a_lower_fence_is_marked_as_outranked(owner, service):
     owner.group.record_message("first", clock() - 1.0)
     follow(owner.group, "second", 5)
     service.offer_waiting(clock())
@@ -162,8 +162,8 @@
     assert (to, first.outranked, second.outranked) == ("second", False, True)
 
 
-# Guards against ends of jobs in time-outs that the log doesn't say who stated.
-def test_the_end_of_a_job_says_who_stated_how_long_its_caller_waits(service, caplog):
+# Guards against log lines of timed-out jobs that don't name the source of the timeout.
+def test_the_log_names_the_source_of_the_time_limit_of_a_job(service, caplog):
     caplog.set_level("INFO", logger="jackdawspur.callers")
     service.receive_result(JobResult("aa", 1, 0, JobOutcome(JobEnd.COMPLETE, False)))
     line = caplog.records[-1]
--- a/jackdawspur/front/tests/test_early_calls.py
+++ b/jackdawspur/front/tests/test_early_calls.py
@@ -1,4 +1,4 @@
-"""Callers that come before their host has a configuration."""
+"""Tests of calls that arrive before the host has a configuration."""
 
 import pytest
 
@@ -9,10 +9,10 @@
 
 @pytest.fixture
 def world(monkeypatch) -> World:
-    """Return upstreams whose hosts have all lost power and are about to start."""
-    one = World(monkeypatch, most_upstreams=64)
-    one.add_upstreams("z1", 4)
-    return one
+    """Return upstreams whose hosts are down after a power loss."""
+    simulation = World(monkeypatch, most_upstreams=64)
+    simulation.add_upstreams("z1", 4)
+    return simulation
 
 
 def start(world: World) -> None:
@@ -20,35 +20,35 @@
         world.start(name, "z1")
 
 
-def test_loss_of_power_callers_before_the_configuration_are_served(world: World):
-    # Guards against refusing those who come in the first moments after a loss of power,
-    # most of whom have no time left to come again.
+def test_calls_before_the_configuration_are_served_after_a_power_loss(world: World):
+    # Guards against refusing the first calls after a power loss: most of these callers
+    # have no time left to retry.
     start(world)
-    asked = [world.submit(name, 0.1) for name in world.lives]
+    sent = [world.submit(name, 0.1) for name in world.nodes]
     world.run(1.5)
-    assert [one.reply.status for one in asked] == [200, 200]
+    assert [request.reply.status for request in sent] == [200, 200]
 
 
-def test_callers_are_refused_in_time_while_the_store_is_away(world: World):
+def test_callers_are_refused_in_time_while_the_store_is_down(world: World):
     world.storeless |= {"h0", "h1"}
     start(world)
-    asked = world.submit("h0", 0.1)
+    sent = world.submit("h0", 0.1)
     world.run(MAX_WAIT_S + 0.2)
-    assert asked.reply.status == 503
-    assert asked.reply.retry_after_s > 0
-    assert asked.answered_at - asked.sent_at < MAX_WAIT_S + 0.1
+    assert sent.reply.status == 503
+    assert sent.reply.retry_after_s > 0
+    assert sent.answered_at - sent.sent_at < MAX_WAIT_S + 0.1
 
 
-def test_a_caller_that_comes_early_waits_no_longer_than_it_says(world: World):
-    # Guards against counting its wait from when the configuration came.
+def test_an_early_caller_waits_no_longer_than_its_timeout(world: World):
+    # Guards against measuring the wait from the arrival of the configuration.
     world.storeless |= {"h0", "h1"}
     start(world)
-    asked = world.submit("h0", 3.0, states_s=1.0)
+    sent = world.submit("h0", 3.0, caller_timeout_s=1.0)
     world.run(0.5)
     world.storeless.clear()
     world.run(0.6)
-    assert asked.reply is not None
-    assert asked.answered_at - asked.sent_at <= 1.0
+    assert sent.reply is not None
+    assert sent.answered_at - sent.sent_at <= 1.0
 
 
 def test_early_calls_are_bounded():
--- a/jackdawspur/front/tests/test_changing_hands.py
+++ b/jackdawspur/front/tests/test_handovers.py
@@ -1,15 +1,15 @@
-"""What is believed of hosts that are not heard, as a job changes hands."""
+"""Tests of assumptions about unresponsive hosts while a job is handed over."""
 
 import pytest
 
 from jackdawspur.front.tests.faulty import FaultyWorld
 
 ZONES = ("z1", "z2")
-CUT = frozenset(ZONES)
+PARTITION = frozenset(ZONES)
 
 
 def make(monkeypatch, most_upstreams: int, count: int) -> FaultyWorld:
-    """Return two zones with two hosts each, and so many upstreams each."""
+    """Return two zones with two hosts and `count` upstreams each."""
     world = FaultyWorld(monkeypatch, most_upstreams, seed=1)
     for zone in ZONES:
         world.add_upstreams(zone, count)
@@ -21,7 +21,7 @@
 
 
 def hosts_of(world: FaultyWorld, zone: str) -> tuple[str, str]:
-    """Return the leading host of a zone and the one that follows it."""
+    """Return the leader and the follower of a zone."""
     leaders = world.leaders()
     names = [name for name, where in world.zones.items() if where == zone]
     return tuple(sorted(names, key=lambda name: name not in leaders))
@@ -29,12 +29,14 @@
 
 # At several moments between two heartbeats.
 @pytest.mark.parametrize("phase_s", [0.0, 0.025, 0.05, 0.075])
-def test_a_job_whose_drop_is_lost_is_not_run_in_two_zones(monkeypatch, phase_s: float):
-    # Guards against telling only once that a job is dropped.
+def test_a_job_whose_cancellation_is_lost_does_not_run_in_two_zones(
+    monkeypatch, phase_s: float
+):
+    # Guards against reporting only once that a job is cancelled.
     world = make(monkeypatch, most_upstreams=2, count=3)
     world.run(phase_s)
     leader, host = hosts_of(world, "z1")
-    caller = world.ask("z1", 1.4, 1, world.lives[host])
+    caller = world.ask("z1", 1.4, 1, world.nodes[host])
     world.run(0.1)
     assert caller.tasks == world.counters.started
     world.silent_links.add((host, leader))
@@ -46,13 +48,13 @@
 
 
 @pytest.mark.parametrize("down_s", [0.1, 0.25, 0.35, 0.6])
-def test_a_job_of_a_host_that_started_again_is_not_run_in_two_zones(
+def test_a_job_of_a_restarted_host_does_not_run_in_two_zones(
     monkeypatch, down_s: float
 ):
-    # Guards against taking a host that is back for the one whose callers waited.
+    # Guards against mistaking a restarted host for the one whose callers waited.
     world = make(monkeypatch, most_upstreams=2, count=3)
     _, host = hosts_of(world, "z1")
-    caller = world.ask("z1", 1.4, 1, world.lives[host])
+    caller = world.ask("z1", 1.4, 1, world.nodes[host])
     world.run(0.1)
     assert caller.tasks == world.counters.started
     world.kill(host)
@@ -65,14 +67,14 @@
 
 # At several moments between two reads of the list.
 @pytest.mark.parametrize("phase_s", [0.0, 0.1, 0.2, 0.3, 0.4])
-def test_an_upstream_replaced_behind_a_cut_is_missed_as_the_cut_heals(
+def test_an_upstream_replaced_during_a_partition_is_noticed_after_it(
     monkeypatch, phase_s: float
 ):
-    # Guards against taking a list as long as those of others for the same list.
+    # Guards against mistaking a list of the same length as others for the same list.
     world = make(monkeypatch, most_upstreams=64, count=2)
     ((_, zone),) = world.leaders().items()
     beyond = {name for name, where in world.zones.items() if where != zone}
-    world.cut.add(CUT)
+    world.partitions.add(PARTITION)
     world.storeless |= beyond
     world.run(0.5)
     replaced = next(entry.id for entry in world.listed if entry.id.zone == zone)
@@ -81,20 +83,20 @@
     _, host = hosts_of(world, zone)
     for seconds in (0.2, 0.2, 0.8, 0.8):
         # The first two fill the upstream that all hosts know.
-        world.ask(zone, seconds, 1, world.lives[host])
+        world.ask(zone, seconds, 1, world.nodes[host])
         world.run(0.005)
     world.run(0.2)
-    world.cut.clear()
+    world.partitions.clear()
     world.storeless.clear()
     world.run(3.0)
     assert world.counters.two_at_once == 0
 
 
 @pytest.mark.parametrize("phase_s", [0.05, 0.15])
-def test_an_offer_to_a_host_never_heard_starts_nothing_seconds_later(
+def test_an_offer_to_a_host_never_heard_starts_no_run_seconds_later(
     monkeypatch, phase_s: float
 ):
-    # Guards against offers to a host never heard that are never late.
+    # Guards against offers to a host never heard that never count as late.
     world = FaultyWorld(monkeypatch, most_upstreams=2, seed=1)
     world.late_messages = True
     world.add_upstreams("z1", 1)
@@ -106,12 +108,12 @@
     _, host = hosts_of(world, "z1")
     world.kill(host)
     world.run(1.0)
-    world.cut.add(CUT)
+    world.partitions.add(PARTITION)
     world.start(host, "z1")
     world.run(phase_s)
     for _ in range(3):
-        world.ask("z1", 0.9, 2, world.lives[host])
+        world.ask("z1", 0.9, 2, world.nodes[host])
     world.run(2.95)
-    world.cut.discard(CUT)
+    world.partitions.discard(PARTITION)
     world.run(3.0)
     assert world.counters.two_at_once == 0
--- a/jackdawspur/front/tests/test_heartbeats.py
+++ b/jackdawspur/front/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats go to who needs them, as often as they are needed."""
+"""Tests of which hosts get heartbeats, and how often."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -26,14 +26,14 @@
 
 @dataclass
 class Routes:
-    """Have a configuration."""
+    """Routes with a configuration in force."""
 
     version: int = 1
 
 
 @dataclass
 class Views:
-    """Have read the store."""
+    """A view of the store that was read just now."""
 
     entries: tuple = ("w",)
 
@@ -43,7 +43,7 @@
 
 @dataclass
 class IdleLeader:
-    """Lead nobody's jobs."""
+    """A leader driver without jobs."""
 
     def progress_by_host(self) -> dict:
         return {}
@@ -51,7 +51,7 @@
     def hosts_with_jobs(self) -> set[str]:
         return set()
 
-    def capacity_for(self, leads: list[str], now: float) -> dict:
+    def capacity_for(self, leaders: list[str], now: float) -> dict:
         return {}
 
     def needs_capacity(self, now: float) -> bool:
@@ -63,14 +63,14 @@
 
 @dataclass
 class Callers:
-    """Have no callers."""
+    """A caller service without callers."""
 
     def remote_leaders(self) -> set[str]:
         return set()
 
 
 class FakeMesh:
-    """Keep what was sent and to whom a new connection was made."""
+    """Records messages that were sent and hosts that were redialled."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, HostHeartbeat]] = []
@@ -85,7 +85,7 @@
 
 @dataclass
 class Host:
-    """Run one host's heartbeats among hosts that all follow the same one."""
+    """The heartbeats of a host among hosts that all follow the same leader."""
 
     name: str = "b"
     knows: str = ""
@@ -137,32 +137,32 @@
     return Host()
 
 
-def test_hosts_that_follow_seldom_tell_each_other_of_themselves(host: Host):
-    # Hosts without callers cost most of what a large deployment's processors do: each
-    # of 13 in a zone told all others ten times a second that it was there.
+def test_followers_seldom_send_heartbeats_to_each_other(host: Host):
+    # Hosts without callers take most of the processor time of a large deployment: each
+    # of 13 in a zone sent heartbeats to all others ten times a second.
     host.send(10)
     counts = Counter(name for name, _send_heartbeats in host.mesh.sent)
     assert counts.pop(LEADER) == 10
     assert set(counts.values()) == {1} and len(counts) == len(HOSTS) - 2
 
 
-def test_hosts_that_follow_are_not_connected_to_anew_though_seldom_heard(host: Host):
+def test_followers_are_not_redialled_although_they_are_seldom_heard(host: Host):
     host.send(12)
     assert host.mesh.redialled == []
 
 
-def test_a_host_that_went_silent_for_good_is_connected_to_anew(host: Host):
+def test_an_unresponsive_host_is_redialled(host: Host):
     host.send(round((FOLLOWER_TIMEOUT_S + 1.0) / HEARTBEAT_INTERVAL_S))
     assert "c" in host.mesh.redialled
 
 
-def test_all_hosts_are_told_while_none_leads(host: Host):
+def test_all_hosts_get_heartbeats_while_there_is_no_leader(host: Host):
     host.now += 1.0
     host.heartbeats.send(host.now)
     assert len(host.mesh.sent) == len(HOSTS) - 1
 
 
-def test_a_host_that_follows_nobody_hears_of_all_others(host: Host):
+def test_a_host_without_a_leader_gets_heartbeats_of_all_others(host: Host):
     host.send(1)
     host.mesh.sent.clear()
     host.hear("c", follows=0)
@@ -171,14 +171,14 @@
 
 
 class Zone:
-    """Let hosts choose who leads by their heartbeats alone, over cut pairs."""
+    """Hosts that elect a leader through heartbeats, except across partitioned pairs."""
 
     def __init__(self, names: str) -> None:
         self.now = 50.0
         self.hosts = {name: Host(name, knows=names) for name in names}
-        self.away: set[str] = set()
-        self.cut: set[frozenset[str]] = set()
-        self.led: set[str] = set()
+        self.stopped: set[str] = set()
+        self.partitions: set[frozenset[str]] = set()
+        self.new_leaders: set[str] = set()
         self._heartbeat_due = dict.fromkeys(names, self.now)
         self._followed: dict[str, str | None] = dict.fromkeys(names)
 
@@ -186,7 +186,7 @@
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
             for name, host in self.hosts.items():
-                if name not in self.away:
+                if name not in self.stopped:
                     self._tick(name, host)
 
     def _tick(self, name: str, host: Host) -> None:
@@ -194,7 +194,7 @@
             True, UNIX_MS + 1000 * self.now, self.now
         )
         if changed and host.group.is_leader:
-            self.led.add(name)
+            self.new_leaders.add(name)
         leader = host.group.leader(self.now)
         lost = leader is None and self._followed[name] is not None
         self._followed[name] = leader
@@ -206,7 +206,7 @@
     def _deliver(self, sender: str) -> None:
         sent, self.hosts[sender].mesh.sent = self.hosts[sender].mesh.sent, []
         for name, heartbeat in sent:
-            if name in self.away or frozenset((sender, name)) in self.cut:
+            if name in self.stopped or frozenset((sender, name)) in self.partitions:
                 continue
             receiver = self.hosts[name]
             receiver.group.record_heartbeat(heartbeat, self.now)
@@ -220,7 +220,7 @@
 def zone() -> Zone:
     zone = Zone("abcdefghijklm")
     zone.advance(2.0)
-    zone.led.clear()
+    zone.new_leaders.clear()
     return zone
 
 
@@ -228,46 +228,46 @@
     assert len(zone.leaders()) == 1
 
 
-def test_one_host_takes_over_when_the_leading_one_dies(zone: Zone):
-    # Callers wait: the leading host lost power, and the others, which seldom hear of
-    # each other, have to choose one of them at once, and only one.
+def test_one_host_takes_over_when_the_leader_dies(zone: Zone):
+    # Callers wait: the leader lost power, and the others, which seldom hear each other,
+    # must elect one of them at once, and only one.
     (leader,) = zone.leaders()
-    zone.away.add(leader)
+    zone.stopped.add(leader)
     zone.advance(0.6)
-    assert len(zone.led) == 1
+    assert len(zone.new_leaders) == 1
     zone.advance(2.0)
-    assert len(zone.led) == 1
+    assert len(zone.new_leaders) == 1
 
 
-def test_no_third_host_leads_while_a_cut_heals(zone: Zone):
-    # All work is handed over twice: the side whose leading host gave up had hosts that
-    # did not hear the other side's yet, and one led in its place for a moment.
+def test_no_third_host_leads_while_hosts_reconnect(zone: Zone):
+    # All jobs are handed over twice: on the side whose leader stepped down, hosts did
+    # not hear the other side's leader yet, and one of them led for a moment.
     (first,) = zone.leaders()
     one_side = {first, "k", "l", "m"}
     other_side = set(zone.hosts) - one_side
-    zone.cut = {frozenset((n, o)) for n in one_side for o in other_side}
+    zone.partitions = {frozenset((n, o)) for n in one_side for o in other_side}
     zone.advance(1.5)
     (second,) = [name for name in zone.leaders() if name != first]
-    zone.led.clear()
-    zone.cut.remove(frozenset((first, second)))
+    zone.new_leaders.clear()
+    zone.partitions.remove(frozenset((first, second)))
     zone.advance(0.5)
-    assert zone.led == set()
-    zone.cut.clear()
+    assert zone.new_leaders == set()
+    zone.partitions.clear()
     zone.advance(1.0)
-    assert zone.led == set() and zone.leaders() == [second]
+    assert zone.new_leaders == set() and zone.leaders() == [second]
 
 
-def test_a_second_death_at_the_moment_of_the_first_is_borne(zone: Zone):
-    # The host that would lead next dies with the leading one.
+def test_one_host_takes_over_when_another_host_dies_with_the_leader(zone: Zone):
+    # The host that would lead next dies at the same time as the leader.
     (leader,) = zone.leaders()
-    zone.away.add(leader)
-    zone.away.add(next(name for name in zone.hosts if name != leader))
+    zone.stopped.add(leader)
+    zone.stopped.add(next(name for name in zone.hosts if name != leader))
     zone.advance(0.6)
-    assert len(zone.led) == 1
+    assert len(zone.new_leaders) == 1
 
 
-def test_hosts_just_connected_to_are_greeted_and_no_others(host: Host):
-    # Guards against a host that starts beside a hundred others telling all of them of
-    # itself with each one that it finds, which stops its loop for seconds.
+def test_only_hosts_just_connected_to_are_greeted(host: Host):
+    # Guards against a host that starts beside a hundred others and sends heartbeats to
+    # all of them with each one that it discovers, which blocks its loop for seconds.
     host.heartbeats.greet(["c", "d"], host.now)
     assert [name for name, _send_heartbeats in host.mesh.sent] == ["c", "d"]
--- a/jackdawspur/front/tests/test_late_messages.py
+++ b/jackdawspur/front/tests/test_late_messages.py
@@ -1,4 +1,4 @@
-"""What hosts say to each other may arrive seconds later, when a cut has healed."""
+"""Tests of messages that arrive seconds late, after a network partition has ended."""
 
 from types import SimpleNamespace
 
@@ -11,7 +11,7 @@
 from jackdawspur.model import UpstreamId
 
 ZONES = ("z1", "z2")
-CUT = frozenset(ZONES)
+PARTITION = frozenset(ZONES)
 SENT_AT = 50.0
 ENTRY = UpstreamEntry(
     UpstreamId("z1", "u1"), "s", "127.0.0.1:1", Resources(8), (), False
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def two_groups(monkeypatch) -> FaultyWorld:
-    """Return two zones with a leading host each; z1 has little room."""
+    """Return two zones with a leader each; z1 has little capacity."""
     world = FaultyWorld(monkeypatch, most_upstreams=2, seed=1)
     world.late_messages = True
     world.add_upstreams("z1", 1)
@@ -32,36 +32,37 @@
     return world
 
 
-def test_an_offer_that_waited_for_the_end_of_a_cut_starts_nothing(
+def test_an_offer_delayed_by_a_partition_starts_no_run(
     two_groups: FaultyWorld,
 ):
-    # One order is carried out twice at one time. A job is passed on to another zone,
-    # which is cut off at that moment. The offer stays in the connection. The caller is
-    # told that the outcome is unknown, asks again 1.3 s later, and its own zone starts
-    # the job. Then the cut heals, the offer arrives, and the other zone starts it too.
+    # A task runs twice at the same time. A job is redirected to another zone, which is
+    # partitioned at that moment, so the offer stays in the connection. The caller gets
+    # the answer that the outcome is unknown, retries 1.3 s later, and its own zone
+    # starts the job. Then the partition ends, the offer arrives, and the other zone
+    # starts it too.
     world = two_groups
     for turn in range(10):
         for _ in range(4):
             world.ask("z1", 0.5, 2)
         world.run(0.02 + 0.005 * turn)
-        world.cut.add(CUT)
+        world.partitions.add(PARTITION)
         world.run(1.8)
-        world.cut.discard(CUT)
+        world.partitions.discard(PARTITION)
         world.run(4.0)
     assert world.counters.two_at_once == 0
 
 
 @pytest.fixture
 def view() -> StoreView:
-    """Return what a host knows that has not read the store."""
+    """Return the view of a host that has not read the store."""
     return StoreView(SimpleNamespace(upstreams_changed=lambda: None))
 
 
-@pytest.mark.parametrize(("way_s", "taken"), [(0.01, True), (2.0, False)])
-def test_a_list_that_waited_for_the_end_of_a_cut_is_not_new(
-    view: StoreView, way_s: float, taken: bool
+@pytest.mark.parametrize(("latency_s", "accepted"), [(0.01, True), (2.0, False)])
+def test_a_list_delayed_by_a_partition_is_ignored(
+    view: StoreView, latency_s: float, accepted: bool
 ):
-    # Guards against a host that leads by a list which is older than it says.
-    passed = UpstreamListUpdate(SENT_AT, 0.1, (ENTRY,))
-    view.on_upstream_update(passed, SENT_AT + way_s)
-    assert bool(view.entries) is taken
+    # Guards against a leader that uses a list which is older than its stated age.
+    update = UpstreamListUpdate(SENT_AT, 0.1, (ENTRY,))
+    view.on_upstream_update(update, SENT_AT + latency_s)
+    assert bool(view.entries) is accepted
--- a/jackdawspur/front/tests/test_leader_driver.py
+++ b/jackdawspur/front/tests/test_leader_driver.py
@@ -1,4 +1,4 @@
-"""A leading host takes the jobs that are meant for its present term."""
+"""Tests of the leader driver: offers, lists of upstreams and metrics."""
 
 from dataclasses import dataclass, field
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Views:
-    """Know no upstream."""
+    """A view of the store with an empty list of upstreams."""
 
     entries: tuple = ()
     evacuated: frozenset = frozenset()
@@ -30,7 +30,7 @@
 
 
 class NoUpstreams:
-    """Be called by nobody, since there is no upstream."""
+    """A port without calls, since there is no upstream."""
 
     def close_connections_except(self, addresses: set[str]) -> None:
         pass
@@ -38,7 +38,7 @@
 
 @dataclass
 class Owner:
-    """Stand in for the rest of a host."""
+    """Stand-in for the rest of a host."""
 
     address: HostAddress = HostAddress("own", "z1", "127.0.0.1:1", 1)
     group: Group = field(default_factory=lambda: Group(Owner.address, 0.0))
@@ -55,33 +55,33 @@
 
 @pytest.fixture
 def owner() -> Owner:
-    one = Owner()
-    assert one.group.update_leadership(True, UNIX_MS, 5.0)
-    return one
+    leading_owner = Owner()
+    assert leading_owner.group.update_leadership(True, UNIX_MS, 5.0)
+    return leading_owner
 
 
 @pytest.fixture
 def driver(owner: Owner) -> LeaderDriver:
-    one = LeaderDriver(owner, NoUpstreams(), 5.0)
-    one.leadership_changed(5.0)
-    return one
+    leading_driver = LeaderDriver(owner, NoUpstreams(), 5.0)
+    leading_driver.leadership_changed(5.0)
+    return leading_driver
 
 
 def offer(fence: int, handed: int = 0, sent_at: float = SENT_AT) -> JobOffer:
     return JobOffer("h2", fence, sent_at, REQUEST, 1, 0.0, 1000.0, handed, Progress())
 
 
-def test_an_offer_for_the_present_term_is_taken(owner: Owner, driver: LeaderDriver):
+def test_an_offer_for_the_current_term_is_accepted(owner: Owner, driver: LeaderDriver):
     driver.receive_offer(offer(owner.group.fence), 5.0)
     assert len(driver.dispatcher.open_jobs) == 1
 
 
-def test_an_offer_repeated_for_an_earlier_term_is_not_taken_as_new(
+def test_an_offer_repeated_for_an_earlier_term_is_not_accepted_as_new(
     owner: Owner, driver: LeaderDriver
 ):
-    # A client is told that its job did not run, and it did: the leading host had begun
-    # a new term and forgotten the job that it had started; the job's host, which had
-    # not heard of that, offered it again, and now it was too late for it.
+    # A client gets the answer that its job did not run, although it ran: the leader had
+    # started a new term and forgotten the job that it had started. The job's host did
+    # not know the new term yet and repeated the offer, which was now too late.
     before = owner.group.fence
     driver.receive_offer(offer(before), 5.0)
     owner.group.resolve_contention(UNIX_MS, 5.1)
@@ -92,25 +92,26 @@
     assert len(driver.dispatcher.open_jobs) == 1
 
 
-def test_a_job_whose_host_follows_a_later_lead_is_stopped(
+def test_a_job_whose_host_follows_a_later_leader_is_dropped(
     owner: Owner, driver: LeaderDriver
 ):
-    # A task runs twice at one time: its host hears two leading hosts that do not hear
-    # each other. It follows the later lead and hands the job to it; the earlier one
-    # still hears the host, and ran the job on where the later one does not reach.
+    # A task runs twice at the same time: its host hears two leaders that do not hear
+    # each other. It follows the later one and hands the job over to it. The earlier one
+    # still heard the host, and continued the job on upstreams that the later one can't
+    # reach.
     driver.receive_offer(offer(owner.group.fence), 5.0)
     driver.record_follower("h2", owner.group.fence + 1, 5.1)
     assert len(driver.dispatcher.open_jobs) == 0
 
 
-@pytest.mark.parametrize("behind", [0, 1])
-def test_a_job_whose_host_has_not_heard_of_a_later_lead_goes_on(
-    owner: Owner, driver: LeaderDriver, behind: int
+@pytest.mark.parametrize("fence_known", [0, 1])
+def test_a_job_whose_host_does_not_follow_a_later_leader_goes_on(
+    owner: Owner, driver: LeaderDriver, fence_known: int
 ):
-    # A host without a leading host, or one that is late to hear of the present one,
-    # has handed its job to nobody else.
+    # A host without a leader, or one that does not know the current leader yet, has not
+    # handed its job over to another one.
     driver.receive_offer(offer(owner.group.fence), 5.0)
-    driver.record_follower("h2", behind * (owner.group.fence - 1), 5.1)
+    driver.record_follower("h2", fence_known * (owner.group.fence - 1), 5.1)
     driver.record_follower("h2", owner.group.fence, 5.2)
     assert len(driver.dispatcher.open_jobs) == 1
 
@@ -118,8 +119,8 @@
 def test_an_upstream_of_a_service_that_no_route_names_is_not_used(
     owner: Owner, driver: LeaderDriver
 ):
-    # Each refused job is told to come back too soon: capacity that no job can use
-    # counted as room, and was asked for its runs five times a second.
+    # The stated retry time of refused jobs is too short: capacity that no job can use
+    # counted as free capacity, and its upstream was polled five times a second.
     entries = [
         UpstreamEntry(
             UpstreamId("z1", name), service, "127.0.0.1:1", Resources(8), (), False
@@ -129,19 +130,20 @@
     owner.views.entries = tuple(entries)
     driver.upstreams_changed(6.0)
     assert [
-        held.entry.id.name for held in driver.dispatcher.upstream_pool.upstreams
+        leased.entry.id.name for leased in driver.dispatcher.upstream_pool.upstreams
     ] == ["u1"]
 
 
-@pytest.mark.parametrize(("late_s", "taken"), [(0.0, 1), (0.39, 1), (0.41, 0)])
-def test_an_offer_that_was_held_up_on_its_way_is_not_taken(
-    owner: Owner, driver: LeaderDriver, late_s: float, taken: int
+@pytest.mark.parametrize(("late_s", "accepted"), [(0.0, 1), (0.39, 1), (0.41, 0)])
+def test_an_offer_that_was_delayed_in_transit_is_not_accepted(
+    owner: Owner, driver: LeaderDriver, late_s: float, accepted: int
 ):
-    # A task runs twice at one time: an offer was held up by a cut until its host, which
-    # heard no heartbeat any more, had handed the job to another group.
+    # A task runs twice at the same time: an offer was delayed by a network partition
+    # until its host, which received no more heartbeats, had redirected the job to
+    # another group.
     driver.receive_offer(offer(owner.group.fence, sent_at=6.0 - late_s), 6.0)
-    assert len(driver.dispatcher.open_jobs) == taken
-    assert owner.group.is_alive("h2", 6.0) == bool(taken)
+    assert len(driver.dispatcher.open_jobs) == accepted
+    assert owner.group.is_alive("h2", 6.0) == bool(accepted)
 
 
 def test_a_lost_job_is_counted_by_route_and_cause(owner: Owner, driver: LeaderDriver):
@@ -152,7 +154,7 @@
     assert 'jackdawspur_jobs_lost{route="r",cause="never_begun"} 1' in lines
 
 
-def test_the_wait_for_the_last_start_is_told_by_route(
+def test_the_time_to_the_last_start_is_recorded_by_route(
     driver: LeaderDriver, owner: Owner
 ):
     for ms in (0.0, 5.0, 40.0):
--- a/jackdawspur/front/tests/test_learned.py
+++ b/jackdawspur/front/tests/test_learned.py
@@ -1,4 +1,4 @@
-"""What the leading host learned lasts when another host leads."""
+"""Tests that learned statistics outlast a change of leader."""
 
 from collections.abc import Callable
 
@@ -12,15 +12,15 @@
 from jackdawspur.runs import Dispatcher
 
 SLOW = UpstreamId("z1", "u0")
-SLOW_PACE = 3.0
+SLOWDOWN = 3.0
 TASKS = 8
 RUN_S = 0.2
-# Smaller changes are not told.
-ROUNDED = 0.08
+# Smaller relative changes are not sent.
+TOLERANCE = 0.08
 
 
 class HeartbeatSizes:
-    """Keep how many bytes each heartbeat has, and how many for what was learned."""
+    """Records the size of each heartbeat, and that of its learned statistics."""
 
     def __init__(self, world: World) -> None:
         self.sizes: list[tuple[str, str, int, int]] = []
@@ -46,7 +46,7 @@
     """Return a zone of three hosts, one of whose upstreams is slow."""
     world = World(monkeypatch, most_upstreams=64)
     world.add_upstreams("z1", 6)
-    world.upstreams[SLOW].pace = SLOW_PACE
+    world.upstreams[SLOW].pace = SLOWDOWN
     for name in ("a1", "a2", "a3"):
         world.start(name, "z1")
     world.run(3.0)
@@ -54,22 +54,22 @@
 
 
 def dispatcher_of(world: World, name: str) -> Dispatcher:
-    return world.lives[name].process.leader_driver.dispatcher
+    return world.nodes[name].process.leader_driver.dispatcher
 
 
-def pace(world: World, name: str) -> float:
+def slowdown_of(world: World, name: str) -> float:
     return dispatcher_of(world, name).estimates.slowdown(SLOW)
 
 
 def work(world: World, seconds: float) -> None:
-    """Let callers send wide jobs that reach the slow upstream too."""
+    """Submit jobs with many tasks, so that some run on the slow upstream."""
     for _ in range(round(seconds / 0.4)):
         world.submit(alive(world)[-1], RUN_S, TASKS)
         world.run(0.4)
 
 
 def change_the_lead(world: World, leave: Callable[[World, str], None]) -> str:
-    """Let the leading host go, and return the next one once it holds upstreams."""
+    """Make the leader leave, and return the next one once it leases upstreams."""
     former = leader_of(world, "z1")
     leave(world, former)
     world.run_until(lambda: set(world.leaders()) - {former}, 3.0)
@@ -83,30 +83,30 @@
 
 
 @pytest.mark.parametrize("leave", [die, drain])
-def test_the_next_leading_host_knows_the_paces(world, leave):
-    # Guards against long jobs that start on slow upstreams after each change of lead.
+def test_the_next_leader_knows_the_slowdowns(world, leave):
+    # Guards against long jobs that start on slow upstreams after a change of leader.
     work(world, 8.0)
     world.run(1.5)
-    known = pace(world, leader_of(world, "z1"))
+    known = slowdown_of(world, leader_of(world, "z1"))
     assert known > 1.5
     leader = change_the_lead(world, leave)
-    assert pace(world, leader) == pytest.approx(known, rel=ROUNDED)
+    assert slowdown_of(world, leader) == pytest.approx(known, rel=TOLERANCE)
 
 
-def test_paces_last_over_several_changes_of_the_lead(world):
-    # Guards against what was learned that lasts for one change only.
+def test_slowdowns_outlast_several_changes_of_leader(world):
+    # Guards against learned statistics that outlast only one change of leader.
     work(world, 8.0)
     world.run(1.5)
-    known = pace(world, leader_of(world, "z1"))
+    known = slowdown_of(world, leader_of(world, "z1"))
     for _ in range(2):
         world.run(1.5)
         leader = change_the_lead(world, die)
     assert known > 1.5
-    assert pace(world, leader) == pytest.approx(known, rel=2 * ROUNDED)
+    assert slowdown_of(world, leader) == pytest.approx(known, rel=2 * TOLERANCE)
 
 
-def test_a_host_that_starts_learns_what_is_known(world):
-    # Guards against a lead that goes to a host which started after all was told.
+def test_a_new_host_receives_the_known_statistics(world):
+    # Guards against a leader that started after all statistics had been sent.
     work(world, 8.0)
     leader = leader_of(world, "z1")
     for name in set(alive(world)) - {leader}:
@@ -114,15 +114,15 @@
         world.run(0.5)
         world.start(name, "z1")
     world.run(15.0)
-    known = pace(world, leader)
+    known = slowdown_of(world, leader)
     assert known > 1.5
-    next_one = change_the_lead(world, die)
-    assert next_one != leader
-    assert pace(world, next_one) == pytest.approx(known, rel=ROUNDED)
+    next_leader = change_the_lead(world, die)
+    assert next_leader != leader
+    assert slowdown_of(world, next_leader) == pytest.approx(known, rel=TOLERANCE)
 
 
-def test_other_groups_are_told_nothing(monkeypatch):
-    # Guards against a zone that judges its upstreams by another zone's words.
+def test_other_groups_receive_no_statistics(monkeypatch):
+    # Guards against a zone that rates its upstreams by the statistics of another zone.
     world = World(monkeypatch, most_upstreams=2)
     for zone in ("z1", "z2"):
         world.add_upstreams(zone, 3)
@@ -133,40 +133,42 @@
     for _ in range(10):
         world.submit("a1", RUN_S, 4)
         world.run(0.5)
-    told = {(sender, name) for sender, name, _, extra in heartbeats.sizes if extra}
-    assert told
-    assert {(world.zones[one], world.zones[other]) for one, other in told} == {
+    receivers = {(sender, name) for sender, name, _, extra in heartbeats.sizes if extra}
+    assert receivers
+    assert {(world.zones[sender], world.zones[name]) for sender, name in receivers} == {
         ("z1", "z1")
     }
 
 
-def test_what_another_groups_host_tells_is_left(world):
-    # Guards against values of hosts that this one does not follow.
+def test_statistics_of_hosts_other_than_the_leader_are_ignored(world):
+    # Guards against statistics of hosts that this one does not follow.
     work(world, 8.0)
     leader = leader_of(world, "z1")
     follower, other = sorted(set(alive(world)) - {leader})
-    leader_driver = world.lives[follower].process.leader_driver
-    heard = []
+    leader_driver = world.nodes[follower].process.leader_driver
+    received = []
     leader_driver.dispatcher.estimates.merge_update = lambda learned, _now: (
-        heard.append(learned)
+        received.append(learned)
     )
-    heartbeat = world.lives[leader].process._heartbeats._common(world.now)
-    told = dispatcher_of(world, leader).estimates.next_update(world.now + 20.0)
+    heartbeat = world.nodes[leader].process._heartbeats._common(world.now)
+    update = dispatcher_of(world, leader).estimates.next_update(world.now + 20.0)
     values = {name: getattr(heartbeat, name) for name in heartbeat.__struct_fields__}
-    strange = {"host": world.announced[other], "learned": told}
-    leader_driver.record_learned(HostHeartbeat(**values | strange), world.now)
-    assert heard == []
-    leader_driver.record_learned(HostHeartbeat(**values | {"learned": told}), world.now)
-    assert heard == [told]
+    from_other = {"host": world.announced[other], "learned": update}
+    leader_driver.record_learned(HostHeartbeat(**values | from_other), world.now)
+    assert received == []
+    leader_driver.record_learned(
+        HostHeartbeat(**values | {"learned": update}), world.now
+    )
+    assert received == [update]
 
 
-def test_heartbeats_take_few_bytes_for_what_was_learned(world):
-    # Guards against a host's control that spends its bytes on what it learned.
+def test_learned_statistics_take_few_bytes_of_heartbeats(world):
+    # Guards against heartbeats that use the bandwidth up for learned statistics.
     heartbeats = HeartbeatSizes(world)
-    began = world.now
+    start_s = world.now
     work(world, 20.0)
-    to_one = [
+    to_follower = [
         extra for _, name, _, extra in heartbeats.sizes if name == alive(world)[-1]
     ]
-    assert sum(to_one) / (world.now - began) < 320
-    assert max(to_one) <= 174
+    assert sum(to_follower) / (world.now - start_s) < 320
+    assert max(to_follower) <= 174
--- a/jackdawspur/front/tests/test_mesh.py
+++ b/jackdawspur/front/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Hosts are dialled a few at a time."""
+"""Tests of dialling other hosts."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class FakeOutbox:
-    """Connect to nobody."""
+    """An outbox without a connection."""
 
     def __init__(self, *_: object) -> None:
         self.closed = False
@@ -18,7 +18,7 @@
 
 
 class FakeInbox:
-    """Hear nobody."""
+    """An inbox that receives nothing."""
 
     def __init__(self, *_: object) -> None:
         pass
@@ -41,16 +41,16 @@
     )
 
 
-def test_many_hosts_are_dialled_a_few_a_pass(mesh: Mesh):
-    # Guards against a host that takes the lead, dials all others at once, stands still
-    # meanwhile and loses the lead again.
+def test_many_hosts_are_dialled_in_several_passes(mesh: Mesh):
+    # Guards against a new leader that dials all others at once, blocks meanwhile and
+    # loses the leadership again.
     peers = hosts(3 * DIALS_PER_PASS)
     passes = [mesh.set_peers(peers) for _ in range(4)]
     assert [len(names) for names in passes] == [DIALS_PER_PASS] * 3 + [0]
     assert passes[0] == [host.name for host in peers[:DIALS_PER_PASS]]
 
 
-def test_a_host_that_started_again_is_dialled_anew(mesh: Mesh):
+def test_a_restarted_host_is_dialled_again(mesh: Mesh):
     mesh.set_peers(hosts(2))
     assert mesh.set_peers(hosts(2)) == []
     assert mesh.set_peers(hosts(2, started_ms=2)) == ["h0", "h1"]
--- a/jackdawspur/front/tests/test_operations.py
+++ b/jackdawspur/front/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The ways of docs/OPERATIONS.md lead from a failed request's id to its cause."""
+"""Tests of the steps in docs/OPERATIONS.md from a failed request to its cause."""
 
 import time
 
@@ -11,13 +11,13 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    one = Deployment(tmp_path, hosts=2, workers=2)
-    yield one
-    one.close()
+    cluster = Deployment(tmp_path, hosts=2, workers=2)
+    yield cluster
+    cluster.close()
 
 
 def grep(deployment: Deployment, text: str) -> list[dict]:
-    """Return the lines of all hosts that hold a text, as the page's commands do."""
+    """Return the log lines of all hosts with a text, as the page's commands do."""
     lines = [line for host in deployment.hosts for line in host.log_lines()]
     return [line for line in lines if text in str(line)]
 
@@ -26,8 +26,8 @@
     return [line for line in lines if line["message"] == message]
 
 
-def test_from_a_request_lost_with_its_worker_to_the_silent_worker(deployment):
-    # A skipper gets no answer in time: both workers were cut off while its task ran.
+def test_from_a_request_lost_with_its_worker_to_the_unresponsive_worker(deployment):
+    # A caller gets no answer in time: both workers were partitioned while its task ran.
     job = "00000000000000b1"
     sent = deployment.submit(deployment.hosts[0], run_ms=2500.0, job=job)
     time.sleep(0.4)
@@ -42,8 +42,8 @@
 
 
 def test_from_a_refused_request_to_what_it_would_have_needed(deployment):
-    # A client is told to come back later: there was more work than the workers could
-    # end in time.
+    # A client is refused and has to retry later: there were more jobs than the workers
+    # could complete in time.
     host = deployment.hosts[1]
     sent = [deployment.submit(host, run_ms=400.0, tasks=4) for _ in range(12)]
     got = wait_for_answers(sent)
@@ -54,17 +54,17 @@
     ended = [x for x in grep(deployment, "job ended") if x["end"] == "refused"]
     about = grep(deployment, ended[0]["job"])
     inputs = with_message(about, "job refused")[0]["inputs"]
-    # CAUTION is 1.15; the work ahead of the job may be what makes it too late.
+    # CAUTION is 1.15; the jobs ahead of this one may be the reason that it is too late.
     assert inputs["needs_ms"] * 1.2 + inputs["ahead_ms"] > inputs["useful_ms"]
     assert inputs["jobs"] > 1
 
 
 def test_from_a_host_without_the_store_to_when_it_lost_it(deployment):
-    # Operators see an old configuration in force: the store refuses the hosts.
+    # Operators see an old configuration in force: the hosts can't read the store.
     before = {word: len(grep(deployment, f"store {word}")) for word in STORE_WORDS}
     deployment.set_faults(store_down=True)
     wait_until(lambda: len(grep(deployment, "store lost")) > before["lost"], "losses")
-    # Hosts may start before the store listens, and say so too.
+    # Hosts may start before the store listens, and log that too.
     lost = max(grep(deployment, "store lost"), key=lambda line: line["time"])
     assert lost["reason"]
     assert lost["list_age_s"] < 5.0
--- a/jackdawspur/front/tests/test_process.py
+++ b/jackdawspur/front/tests/test_process.py
@@ -1,4 +1,4 @@
-"""A host goes on when one of its parts fails."""
+"""Tests that a host keeps running when one of its parts fails."""
 
 from types import SimpleNamespace
 
@@ -11,11 +11,11 @@
 from jackdawspur.settings import check_host_settings
 
 SECONDS = 0.3
-PLACES = ("callers", "ready", "link", "metrics", "store")
+ADDRESS_SETTINGS = ("callers", "ready", "link", "metrics", "store")
 
 
 class Store:
-    """Be a store that can't be followed."""
+    """A store whose watch can't be started."""
 
     def start_watch(self, _views) -> None:
         raise RuntimeError("a fault of ours")
@@ -26,15 +26,15 @@
 
 @pytest.fixture
 def process():
-    # It listens until the tests end: on ports that no deployment takes.
-    places = dict.fromkeys(PLACES, "127.0.0.1:0")
-    settings = check_host_settings({"name": "h0", "zone": "z1", **places}, "test")
+    # It listens until the tests end, so it uses ports that no deployment takes.
+    addresses = dict.fromkeys(ADDRESS_SETTINGS, "127.0.0.1:0")
+    settings = check_host_settings({"name": "h0", "zone": "z1", **addresses}, "test")
     root = Component()
     poller = EPoll().register(root)
     parts = PlatformPorts(SimpleNamespace(), SimpleNamespace(), Store())
-    one = FrontProcess(settings, poller, lambda *_: parts, lambda: settings)
-    one.register(root)
-    return one
+    front = FrontProcess(settings, poller, lambda *_: parts, lambda: settings)
+    front.register(root)
+    return front
 
 
 def run(process: FrontProcess) -> None:
@@ -42,16 +42,16 @@
     process.root.run()
 
 
-def test_a_part_that_fails_does_not_end_the_ticks(process: FrontProcess):
-    # A host can't be stopped and tells nobody that it lives, but its balancer still
-    # sends callers: something raised in a tick, and the next one was never set.
+def test_a_failing_part_does_not_end_the_ticks(process: FrontProcess):
+    # A host can't be stopped and sends no heartbeats, but the balancer still sends it
+    # requests: a tick raised an exception, and the next one was never scheduled.
     ticked = []
     process._exit_when_drained = ticked.append
     run(process)
     assert len(ticked) >= 3
 
 
-def test_a_tick_that_fails_is_followed_by_others(process: FrontProcess):
+def test_a_failing_tick_is_followed_by_others(process: FrontProcess):
     ticked = []
 
     def fail(now: float) -> None:
--- a/jackdawspur/front/tests/test_strong_hosts.py
+++ b/jackdawspur/front/tests/test_strong_hosts.py
@@ -1,4 +1,4 @@
-"""Callers do not notice that the lead goes to a stronger host."""
+"""Tests that callers do not notice a leadership transfer to a stronger host."""
 
 import pytest
 
@@ -11,25 +11,25 @@
 
 @pytest.fixture
 def world(monkeypatch) -> World:
-    """Return a zone led by a weak host, with a strong one just started."""
-    one = World(monkeypatch, most_upstreams=64)
-    one.add_upstreams("z1", 6)
+    """Return a zone led by a weak host, in which a strong one has just started."""
+    simulation = World(monkeypatch, most_upstreams=64)
+    simulation.add_upstreams("z1", 6)
     for name in (*WEAK, "strong"):
-        one.stated[name] = {"processor": 2.0 if name == "strong" else 0.5}
+        simulation.settings[name] = {"processor": 2.0 if name == "strong" else 0.5}
     for name in WEAK:
-        one.start(name, "z1")
-    one.run(SETTLED_S)
-    one.start("strong", "z1")
-    one.run(1.0)
-    return one
+        simulation.start(name, "z1")
+    simulation.run(SETTLED_S)
+    simulation.start("strong", "z1")
+    simulation.run(1.0)
+    return simulation
 
 
-def test_weak_host_leads_beside_a_strong_one(world: World):
-    # Guards against a zone led for good by the host that was heard first, with a
-    # quarter of the strongest one's processor.
+def test_a_stronger_host_becomes_the_leader(world: World):
+    # Guards against a zone that is always led by the first host, which has a quarter of
+    # the strongest host's processor capacity.
     assert set(world.leaders()) < set(WEAK)
-    asked = ask(world, SETTLED_S, run_s=0.3, hosts=list(WEAK))
+    sent = ask(world, SETTLED_S, run_s=0.3, hosts=list(WEAK))
     world.run(2.0)
     assert world.leaders() == {"strong": "z1"}
-    assert statuses(asked) == {200: len(asked)}
+    assert statuses(sent) == {200: len(sent)}
     assert world.counters.two_at_once == 0
--- a/jackdawspur/front/tests/test_whole_path.py
+++ b/jackdawspur/front/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as processes: callers, hosts, workers and the store."""
+"""End-to-end tests with processes: callers, hosts, workers and the store."""
 
 import re
 import time
@@ -12,10 +12,10 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    one = Deployment(tmp_path)
-    yield one
-    report = one.report()
-    one.close()
+    cluster = Deployment(tmp_path)
+    yield cluster
+    report = cluster.report()
+    cluster.close()
     assert report.over_capacity == 0
     assert report.two_at_once == 0
 
@@ -25,7 +25,7 @@
     return next(host for host in deployment.hosts if host is not leader)
 
 
-def test_jobs_of_all_hosts_end_complete(deployment: Deployment):
+def test_jobs_of_all_hosts_complete(deployment: Deployment):
     sent = [deployment.submit(h, tasks=3) for h in deployment.hosts for _ in range(4)]
     got = wait_for_answers(sent)
     assert [a.status for a in got] == [200] * 12
@@ -33,11 +33,11 @@
     assert deployment.report().starts == 36
 
 
-def test_callers_see_no_break_when_the_leading_host_dies(deployment: Deployment):
-    # A supervisor's confirmation is lost: the leading host loses power while tasks of
-    # other hosts' callers run. Another host takes over what still runs. Leases (0.6 s)
-    # may end on a worker before it has looked there and prolonged them; then the task
-    # runs again, and only then.
+def test_callers_are_not_disturbed_when_the_leader_dies(deployment: Deployment):
+    # Answers are lost: the leader loses power while tasks of other hosts' callers run.
+    # The next leader takes over these runs. A lease (0.6 s) may expire on a worker
+    # before the next leader has polled it and renewed the lease; only then does the
+    # task run again.
     host, leader = follower(deployment), deployment.leader()
     sent = [deployment.submit(host, run_ms=1500.0) for _ in range(4)]
     time.sleep(0.4)
@@ -50,9 +50,9 @@
     assert [x["hand_overs"] for x in ended] == [1] * 4
 
 
-def test_a_graceful_stop_cuts_no_request(deployment: Deployment):
-    # A rolling restart loses requests in flight: the host that is told to stop, which
-    # leads, has callers of its own.
+def test_a_graceful_stop_breaks_no_request(deployment: Deployment):
+    # A rolling restart loses requests in flight: the leader has callers of its own when
+    # it receives the stop signal.
     leader = deployment.leader()
     sent = [deployment.submit(leader, run_ms=800.0) for _ in range(3)]
     time.sleep(0.2)
@@ -60,7 +60,7 @@
     assert [a.status for a in wait_for_answers(sent)] == [200] * 3
 
 
-def test_serving_goes_on_while_the_store_is_away(deployment: Deployment):
+def test_serving_goes_on_while_the_store_is_down(deployment: Deployment):
     deployment.set_faults(store_down=True)
     time.sleep(1.0)
     got = wait_for_answers([deployment.submit(host) for host in deployment.hosts])
@@ -70,8 +70,8 @@
     assert wait_for_answers([deployment.submit(deployment.hosts[0])])[0].status == 200
 
 
-def test_a_silent_workers_task_runs_again_elsewhere(deployment: Deployment):
-    # A skipper waits in vain: the worker that has the task is cut off and runs on.
+def test_a_task_of_an_unresponsive_worker_runs_again_on_another(deployment: Deployment):
+    # A caller gets no answer: the worker that runs the task is partitioned and goes on.
     host = deployment.hosts[0]
     sent = [deployment.submit(host, run_ms=1200.0, tasks=2)]
     time.sleep(0.4)
@@ -80,7 +80,7 @@
     assert got[0].status == 200
 
 
-def test_a_job_whose_caller_left_is_stopped(deployment: Deployment):
+def test_a_job_whose_caller_left_is_cancelled(deployment: Deployment):
     host = follower(deployment)
     job = "00000000000000aa"
     future = deployment.submit(host, run_ms=4000.0, job=job)
@@ -104,8 +104,7 @@
 
 
 def test_a_host_reads_its_settings_again_on_sighup(deployment: Deployment):
-    # A request is cut off: the signal that only says that settings changed ended the
-    # process.
+    # A request is broken: the signal to reload the settings ended the process.
     host = deployment.hosts[0]
     sent = deployment.submit(host, run_ms=600.0)
     time.sleep(0.2)
@@ -117,9 +116,9 @@
     )
 
 
-def test_hosts_that_start_together_have_one_leading_host(deployment: Deployment):
-    # All work is handed over while it begins: hosts that start together did not know
-    # of each other, and each took the lead.
+def test_hosts_that_start_together_have_one_leader(deployment: Deployment):
+    # All jobs are handed over just after their start: hosts that started together did
+    # not know each other, and each of them led.
     deployment.leader()
     time.sleep(1.0)
     lines = [line for host in deployment.hosts for line in host.log_lines()]
@@ -127,9 +126,9 @@
     assert len(led) == 1
 
 
-def test_a_host_that_starts_survives_a_reload(deployment: Deployment):
-    # A zone has one host less for half a second: settings changed while it started, and
-    # the signal that says so ended it, since nothing handled that yet.
+def test_a_starting_host_survives_a_reload(deployment: Deployment):
+    # A zone has one host less for half a second: the settings changed while the host
+    # started, and the signal to reload ended it, since no handler was installed yet.
     host = deployment.hosts[0]
     host.process.kill()
     host.process.wait()
@@ -143,7 +142,7 @@
 
 
 def ignores_reload(pid: int) -> bool:
-    """Tell whether a process ignores or handles SIGHUP, which is the lowest bit."""
+    """Return whether a process ignores or handles SIGHUP, the lowest bit of a mask."""
     status = Path(f"/proc/{pid}/status").read_text()
     masks = re.findall(r"^Sig(?:Ign|Cgt):\s*([0-9a-f]+)$", status, re.MULTILINE)
     return any(int(mask, 16) & 1 for mask in masks)
--- a/jackdawspur/front/tests/virtual_parts.py
+++ b/jackdawspur/front/tests/virtual_parts.py
@@ -1,4 +1,4 @@
-"""What of a host differs in virtual time: sockets, clock, store and upstreams."""
+"""Simulated sockets, timers, store and upstreams of a host in virtual time."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -27,10 +27,10 @@
 __all__ = [
     "ROUTE",
     "Callers",
-    "Life",
+    "Node",
     "Store",
     "Upstreams",
-    "VirtualDeadlines",
+    "VirtualTimerQueue",
     "VirtualMesh",
     "VirtualWeb",
 ]
@@ -40,8 +40,8 @@
 MS_PER_S = 1000.0
 
 
-class Life:
-    """Be one process of a host, until it is killed."""
+class Node:
+    """One process of a host, until it is killed."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -50,29 +50,29 @@
         self.process: FrontProcess | None = None
 
 
-class VirtualDeadlines:
-    """Call back at virtual times."""
+class VirtualTimerQueue:
+    """Calls back at virtual times."""
 
-    def __init__(self, world: "World", life: Life) -> None:
+    def __init__(self, world: "World", node: Node) -> None:
         self._world = world
-        self._life = life
+        self._node = node
 
-    def register(self, _owner) -> "VirtualDeadlines":
+    def register(self, _owner) -> "VirtualTimerQueue":
         return self
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
-        self._world.after(seconds, callback, self._life)
+        self._world.after(seconds, callback, self._node)
 
 
 class VirtualMesh:
-    """Carry messages to hosts that can be reached."""
+    """Delivers messages to reachable hosts."""
 
     dropped_messages = 0
     bytes_sent = 0
 
-    def __init__(self, world: "World", life: Life, deliver) -> None:
+    def __init__(self, world: "World", node: Node, deliver) -> None:
         self._world = world
-        self._life = life
+        self._node = node
         self.deliver = deliver
         self._peers: dict[str, HostAddress] = {}
 
@@ -87,19 +87,19 @@
         return dialled
 
     def redial(self, name: str) -> None:
-        self._world.silent_links.discard((self._life.name, name))
+        self._world.silent_links.discard((self._node.name, name))
 
     def send(self, name: str, message: GroupMessage) -> None:
         if name in self._peers:
-            self._world.carry(self._life, name, encode_message(message))
+            self._world.carry(self._node, name, encode_message(message))
 
 
 class VirtualWeb:
-    """Keep replies to callers."""
+    """Passes replies to the simulated callers."""
 
-    def __init__(self, world: "World", life: Life) -> None:
+    def __init__(self, world: "World", node: Node) -> None:
         self._world = world
-        self._life = life
+        self._node = node
         self.open_calls = 0
 
     def register(self, _owner) -> "VirtualWeb":
@@ -107,7 +107,7 @@
 
     def reply(self, call_id: int, reply: HttpResponse) -> None:
         self.open_calls -= 1
-        self._world.replied(self._life, call_id, reply)
+        self._world.replied(self._node, call_id, reply)
 
     def drain(self) -> None:
         pass
@@ -117,16 +117,20 @@
 
 
 class Callers(PlatformCallerCodec):
-    """Know the jobs by their paths."""
+    """Looks up the simulated requests by path."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
 
     def decode_call(self, call: Call, routes: RouteTable) -> CallerRequest:
-        asked = self._world.asked[call.path]
-        request = asked.request
+        sent = self._world.sent[call.path]
+        request = sent.request
         return CallerRequest(
-            RequestKind.SUBMIT, request.route, request.id, request, asked.states_s
+            RequestKind.SUBMIT,
+            request.route,
+            request.id,
+            request,
+            sent.caller_timeout_s,
         )
 
     def decode_configuration(self, document: bytes) -> RouteTable:
@@ -134,11 +138,11 @@
 
 
 class Store(StorePort):
-    """Let a host read the configuration, the hosts and the list of upstreams."""
+    """Reads the simulated configuration, hosts and list of upstreams."""
 
-    def __init__(self, world: "World", life: Life) -> None:
+    def __init__(self, world: "World", node: Node) -> None:
         self._world = world
-        self._life = life
+        self._node = node
 
     def start_watch(self, listener: StoreListener) -> None:
         self._listener = listener
@@ -147,15 +151,15 @@
         self._every(lambda: listener.upstream_list_interval_s, self._read_list)
 
     def announce(self, host: HostAddress) -> None:
-        self._world.after(READ_S, lambda: self._world.announce(host), self._life)
+        self._world.after(READ_S, lambda: self._world.announce(host), self._node)
 
     def _every(self, pause_s: Callable[[], float], read: Callable[[], None]) -> None:
-        def again() -> None:
-            if self._life.name not in self._world.storeless:
+        def read_and_reschedule() -> None:
+            if self._node.name not in self._world.storeless:
                 read()
-            self._world.after(pause_s(), again, self._life)
+            self._world.after(pause_s(), read_and_reschedule, self._node)
 
-        self._world.after(READ_S, again, self._life)
+        self._world.after(READ_S, read_and_reschedule, self._node)
 
     def _read_configuration(self) -> None:
         self._listener.on_configuration(1, b"1")
@@ -165,35 +169,35 @@
         self._listener.on_hosts(tuple(self._world.announced.values()))
 
     def _read_list(self) -> None:
-        shown = self._world.shown.get(self._life.name)
-        entries = self._world.listed[:shown]
+        limit = self._world.list_limits.get(self._node.name)
+        entries = self._world.listed[:limit]
         if entries:
             self._listener.on_upstreams(entries)
 
 
 class Upstreams(UpstreamPort):
-    """Call upstreams."""
+    """Calls simulated upstreams."""
 
-    def __init__(self, world: "World", life: Life) -> None:
+    def __init__(self, world: "World", node: Node) -> None:
         self._world = world
-        self._life = life
+        self._node = node
 
     def start(self, effect: StartRun, done: Callable[[CallOutcome], None]) -> None:
         world = self._world
-        work = world.demand_of(effect.run.task)
+        demand = world.demand_of(effect.run.task)
 
         def act(upstream: SimulatedUpstream) -> CallOutcome:
             return upstream.start(
-                effect.run, effect.lease_until_ms, effect.fence, work, world.now
+                effect.run, effect.lease_until_ms, effect.fence, demand, world.now
             )
 
-        world.call(self._life, effect, act, done)
+        world.call(self._node, effect, act, done)
 
     def stop(self, effect: StopRun, done: Callable[[CallOutcome], None]) -> None:
         def act(upstream: SimulatedUpstream) -> CallOutcome:
             return upstream.stop(effect.run, effect.fence, self._world.now)
 
-        self._world.call(self._life, effect, act, done)
+        self._world.call(self._node, effect, act, done)
 
     def poll_runs(self, effect: PollUpstream, done: Callable) -> None:
         world = self._world
@@ -205,10 +209,10 @@
             if outcome is not CallOutcome.OK:
                 return outcome
             until = world.now + effect.wait_ms / MS_PER_S
-            world.waiting.append((effect, self._life, done, until))
+            world.waiting.append((effect, self._node, done, until))
             return None
 
-        world.call(self._life, effect, act, done)
+        world.call(self._node, effect, act, done)
 
     def close_connections_except(self, addresses: set[str]) -> None:
         pass
