--- a/jackdawspur/front/_mesh.py
+++ b/jackdawspur/front/_mesh.py
@@ -38,7 +38,7 @@
     ) -> None:
         super().__init__()
         self._deliver = deliver
-        self._out: dict[str, tuple[HostAddress, Outbox]] = {}
+        self._outboxes: dict[str, tuple[HostAddress, Outbox]] = {}
         Inbox(bind, poller, MAX_MESSAGE_BYTES, self._receive).register(self)
         self.dropped_messages = 0
         self.bytes_sent = 0
@@ -49,10 +49,10 @@
         Connections to earlier incarnations and to other hosts are closed.
         """
         wanted = {host.name: host for host in hosts}
-        for name, (host, _socket) in list(self._out.items()):
+        for name, (host, _socket) in list(self._outboxes.items()):
             if wanted.get(name) != host:
                 self._close(name)
-        missing = [host for name, host in wanted.items() if name not in self._out]
+        missing = [host for name, host in wanted.items() if name not in self._outboxes]
         for host in missing[:DIALS_PER_PASS]:
             self._dial(host)
         return [host.name for host in missing[:DIALS_PER_PASS]]
@@ -63,14 +63,14 @@
         A connection can go silent for good without a reset while new ones work;
         messages queued on it would never be sent.
         """
-        known = self._out.get(name)
+        known = self._outboxes.get(name)
         if known is not None:
             self._close(name)
             self._dial(known[0])
 
     def send(self, name: str, message: GroupMessage) -> bool:
         """Queue a message; return False if the host is unknown or its queue is full."""
-        known = self._out.get(name)
+        known = self._outboxes.get(name)
         if known is None:
             self.dropped_messages += 1
             return False
@@ -83,10 +83,10 @@
 
     def _dial(self, host: HostAddress) -> None:
         outbox = Outbox(host.link, SEND_QUEUE, RECONNECT_MIN_MS, RECONNECT_MAX_MS)
-        self._out[host.name] = (host, outbox)
+        self._outboxes[host.name] = (host, outbox)
 
     def _close(self, name: str) -> None:
-        self._out.pop(name)[1].close()
+        self._outboxes.pop(name)[1].close()
 
     def _receive(self, data: bytes) -> None:
         try:
--- a/jackdawspur/front/_status.py
+++ b/jackdawspur/front/_status.py
@@ -162,20 +162,20 @@
 
 
 def _upstream(
-    held: LeasedUpstream, leader_driver: LeaderDriver, now: float
+    leased: LeasedUpstream, leader_driver: LeaderDriver, now: float
 ) -> UpstreamStatus:
-    estimates, upstream = leader_driver.dispatcher.estimates, held.entry.id
+    estimates, upstream = leader_driver.dispatcher.estimates, leased.entry.id
     return UpstreamStatus(
         name=upstream.name,
         zone=upstream.zone,
-        owned=held.acquired,
-        answers=held.responsive,
-        silent_ms=round((now - held.last_reply_at) * MS_PER_S),
-        draining=held.entry.draining,
+        owned=leased.acquired,
+        answers=leased.responsive,
+        silent_ms=round((now - leased.last_reply_at) * MS_PER_S),
+        draining=leased.entry.draining,
         allowed=estimates.allows(upstream, now),
         pace=round(estimates.slowdown(upstream), 2),
-        runs=len(held.runs),
-        free_cpu_millis=held.free.cpu_millis,
+        runs=len(leased.runs),
+        free_cpu_millis=leased.free.cpu_millis,
     )
 
 
--- a/jackdawspur/front/_views.py
+++ b/jackdawspur/front/_views.py
@@ -107,19 +107,19 @@
         self.evacuated = zones
         self._owner.upstreams_changed()
 
-    def on_upstream_update(self, passed: UpstreamListUpdate, now: float) -> None:
+    def on_upstream_update(self, update: UpstreamListUpdate, now: float) -> None:
         """Record another host's list if it is newer.
 
         A message delayed by a network partition is ignored: its list is older than the
         stated age.
         """
-        if is_stale_message(passed.receiver_at, now):
+        if is_stale_message(update.receiver_at, now):
             return
-        if passed.age_s < self.age_s(now):
-            self.list_read_at = now - passed.age_s
+        if update.age_s < self.age_s(now):
+            self.list_read_at = now - update.age_s
             if not self.reachable:
-                self.on_evacuated_zones(frozenset(passed.evacuated))
-            self._set_entries(passed.entries)
+                self.on_evacuated_zones(frozenset(update.evacuated))
+            self._set_entries(update.entries)
 
     def on_hosts(self, hosts: tuple[HostAddress, ...]) -> None:
         """Record the addresses of the other hosts."""
--- a/jackdawspur/front/tests/faulty.py
+++ b/jackdawspur/front/tests/faulty.py
@@ -30,8 +30,8 @@
 ENTRY_EXPIRY_S = 1.5
 # Time for which hosts retain an entry that vanished from the list.
 VANISHED_RETENTION_S = 2.5
-# What is sent on a link just after it was cut is retransmitted for a while, as TCP does
-# until the host reconnects.
+# What is sent on a link just after a partition began is retransmitted for a while, as
+# TCP does until the host reconnects.
 RETRANSMIT_WINDOW_S = 0.4
 RETRANSMIT_INTERVAL_S = 0.25
 MAX_RETRANSMITS = 12
@@ -106,7 +106,7 @@
         """Kill a host; the connections of its callers break."""
         node = self.nodes[name]
         node.dead = True
-        for number in [n for one, n in self._calls if one is node]:
+        for number in [n for caller_node, n in self._calls if caller_node is node]:
             self._break_call(node, number)
 
     def stop_gracefully(self, name: str) -> None:
@@ -349,8 +349,10 @@
 
     def _unreachable(self, node: Node, upstream: FaultyUpstream) -> bool:
         zones = self.zones[node.name], upstream.entry.id.zone
-        is_down = upstream.silent or (upstream.is_down and not upstream.is_replaced)
-        return is_down or node.name in self.isolated or not self.reachable(*zones)
+        unresponsive = upstream.silent or (
+            upstream.is_down and not upstream.is_replaced
+        )
+        return unresponsive or node.name in self.isolated or not self.reachable(*zones)
 
     def call(self, node: Node, effect, act, done) -> None:
         upstream = self.upstreams[effect.upstream]
--- a/jackdawspur/front/tests/combined_faults.py
+++ b/jackdawspur/front/tests/more_faults.py
@@ -150,28 +150,28 @@
     world, rng = scenario.world, scenario.rng
     zone = rng.choice(scenario.zones)
     pairs = {frozenset((zone, other)) for other in scenario.zones if other != zone}
-    away_s, back_s = rng.uniform(0.1, 0.6), rng.uniform(0.01, 0.3)
+    partitioned_s, back_s = rng.uniform(0.1, 0.6), rng.uniform(0.01, 0.3)
     until = world.now + seconds
 
     def start_partition() -> None:
         if world.now < until:
             world.partitions |= pairs
-            world.after(away_s, end_partition)
+            world.after(partitioned_s, end_partition)
 
     def end_partition() -> None:
         world.partitions.difference_update(pairs)
         world.after(back_s, start_partition)
 
     start_partition()
-    return f"{zone} {away_s:.2f} {back_s:.2f} {seconds:.2f}"
+    return f"{zone} {partitioned_s:.2f} {back_s:.2f} {seconds:.2f}"
 
 
 def one_way_loss(scenario: "FaultScenario", seconds: float) -> str:
     """Lose all messages from a host or to it, while upstreams come and leave."""
     world, name = scenario.world, scenario._host()
     others = [other for other in world.nodes if other != name]
-    out = scenario.rng.random() < 0.7
-    pairs = {(name, other) if out else (other, name) for other in others}
+    outgoing = scenario.rng.random() < 0.7
+    pairs = {(name, other) if outgoing else (other, name) for other in others}
     world.one_way |= pairs
     world.storeless.add(name)
     details = scenario.crash_upstream(0.05) if scenario._running_upstreams() else ""
@@ -186,7 +186,7 @@
                 _stop_or_kill(scenario, leader)
 
     world.after(seconds, back)
-    return f"{name} {out} {details} {seconds:.2f}"
+    return f"{name} {outgoing} {details} {seconds:.2f}"
 
 
 def isolate_zone(scenario: "FaultScenario", seconds: float) -> str:
@@ -194,20 +194,20 @@
     world, rng = scenario.world, scenario.rng
     zone = rng.choice(scenario.zones)
     pairs = {frozenset((zone, other)) for other in scenario.zones if other != zone}
-    away = {name for name, where in world.zones.items() if where == zone}
+    affected = {name for name, where in world.zones.items() if where == zone}
     world.partitions |= pairs
-    world.storeless |= away
+    world.storeless |= affected
     running = scenario._running_upstreams()
     for upstream in rng.sample(
         running, max(0, min(len(running) - 1, rng.randint(1, 2)))
     ):
         world.crash(upstream.entry.id, rng.choice((0.05, 0.5)))
     # An entry expires some seconds after its upstream crashed.
-    whole_s = max(seconds, rng.choice((0.0, 4.6)))
-    world.after(whole_s, lambda: world.partitions.difference_update(pairs))
-    back_s = whole_s + rng.uniform(0.0, 0.5)
-    world.after(back_s, lambda: world.storeless.difference_update(away))
-    return f"{zone} {whole_s:.2f} {back_s:.2f}"
+    partition_s = max(seconds, rng.choice((0.0, 4.6)))
+    world.after(partition_s, lambda: world.partitions.difference_update(pairs))
+    back_s = partition_s + rng.uniform(0.0, 0.5)
+    world.after(back_s, lambda: world.storeless.difference_update(affected))
+    return f"{zone} {partition_s:.2f} {back_s:.2f}"
 
 
 COMBINED_FAULTS: tuple[Fault, ...] = (
--- a/jackdawspur/front/tests/random_faults.py
+++ b/jackdawspur/front/tests/random_faults.py
@@ -3,10 +3,10 @@
 import random
 from collections.abc import Callable
 
-from jackdawspur.front.tests.combined_faults import COMBINED_FAULTS
 from jackdawspur.front.tests.faulty import FaultyWorld
 from jackdawspur.front.tests.faulty_parts import Caller
 from jackdawspur.front.tests.findings import Finding, find
+from jackdawspur.front.tests.more_faults import COMBINED_FAULTS
 from jackdawspur.group import _leadership_transfer
 
 __all__ = ["LAYOUTS", "FaultScenario", "run_seed"]
@@ -242,10 +242,10 @@
         return f"{name} {seconds:.2f}"
 
     def cut_off_store(self, seconds: float) -> str:
-        away = {name for name in self.world.nodes if self.rng.random() < 0.7}
-        self.world.storeless |= away
-        self.world.after(seconds, lambda: self.world.storeless.difference_update(away))
-        return f"{sorted(away)} {seconds:.2f}"
+        names = {name for name in self.world.nodes if self.rng.random() < 0.7}
+        self.world.storeless |= names
+        self.world.after(seconds, lambda: self.world.storeless.difference_update(names))
+        return f"{sorted(names)} {seconds:.2f}"
 
     def partition_pair(self, seconds: float) -> str:
         pair = frozenset(self._pair())
--- a/jackdawspur/front/tests/test_zones_that_differ.py
+++ b/jackdawspur/front/tests/test_changing_groups.py
@@ -10,8 +10,8 @@
 from jackdawspur.group import Group
 
 
-def two_zones(monkeypatch, most: int, first: int, second: int) -> World:
-    world = World(monkeypatch, most_upstreams=most)
+def two_zones(monkeypatch, limit: int, first: int, second: int) -> World:
+    world = World(monkeypatch, most_upstreams=limit)
     world.add_upstreams("z1", first)
     world.add_upstreams("z2", second)
     start_all(world)
@@ -206,11 +206,11 @@
     for name in alive(world):
         world.nodes[name].process.views.on_upstreams(world.listed)
     world.run(0.05)
-    here = running_in(world, zone)
-    assert here == 8
+    running_here = running_in(world, zone)
+    assert running_here == 8
     drain(world, leader)
     world.run(3.0)
-    assert statuses(sent)[200] >= here
+    assert statuses(sent)[200] >= running_here
 
 
 def test_a_host_without_a_list_has_its_callers_served(monkeypatch):
--- a/jackdawspur/front/tests/test_full_link.py
+++ b/jackdawspur/front/tests/test_full_link.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jackdawspur.front.tests.test_zones_that_differ import ask, statuses
+from jackdawspur.front.tests.test_changing_groups import ask, statuses
 from jackdawspur.front.tests.virtual import World
 from jackdawspur.front.tests.virtual_parts import Node
 from jackdawspur.leases import CallOutcome
--- a/jackdawspur/front/tests/test_heartbeats.py
+++ b/jackdawspur/front/tests/test_heartbeats.py
@@ -141,7 +141,7 @@
     # Hosts without callers take most of the processor time of a large deployment: each
     # of 13 in a zone sent heartbeats to all others ten times a second.
     host.send(10)
-    counts = Counter(name for name, _send_heartbeats in host.mesh.sent)
+    counts = Counter(name for name, _heartbeat in host.mesh.sent)
     assert counts.pop(LEADER) == 10
     assert set(counts.values()) == {1} and len(counts) == len(HOSTS) - 2
 
@@ -167,7 +167,7 @@
     host.mesh.sent.clear()
     host.hear("c", follows=0)
     host.send(2)
-    assert sum(name == "c" for name, _send_heartbeats in host.mesh.sent) == 2
+    assert sum(name == "c" for name, _heartbeat in host.mesh.sent) == 2
 
 
 class Zone:
@@ -270,4 +270,4 @@
     # Guards against a host that starts beside a hundred others and sends heartbeats to
     # all of them with each one that it discovers, which blocks its loop for seconds.
     host.heartbeats.greet(["c", "d"], host.now)
-    assert [name for name, _send_heartbeats in host.mesh.sent] == ["c", "d"]
+    assert [name for name, _heartbeat in host.mesh.sent] == ["c", "d"]
--- a/jackdawspur/front/tests/test_learned.py
+++ b/jackdawspur/front/tests/test_learned.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jackdawspur.front.tests.test_between_groups import leader_of
-from jackdawspur.front.tests.test_zones_that_differ import alive, drain
+from jackdawspur.front.tests.test_changing_groups import alive, drain
 from jackdawspur.front.tests.virtual import World
 from jackdawspur.group import HostHeartbeat, decode_message, encode_message
 from jackdawspur.model import UpstreamId
--- a/jackdawspur/front/tests/test_process.py
+++ b/jackdawspur/front/tests/test_process.py
@@ -18,7 +18,7 @@
     """A store whose watch can't be started."""
 
     def start_watch(self, _views) -> None:
-        raise RuntimeError("a fault of ours")
+        raise RuntimeError("injected failure")
 
     def announce(self, _address) -> None:
         pass
@@ -56,7 +56,7 @@
 
     def fail(now: float) -> None:
         ticked.append(now)
-        raise RuntimeError("a fault of ours")
+        raise RuntimeError("injected failure")
 
     process.callers.tick = fail
     run(process)
--- a/jackdawspur/front/tests/test_strong_hosts.py
+++ b/jackdawspur/front/tests/test_strong_hosts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jackdawspur.front.tests.test_zones_that_differ import ask, statuses
+from jackdawspur.front.tests.test_changing_groups import ask, statuses
 from jackdawspur.front.tests.virtual import World
 
 SETTLED_S = 8.0
--- a/jackdawspur/front/tests/virtual_parts.py
+++ b/jackdawspur/front/tests/virtual_parts.py
@@ -81,9 +81,9 @@
 
     def set_peers(self, hosts: tuple[HostAddress, ...]) -> list[str]:
         wanted = {host.name: host for host in hosts}
-        kept = {n: h for n, h in self._peers.items() if wanted.get(n) == h}
-        dialled = [name for name in wanted if name not in kept][:DIALS_PER_PASS]
-        self._peers = kept | {name: wanted[name] for name in dialled}
+        retained = {n: h for n, h in self._peers.items() if wanted.get(n) == h}
+        dialled = [name for name in wanted if name not in retained][:DIALS_PER_PASS]
+        self._peers = retained | {name: wanted[name] for name in dialled}
         return dialled
 
     def redial(self, name: str) -> None:
--- a/jackdawspur/group/_group.py
+++ b/jackdawspur/group/_group.py
@@ -32,7 +32,7 @@
 # At startup hosts must discover each other before one leads: reading the store, a
 # connection and a heartbeat each way take 0.02 s, and hosts start within 0.3 s.
 INITIAL_TAKEOVER_S = 0.25
-# Least time between the first read of the store, which may answer late, and leading.
+# Least time between the first read of the store, which may be late, and taking over.
 PEERING_S = 0.2
 # Longest wait of a heartbeat before it is read; a host paused for longer can't lead.
 READ_MARGIN_S = 0.4
@@ -147,8 +147,8 @@
 
     def _zone_group_leaders(self, now: float) -> list[HostHeartbeat]:
         """Return the heartbeats of leaders of groups of one other zone."""
-        leading = self._recent_leaders(now)
-        return [b for b in leading if b.by_zone and b.host.zone != self._local.zone]
+        leaders = self._recent_leaders(now)
+        return [b for b in leaders if b.by_zone and b.host.zone != self._local.zone]
 
     def covers(self, zone: str) -> bool:
         """Return whether a zone belongs to the group."""
@@ -183,12 +183,12 @@
         """Record a heartbeat; return whether it named hosts that were not known.
 
         One that arrives after a later one, over a connection that was slow to break, is
-        ignored: it could make this host follow an ended term, or lead itself.
+        ignored: it could make this host follow an ended term, or become the leader.
         """
         last = self._peers.get(heartbeat.host.name)
         if last is not None and heartbeat.is_before(last):
             return False
-        learned = [self.add_host(host) for host in (heartbeat.host, *heartbeat.knows)]
+        new_hosts = [self.add_host(host) for host in (heartbeat.host, *heartbeat.knows)]
         fresh = last is None or not self.is_alive(heartbeat.host.name, now)
         if fresh and self.includes(heartbeat):
             self._contention.reset(now)
@@ -197,7 +197,7 @@
         self._max_fence = max(self._max_fence, heartbeat.fence)
         if heartbeat.leads:
             self._choose_zones(now)
-        return any(learned)
+        return any(new_hosts)
 
     def record_message(self, name: str, now: float) -> None:
         """Record a message as a sign of life; it may precede the first heartbeat."""
@@ -285,12 +285,12 @@
 
     def _leader_heartbeat(self, now: float) -> HostHeartbeat | None:
         """Return the last heartbeat of the leader if it is another host, else None."""
-        leading = [
+        leaders = [
             b
             for b in self._peers.values()
             if b.leads and self._leads_this_group(b) and self.is_alive(b.host.name, now)
         ]
-        return max(leading, key=precedence, default=None)
+        return max(leaders, key=precedence, default=None)
 
     def update_leadership(self, ready: bool, unix_ms: float, now: float) -> bool:
         """Start or stop leading if due; return whether that changed."""
--- a/jackdawspur/group/tests/test_group.py
+++ b/jackdawspur/group/tests/test_group.py
@@ -30,7 +30,7 @@
         self.groups = {name: Group(address(name), self.now) for name in names}
         self.stopped: set[str] = set()
         self.unready: set[str] = set()
-        self.partitioned: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
 
     def heartbeat(self, name: str) -> HostHeartbeat:
         return heartbeat_of(self.groups[name], address(name), self.now)
@@ -44,7 +44,7 @@
                 for other in running:
                     if (
                         other != name
-                        and frozenset((name, other)) not in self.partitioned
+                        and frozenset((name, other)) not in self.partitions
                     ):
                         self.groups[name].record_heartbeat(heartbeats[other], self.now)
             for name in running:
@@ -92,10 +92,10 @@
 def test_both_sides_of_a_partition_have_a_leader_and_one_remains_after_it(hosts: Hosts):
     (leader,) = hosts.leaders()
     others = [name for name in hosts.groups if name != leader]
-    hosts.partitioned = {frozenset((leader, other)) for other in others}
+    hosts.partitions = {frozenset((leader, other)) for other in others}
     hosts.advance(1.0)
     assert len(hosts.leaders()) == 2
-    hosts.partitioned.clear()
+    hosts.partitions.clear()
     hosts.advance(0.3)
     assert len(hosts.leaders()) == 1
 
@@ -129,7 +129,7 @@
     # all upstreams, and it and the others' leader alternately stop each other's tasks.
     (leader,) = hosts.leaders()
     others = [name for name in hosts.groups if name != leader]
-    hosts.partitioned = {frozenset((leader, other)) for other in others}
+    hosts.partitions = {frozenset((leader, other)) for other in others}
     hosts.advance(1.0)
     (second,) = [name for name in hosts.leaders() if name != leader]
     for _ in range(2):
@@ -138,7 +138,7 @@
     assert hosts.leaders() == [second]
     hosts.advance(1.0)
     assert hosts.leaders() == [second]
-    hosts.partitioned.clear()
+    hosts.partitions.clear()
     hosts.advance(0.3)
     assert hosts.groups[leader].leader(hosts.now) == second
     assert not hosts.groups[leader].backing_off
@@ -150,7 +150,7 @@
     # side met an unknown fence and took the upstreams from the other.
     (leader,) = hosts.leaders()
     others = [name for name in hosts.groups if name != leader]
-    hosts.partitioned = {frozenset((leader, other)) for other in others}
+    hosts.partitions = {frozenset((leader, other)) for other in others}
     hosts.advance(1.0)
     fences = {hosts.groups[name].fence for name in hosts.leaders()}
     for tenth in range(1, 11):
@@ -158,7 +158,7 @@
         for name in both if len(both) == 2 else ():
             hosts.groups[name].contend_for_upstreams(tenth / 10, UNIX_MS, hosts.now)
         if tenth == RECONNECTED_TENTHS:
-            hosts.partitioned.clear()
+            hosts.partitions.clear()
         hosts.advance(0.1)
     (second,) = hosts.leaders()
     assert hosts.groups[second].fence in fences
@@ -251,12 +251,12 @@
     cluster.advance(0.5)
     (first,) = cluster.leaders()
     others = [name for name in cluster.groups if name not in (first, former_leader)]
-    cluster.partitioned = {
+    cluster.partitions = {
         frozenset((n, other)) for n in (first, former_leader) for other in others
     }
     cluster.advance(1.0)
     second = next(name for name in cluster.leaders() if name != first)
-    cluster.partitioned.remove(frozenset((first, second)))
+    cluster.partitions.remove(frozenset((first, second)))
     return cluster
 
 
@@ -266,7 +266,7 @@
     reconnecting.advance(0.4)
     assert len(reconnecting.leaders()) == 1
     (leader,) = reconnecting.leaders()
-    reconnecting.partitioned.clear()
+    reconnecting.partitions.clear()
     reconnecting.advance(0.3)
     assert reconnecting.leaders() == [leader]
 
@@ -284,14 +284,14 @@
     # enough ago. They then alternately take the upstreams from each other.
     hosts = Hosts("a", "b", "c")
     hosts.unready = set(hosts.groups)
-    hosts.partitioned = {frozenset(pair) for pair in ("ab", "ac", "bc")}
+    hosts.partitions = {frozenset(pair) for pair in ("ab", "ac", "bc")}
     hosts.advance(INITIAL_TAKEOVER_S + 0.2)
     hosts.unready = set()
     hosts.advance(0.05)
     assert hosts.leaders() == []
     hosts.advance(PEERING_S - 0.1)
     assert hosts.leaders() == []
-    hosts.partitioned = set()
+    hosts.partitions = set()
     hosts.advance(0.1)
     assert len(hosts.leaders()) == 1
 
