--- a/jackdawspur/front/tests/more_faults.py
+++ b/jackdawspur/front/tests/more_faults.py
@@ -1,4 +1,4 @@
-"""Kinds of faults that some layouts draw beside the others."""
+"""Further kinds of faults, most of them combinations, for some layouts."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -7,213 +7,224 @@
 from jackdawspur.leases import Resources
 
 if TYPE_CHECKING:
-    from jackdawspur.front.tests.drawn import Play
+    from jackdawspur.front.tests.random_faults import FaultScenario
 
-__all__ = ["MORE_STILL"]
+__all__ = ["COMBINED_FAULTS"]
 
-Fault = Callable[["Play", float], str]
+Fault = Callable[["FaultScenario", float], str]
 
 CRASHES_AFTER_S = 0.05
-MOST_CRASHES = 4
-# What a shrunken upstream has left of its processor capacity, in thousandths.
-SHRUNKEN = Resources(15_000, 131_072, 0)
-RESTARTS_EVERY_S = 0.6
+MAX_CRASHES = 4
+# Remaining capacity of an upstream; the processor is in thousandths of a core.
+REDUCED_CAPACITY = Resources(15_000, 131_072, 0)
+RESTART_INTERVAL_S = 0.6
 
 
-def crashing_task(play: "Play", seconds: float) -> str:
-    """Let a job come whose tasks crash what runs them, beside a change of lead."""
-    world, rng = play.world, play.rng
+def crashing_task(scenario: "FaultScenario", seconds: float) -> str:
+    """Submit a job whose tasks crash their upstreams, during a change of leader."""
+    world, rng = scenario.world, scenario.rng
     caller = world.ask(
-        rng.choice(play.zones), rng.choice((0.2, 0.9)), rng.randint(1, 3)
+        rng.choice(scenario.zones), rng.choice((0.2, 0.9)), rng.randint(1, 3)
     )
     job = caller.request.id
     crashes = [0]
     same_name = rng.random() < 0.5
 
-    def look() -> None:
-        for one in list(world.upstreams.values()):
-            if crashes[0] < MOST_CRASHES and one.runs_any(job):
+    def crash_where_running() -> None:
+        for upstream in list(world.upstreams.values()):
+            if crashes[0] < MAX_CRASHES and upstream.runs_any(job):
                 crashes[0] += 1
                 fail = world.restart if same_name else world.crash
-                fail(one.entry.id, rng.choice((0.02, 0.3)))
-        if crashes[0] < MOST_CRASHES:
-            world.after(CRASHES_AFTER_S, look)
+                fail(upstream.entry.id, rng.choice((0.02, 0.3)))
+        if crashes[0] < MAX_CRASHES:
+            world.after(CRASHES_AFTER_S, crash_where_running)
 
-    look()
+    crash_where_running()
     for name in list(world.leaders()):
-        world.after(rng.uniform(0.0, 0.6), lambda name=name: _stop_or_kill(play, name))
+        world.after(
+            rng.uniform(0.0, 0.6), lambda name=name: _stop_or_kill(scenario, name)
+        )
     return f"{job} {same_name}"
 
 
-def _stop_or_kill(play: "Play", name: str) -> None:
-    if play.world.lives[name].dead:
+def _stop_or_kill(scenario: "FaultScenario", name: str) -> None:
+    if scenario.world.nodes[name].dead:
         return
-    if play.rng.random() < 0.5:
-        play.world.kill(name)
-        play._start_again(name, 0.5)
+    if scenario.rng.random() < 0.5:
+        scenario.world.kill(name)
+        scenario._restart_later(name, 0.5)
     else:
-        play.world.stop_gracefully(name)
-        play._start_again(name, 7.0)
+        scenario.world.stop_gracefully(name)
+        scenario._restart_later(name, 7.0)
 
 
-def shrink_upstreams(play: "Play", seconds: float) -> str:
-    """Let upstreams have less room for a while, as their entries say at once."""
-    up = play._up()
-    some = play.rng.sample(up, min(len(up), play.rng.randint(1, 3)))
-    kept = [one.entry.capacity for one in some]
-    for one in some:
-        _set_capacity(play, one, SHRUNKEN)
+def reduce_capacity(scenario: "FaultScenario", seconds: float) -> str:
+    """Reduce the capacity of upstreams for a while, and in their entries at once."""
+    running = scenario._running_upstreams()
+    chosen = scenario.rng.sample(running, min(len(running), scenario.rng.randint(1, 3)))
+    capacities = [upstream.entry.capacity for upstream in chosen]
+    for upstream in chosen:
+        _set_capacity(scenario, upstream, REDUCED_CAPACITY)
 
     def back() -> None:
-        for one, capacity in zip(some, kept, strict=True):
-            _set_capacity(play, one, capacity)
+        for upstream, capacity in zip(chosen, capacities, strict=True):
+            _set_capacity(scenario, upstream, capacity)
 
-    play.world.after(seconds, back)
-    return f"{[str(one.entry.id) for one in some]} {seconds:.2f}"
+    scenario.world.after(seconds, back)
+    return f"{[str(upstream.entry.id) for upstream in chosen]} {seconds:.2f}"
 
 
-def _set_capacity(play: "Play", one, capacity: Resources) -> None:
-    world = play.world
-    one.guards = True
-    one.entry = replace(one.entry, capacity=capacity)
+def _set_capacity(scenario: "FaultScenario", upstream, capacity: Resources) -> None:
+    world = scenario.world
+    upstream.guards = True
+    upstream.entry = replace(upstream.entry, capacity=capacity)
     world.listed = tuple(
-        replace(entry, capacity=capacity) if entry.id == one.entry.id else entry
+        replace(entry, capacity=capacity) if entry.id == upstream.entry.id else entry
         for entry in world.listed
     )
 
 
-def lose_power_of_zone(play: "Play", seconds: float) -> str:
-    """Let all hosts of a zone die, half of the time with its upstreams."""
-    world, rng = play.world, play.rng
-    zone = rng.choice(play.zones)
+def zone_power_loss(scenario: "FaultScenario", seconds: float) -> str:
+    """Kill all hosts of a zone, with probability 0.5 also its upstreams."""
+    world, rng = scenario.world, scenario.rng
+    zone = rng.choice(scenario.zones)
     for name, where in world.zones.items():
         if where == zone:
             world.kill(name)
-            play._start_again(name, rng.uniform(0.2, 0.8))
+            scenario._restart_later(name, rng.uniform(0.2, 0.8))
     upstreams = rng.random() < 0.5
-    for one in play._up() if upstreams else ():
-        if one.entry.id.zone == zone:
-            world.crash(one.entry.id, rng.uniform(0.1, 0.5))
+    for upstream in scenario._running_upstreams() if upstreams else ():
+        if upstream.entry.id.zone == zone:
+            world.crash(upstream.entry.id, rng.uniform(0.1, 0.5))
     return f"{zone} {upstreams}"
 
 
-def lose_all_power(play: "Play", seconds: float) -> str:
-    """Let all hosts die, and half of the time all upstreams."""
-    upstreams = play.rng.random() < 0.5
-    for one in play._up() if upstreams else ():
-        play.world.crash(one.entry.id, play.rng.uniform(0.1, 0.5))
-    play.kill_all(seconds)
+def total_power_loss(scenario: "FaultScenario", seconds: float) -> str:
+    """Kill all hosts, with probability 0.5 also all upstreams."""
+    upstreams = scenario.rng.random() < 0.5
+    for upstream in scenario._running_upstreams() if upstreams else ():
+        scenario.world.crash(upstream.entry.id, scenario.rng.uniform(0.1, 0.5))
+    scenario.kill_all(seconds)
     return f"{upstreams}"
 
 
-def restart_in_turn(play: "Play", seconds: float) -> str:
-    """Start hosts again in turn without the store, beside a cut and late orders."""
-    world, rng = play.world, play.rng
-    told = [play.store_away(seconds), play.cut_zone(rng.uniform(0.3, seconds + 0.3))]
-    told.append(play.late_orders(seconds))
-    names = list(world.lives)
+def rolling_restart(scenario: "FaultScenario", seconds: float) -> str:
+    """Restart hosts one by one without the store, with a partition and late calls."""
+    world, rng = scenario.world, scenario.rng
+    details = [
+        scenario.cut_off_store(seconds),
+        scenario.partition_zone(rng.uniform(0.3, seconds + 0.3)),
+    ]
+    details.append(scenario.delay_calls(seconds))
+    names = list(world.nodes)
     rng.shuffle(names)
     for number, name in enumerate(names[: rng.randint(2, len(names))]):
-        world.after(number * RESTARTS_EVERY_S, lambda name=name: _turn(play, name))
-    return " ".join(told)
+        world.after(
+            number * RESTART_INTERVAL_S, lambda name=name: _restart_one(scenario, name)
+        )
+    return " ".join(details)
 
 
-def _turn(play: "Play", name: str) -> None:
-    if play.world.now < play.ends and not play.world.lives[name].dead:
-        play.world.kill(name)
-        play._start_again(name, 0.3)
+def _restart_one(scenario: "FaultScenario", name: str) -> None:
+    if scenario.world.now < scenario.faults_end and not scenario.world.nodes[name].dead:
+        scenario.world.kill(name)
+        scenario._restart_later(name, 0.3)
 
 
-def reset_beside_silence(play: "Play", seconds: float) -> str:
-    """Let links of a host go silent just before its callers' connections break."""
-    told = play.reset_links(seconds)
-    play.world.after(
-        play.rng.uniform(0.0, 0.2),
+def reset_with_silent_links(scenario: "FaultScenario", seconds: float) -> str:
+    """Let the links of a host go silent just before its callers' connections break."""
+    details = scenario.reset_links(seconds)
+    scenario.world.after(
+        scenario.rng.uniform(0.0, 0.2),
         lambda: [
-            play.world.reset(life, number)
-            for life, number in play.world.open_calls
-            if life.name == told
+            scenario.world.reset(node, number)
+            for node, number in scenario.world.open_calls
+            if node.name == details
         ],
     )
-    return told
+    return details
 
 
-def flap(play: "Play", seconds: float) -> str:
-    """Let a zone be cut off again and again, for less than a host counts as lost."""
-    world, rng = play.world, play.rng
-    zone = rng.choice(play.zones)
-    pairs = {frozenset((zone, one)) for one in play.zones if one != zone}
-    away_s, back_s = rng.uniform(0.1, 0.6), rng.uniform(0.01, 0.3)
+def flapping_zone(scenario: "FaultScenario", seconds: float) -> str:
+    """Partition a zone repeatedly, often for less than the heartbeat timeout."""
+    world, rng = scenario.world, scenario.rng
+    zone = rng.choice(scenario.zones)
+    pairs = {frozenset((zone, other)) for other in scenario.zones if other != zone}
+    partitioned_s, back_s = rng.uniform(0.1, 0.6), rng.uniform(0.01, 0.3)
     until = world.now + seconds
 
-    def cut() -> None:
+    def start_partition() -> None:
         if world.now < until:
-            world.cut |= pairs
-            world.after(away_s, heal)
+            world.partitions |= pairs
+            world.after(partitioned_s, end_partition)
 
-    def heal() -> None:
-        world.cut.difference_update(pairs)
-        world.after(back_s, cut)
+    def end_partition() -> None:
+        world.partitions.difference_update(pairs)
+        world.after(back_s, start_partition)
 
-    cut()
-    return f"{zone} {away_s:.2f} {back_s:.2f} {seconds:.2f}"
+    start_partition()
+    return f"{zone} {partitioned_s:.2f} {back_s:.2f} {seconds:.2f}"
 
 
-def deafen(play: "Play", seconds: float) -> str:
-    """Let no other host hear one, or it none, while upstreams come and leave."""
-    world, name = play.world, play._host()
-    others = [one for one in world.lives if one != name]
-    out = play.rng.random() < 0.7
-    pairs = {(name, one) if out else (one, name) for one in others}
+def one_way_loss(scenario: "FaultScenario", seconds: float) -> str:
+    """Lose all messages from a host or to it, while upstreams come and leave."""
+    world, name = scenario.world, scenario._host()
+    others = [other for other in world.nodes if other != name]
+    outgoing = scenario.rng.random() < 0.7
+    pairs = {(name, other) if outgoing else (other, name) for other in others}
     world.one_way |= pairs
     world.storeless.add(name)
-    told = play.crash_upstream(0.05) if play._up() else ""
+    details = scenario.crash_upstream(0.05) if scenario._running_upstreams() else ""
 
     def back() -> None:
         world.one_way -= pairs
-        world.after(play.rng.uniform(0.0, 0.5), lambda: world.storeless.discard(name))
+        world.after(
+            scenario.rng.uniform(0.0, 0.5), lambda: world.storeless.discard(name)
+        )
         for leader in list(world.leaders()):
-            if play.rng.random() < 0.5 and leader != name:
-                _stop_or_kill(play, leader)
+            if scenario.rng.random() < 0.5 and leader != name:
+                _stop_or_kill(scenario, leader)
 
     world.after(seconds, back)
-    return f"{name} {out} {told} {seconds:.2f}"
-
-
-def cut_off_zone(play: "Play", seconds: float) -> str:
-    """Cut a zone off from others and the store, while upstreams are replaced."""
-    world, rng = play.world, play.rng
-    zone = rng.choice(play.zones)
-    pairs = {frozenset((zone, one)) for one in play.zones if one != zone}
-    away = {name for name, where in world.zones.items() if where == zone}
-    world.cut |= pairs
-    world.storeless |= away
-    up = play._up()
-    for one in rng.sample(up, max(0, min(len(up) - 1, rng.randint(1, 2)))):
-        world.crash(one.entry.id, rng.choice((0.05, 0.5)))
-    # An entry lapses some seconds after its upstream crashed.
-    whole_s = max(seconds, rng.choice((0.0, 4.6)))
-    world.after(whole_s, lambda: world.cut.difference_update(pairs))
-    back_s = whole_s + rng.uniform(0.0, 0.5)
-    world.after(back_s, lambda: world.storeless.difference_update(away))
-    return f"{zone} {whole_s:.2f} {back_s:.2f}"
-
-
-MORE_STILL: tuple[Fault, ...] = (
+    return f"{name} {outgoing} {details} {seconds:.2f}"
+
+
+def isolate_zone(scenario: "FaultScenario", seconds: float) -> str:
+    """Partition a zone from others and the store, while upstreams are replaced."""
+    world, rng = scenario.world, scenario.rng
+    zone = rng.choice(scenario.zones)
+    pairs = {frozenset((zone, other)) for other in scenario.zones if other != zone}
+    affected = {name for name, where in world.zones.items() if where == zone}
+    world.partitions |= pairs
+    world.storeless |= affected
+    running = scenario._running_upstreams()
+    for upstream in rng.sample(
+        running, max(0, min(len(running) - 1, rng.randint(1, 2)))
+    ):
+        world.crash(upstream.entry.id, rng.choice((0.05, 0.5)))
+    # An entry expires some seconds after its upstream crashed.
+    partition_s = max(seconds, rng.choice((0.0, 4.6)))
+    world.after(partition_s, lambda: world.partitions.difference_update(pairs))
+    back_s = partition_s + rng.uniform(0.0, 0.5)
+    world.after(back_s, lambda: world.storeless.difference_update(affected))
+    return f"{zone} {partition_s:.2f} {back_s:.2f}"
+
+
+COMBINED_FAULTS: tuple[Fault, ...] = (
     crashing_task,
     crashing_task,
-    shrink_upstreams,
-    shrink_upstreams,
-    lose_power_of_zone,
-    lose_power_of_zone,
-    lose_all_power,
-    restart_in_turn,
-    restart_in_turn,
-    reset_beside_silence,
-    reset_beside_silence,
-    flap,
-    deafen,
-    cut_off_zone,
-    cut_off_zone,
-    cut_off_zone,
+    reduce_capacity,
+    reduce_capacity,
+    zone_power_loss,
+    zone_power_loss,
+    total_power_loss,
+    rolling_restart,
+    rolling_restart,
+    reset_with_silent_links,
+    reset_with_silent_links,
+    flapping_zone,
+    one_way_loss,
+    isolate_zone,
+    isolate_zone,
+    isolate_zone,
 )
--- /dev/null
+++ b/jackdawspur/front/tests/test_leader_driver.py
@@ -0,0 +1,164 @@
+"""Tests of the leader driver: offers, lists of upstreams and metrics."""
+
+from dataclasses import dataclass, field
+
+import pytest
+
+from jackdawspur.front._host_metrics import HostMetrics
+from jackdawspur.front._leader_driver import LeaderDriver
+from jackdawspur.front._routes import RouteTable
+from jackdawspur.group import Group, HostAddress, JobOffer
+from jackdawspur.leases import Resources, UpstreamEntry
+from jackdawspur.model import UpstreamId
+from jackdawspur.runs import InitialTasksStarted, JobRequest, JobStep, Progress, Route
+
+ROUTE = Route("r", "h", "/q/", "s", 1500.0, 60.0, 1.6, 0, 3)
+REQUEST = JobRequest("aa", "", (JobStep(1, Resources(1), 10.0),), ROUTE)
+SENT_AT = 5.0
+UNIX_MS = 1_800_000_000_000
+
+
+@dataclass
+class Views:
+    """A view of the store with an empty list of upstreams."""
+
+    entries: tuple = ()
+    evacuated: frozenset = frozenset()
+
+    def age_s(self, now: float) -> float:
+        return 0.0
+
+
+class NoUpstreams:
+    """A port without calls, since there is no upstream."""
+
+    def close_connections_except(self, addresses: set[str]) -> None:
+        pass
+
+
+@dataclass
+class Owner:
+    """Stand-in for the rest of a host."""
+
+    address: HostAddress = HostAddress("own", "z1", "127.0.0.1:1", 1)
+    group: Group = field(default_factory=lambda: Group(Owner.address, 0.0))
+    metrics: HostMetrics = field(default_factory=HostMetrics)
+    routes: RouteTable = RouteTable(1, (ROUTE,))
+    views: Views = field(default_factory=Views)
+
+    def flush_soon(self) -> None:
+        pass
+
+    def send(self, host: str, message: object) -> None:
+        pass
+
+
+@pytest.fixture
+def owner() -> Owner:
+    leading_owner = Owner()
+    assert leading_owner.group.update_leadership(True, UNIX_MS, 5.0)
+    return leading_owner
+
+
+@pytest.fixture
+def driver(owner: Owner) -> LeaderDriver:
+    leading_driver = LeaderDriver(owner, NoUpstreams(), 5.0)
+    leading_driver.leadership_changed(5.0)
+    return leading_driver
+
+
+def offer(fence: int, handed: int = 0, sent_at: float = SENT_AT) -> JobOffer:
+    return JobOffer("h2", fence, sent_at, REQUEST, 1, 0.0, 1000.0, handed, Progress())
+
+
+def test_an_offer_for_the_current_term_is_accepted(owner: Owner, driver: LeaderDriver):
+    driver.receive_offer(offer(owner.group.fence), 5.0)
+    assert len(driver.dispatcher.open_jobs) == 1
+
+
+def test_an_offer_repeated_for_an_earlier_term_is_not_accepted_as_new(
+    owner: Owner, driver: LeaderDriver
+):
+    # A client gets the answer that its job did not run, although it ran: the leader had
+    # started a new term and forgotten the job that it had started. The job's host did
+    # not know the new term yet and repeated the offer, which was now too late.
+    before = owner.group.fence
+    driver.receive_offer(offer(before), 5.0)
+    owner.group.resolve_contention(UNIX_MS, 5.1)
+    driver.leadership_changed(5.1)
+    driver.receive_offer(offer(before), 5.2)
+    assert len(driver.dispatcher.open_jobs) == 0
+    driver.receive_offer(offer(owner.group.fence, handed=1), 5.3)
+    assert len(driver.dispatcher.open_jobs) == 1
+
+
+def test_a_job_whose_host_follows_a_later_leader_is_dropped(
+    owner: Owner, driver: LeaderDriver
+):
+    # A task runs twice at the same time: its host hears two leaders that do not hear
+    # each other. It follows the later one and hands the job over to it. The earlier one
+    # still heard the host, and continued the job on upstreams that the later one can't
+    # reach.
+    driver.receive_offer(offer(owner.group.fence), 5.0)
+    driver.record_follower("h2", owner.group.fence + 1, 5.1)
+    assert len(driver.dispatcher.open_jobs) == 0
+
+
+@pytest.mark.parametrize("fence_known", [0, 1])
+def test_a_job_whose_host_does_not_follow_a_later_leader_goes_on(
+    owner: Owner, driver: LeaderDriver, fence_known: int
+):
+    # A host without a leader, or one that does not know the current leader yet, has not
+    # handed its job over to another one.
+    driver.receive_offer(offer(owner.group.fence), 5.0)
+    driver.record_follower("h2", fence_known * (owner.group.fence - 1), 5.1)
+    driver.record_follower("h2", owner.group.fence, 5.2)
+    assert len(driver.dispatcher.open_jobs) == 1
+
+
+def test_an_upstream_of_a_service_that_no_route_names_is_not_used(
+    owner: Owner, driver: LeaderDriver
+):
+    # The stated retry time of refused jobs is too short: capacity that no job can use
+    # counted as free capacity, and its upstream was polled five times a second.
+    entries = [
+        UpstreamEntry(
+            UpstreamId("z1", name), service, "127.0.0.1:1", Resources(8), (), False
+        )
+        for name, service in (("u1", "s"), ("u2", "nobody"))
+    ]
+    owner.views.entries = tuple(entries)
+    driver.upstreams_changed(6.0)
+    assert [
+        leased.entry.id.name for leased in driver.dispatcher.upstream_pool.upstreams
+    ] == ["u1"]
+
+
+@pytest.mark.parametrize(("late_s", "accepted"), [(0.0, 1), (0.39, 1), (0.41, 0)])
+def test_an_offer_that_was_delayed_in_transit_is_not_accepted(
+    owner: Owner, driver: LeaderDriver, late_s: float, accepted: int
+):
+    # A task runs twice at the same time: an offer was delayed by a network partition
+    # until its host, which received no more heartbeats, had redirected the job to
+    # another group.
+    driver.receive_offer(offer(owner.group.fence, sent_at=6.0 - late_s), 6.0)
+    assert len(driver.dispatcher.open_jobs) == accepted
+    assert owner.group.is_alive("h2", 6.0) == bool(accepted)
+
+
+def test_a_lost_job_is_counted_by_route_and_cause(owner: Owner, driver: LeaderDriver):
+    driver.receive_offer(offer(owner.group.fence), 5.0)
+    driver.dispatcher.tick(7.0)
+    driver.flush(7.0)
+    lines = owner.metrics.lines()
+    assert 'jackdawspur_jobs_lost{route="r",cause="never_begun"} 1' in lines
+
+
+def test_the_time_to_the_last_start_is_recorded_by_route(
+    driver: LeaderDriver, owner: Owner
+):
+    for ms in (0.0, 5.0, 40.0):
+        driver._act(InitialTasksStarted("aa", "r", ms))
+    lines = owner.metrics.lines()
+    assert 'jackdawspur_last_start_ms_count{route="r"} 3' in lines
+    assert 'jackdawspur_last_start_ms{route="r",quantile="0.5"} 5' in lines
