--- a/jackdawspur/slopes/_messages.py
+++ b/jackdawspur/slopes/_messages.py
@@ -64,7 +64,8 @@
         yield (
             f"control traffic, {zones} zones of {hosts} hosts, {CUSTOMERS} customers: "
             f"{bandwidth.sent:.0f} B/s sent, {bandwidth.received:.0f} B/s received; "
-            f"timeouts: {intervals.zone_peer_timeout:.1f} s for a peer in the same zone, "
+            f"timeouts: {intervals.zone_peer_timeout:.1f} s for a peer in the same "
+            f"zone, "
             f"{intervals.link_timeout:.1f} s for a linked host of another zone, "
             f"{intervals.relayed_zone_timeout:.1f} s for a zone that peers report on"
         )
