--- a/jackdawspur/bench/__init__.py
+++ b/jackdawspur/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments on virtual time: fakes, baselines, invariants and figures."""
+"""Experiments in virtual time: fakes, baselines, invariants and figures."""
 
 from jackdawspur.bench._checks import Invariant, InvariantChecker, Violation
 from jackdawspur.bench._deployment import (
--- a/jackdawspur/bench/__main__.py
+++ b/jackdawspur/bench/__main__.py
@@ -1,7 +1,7 @@
 """Run experiments and compare their figures with the bounds in the repository.
 
-Exits with 1 on a breach of a bound or an invariant broken by the own policy, with 2
-on a bad flag or file.
+Exits with 1 if a figure exceeds its bound or the product's policy violates an
+invariant, and with 2 on an invalid flag or bounds file.
 """
 
 import sys
@@ -37,26 +37,35 @@
 BOUNDS_PATH = Path(__file__).with_name("bounds.json")
 FAULT_LOAD = 0.7
 ALL, SINGLE, PAIRED = "all", "single", "pairs"
-EXIT_BREACH, EXIT_BAD_INPUT = 1, 2
+EXIT_BREACH, EXIT_INVALID_INPUT = 1, 2
 EVERY_SCENARIO = SCENARIOS | PAIRS
 STEADY = "steady"
 
 EVERY_DEPLOYMENT = {**DEPLOYMENTS, SMALL.name: SMALL}
 
 DEPLOYMENT = flags.DEFINE_enum(
-    "deployment", ALL, [ALL, *EVERY_DEPLOYMENT], "Whose sizes; all are the real ones."
+    "deployment",
+    ALL,
+    [ALL, *EVERY_DEPLOYMENT],
+    "The deployment to simulate; all means the real ones.",
 )
 SCENARIO = flags.DEFINE_multi_enum(
-    "scenario", [ALL], [ALL, SINGLE, PAIRED, *EVERY_SCENARIO], "What happens."
+    "scenario", [ALL], [ALL, SINGLE, PAIRED, *EVERY_SCENARIO], "The scenarios to run."
+)
+POLICY = flags.DEFINE_multi_enum(
+    "policy", [ALL], [ALL, *POLICIES], "The policies to run."
 )
-POLICY = flags.DEFINE_multi_enum("policy", [ALL], [ALL, *POLICIES], "Which policies.")
 LOAD = flags.DEFINE_float(
-    "load", None, "Offered slot time over all slots.", lower_bound=0.01
+    "load", None, "The offered load as a fraction of all slots.", lower_bound=0.01
+)
+SEED = flags.DEFINE_integer("seed", 1, "The seed of all random values.")
+SECONDS = flags.DEFINE_float(
+    "seconds", 20.0, "How long jobs arrive, in virtual seconds."
+)
+BOUNDS = flags.DEFINE_string("bounds", str(BOUNDS_PATH), "The path of the bounds file.")
+UPDATE = flags.DEFINE_bool(
+    "update_last", False, "Update the last values in the bounds file, but no bounds."
 )
-SEED = flags.DEFINE_integer("seed", 1, "Seed of all that is drawn.")
-SECONDS = flags.DEFINE_float("seconds", 20.0, "Virtual seconds of arrivals.")
-BOUNDS = flags.DEFINE_string("bounds", str(BOUNDS_PATH), "The file of bounds.")
-UPDATE = flags.DEFINE_bool("update_last", False, "Write last values, never bounds.")
 
 
 def _write(line: str) -> None:
@@ -86,7 +95,7 @@
 
 
 def _groups() -> Iterator[list[Experiment]]:
-    """Yield the experiments that differ only in their policy, together."""
+    """Yield groups of experiments that differ only in their policy."""
     chosen = EVERY_DEPLOYMENT.get(DEPLOYMENT.value)
     for deployment in DEPLOYMENTS.values() if chosen is None else (chosen,):
         for scenario in _scenarios():
@@ -102,22 +111,22 @@
 def _show(outcome: Outcome, bounds: BoundsFile) -> list[Comparison]:
     _write(table_line(outcome))
     _write(json_line(outcome))
-    for breach in outcome.violations:
-        _write(f"  {breach.invariant} at {breach.at:.4f} s: {breach.detail}")
+    for item in outcome.violations:
+        _write(f"  {item.invariant} at {item.at:.4f} s: {item.detail}")
     if outcome.experiment.policy != PRODUCT_POLICY:
         return []
-    found = compare(bounds, outcome)
-    if found:
+    comparisons = compare(bounds, outcome)
+    if comparisons:
         _write(previous_line(bounds, outcome.experiment.key))
-    for line in comparison_lines(found):
+    for line in comparison_lines(comparisons):
         _write(line)
-    return found
+    return comparisons
 
 
 def _run() -> int:
     path = Path(BOUNDS.value)
     bounds = read_bounds(path)
-    found: list[Comparison] = []
+    comparisons: list[Comparison] = []
     broken = 0
     _write(header_line())
     for group in _groups():
@@ -126,31 +135,32 @@
             policy = POLICIES[experiment.policy]
             outcome = run_experiment(experiment, policy.make, policy.deduplicates)
             outcomes.append(outcome)
-            found += _show(outcome, bounds)
+            comparisons += _show(outcome, bounds)
             if experiment.policy == PRODUCT_POLICY:
                 broken += outcome.figures.broken_invariants
-        compared = excess_line(outcomes)
-        if compared is not None:
-            _write(compared)
-    breached = [item for item in found if item.breached]
+        excess = excess_line(outcomes)
+        if excess is not None:
+            _write(excess)
+    breached = [item for item in comparisons if item.breached]
     _write(
-        f"{len(found)} figures, {len(breached)} breaches, {broken} broken invariants"
+        f"{len(comparisons)} figures, {len(breached)} breaches,"
+        f" {broken} broken invariants"
     )
     if UPDATE.value:
-        write_bounds(path, with_last(bounds, found))
+        write_bounds(path, with_last(bounds, comparisons))
     return EXIT_BREACH if breached or broken else 0
 
 
 def main(argv: list[str]) -> int:
-    """Run what the flags choose."""
+    """Run the experiments that the flags select."""
     if len(argv) > 1:
         sys.stderr.write(f"unexpected argument {argv[1]!r}: use flags only\n")
-        return EXIT_BAD_INPUT
+        return EXIT_INVALID_INPUT
     try:
         return _run()
     except BenchError as error:
         sys.stderr.write(f"{error}\n")
-        return EXIT_BAD_INPUT
+        return EXIT_INVALID_INPUT
 
 
 if __name__ == "__main__":
--- a/jackdawspur/bench/_baselines.py
+++ b/jackdawspur/bench/_baselines.py
@@ -1,6 +1,7 @@
-"""Plain policies to compare with: each host picks upstreams on its own.
+"""Baseline policies for comparison: each host picks upstreams independently.
 
-They keep every invariant of one host, but forward, lend and claim nothing.
+They preserve all invariants within one host, but don't forward jobs, lend slots or
+claim keys.
 """
 
 import abc
@@ -46,9 +47,9 @@
 
 __all__ = ["BASELINES", "Baseline"]
 
-REFUSED_AGAIN_S = 0.01
-UNREACHABLE_S = 1.0
-STATUS_AGAIN_S = 0.5
+REFUSAL_BACKOFF_S = 0.01
+UNREACHABLE_BACKOFF_S = 1.0
+STATUS_RETRY_S = 0.5
 LEASE_SLACK_MS = 1000.0
 
 
@@ -56,7 +57,7 @@
 class _Worker:
     id: UpstreamId
     slots: int
-    held: int = 0
+    used_slots: int = 0
     usage: Usage | None = None
     incarnation: int = 0
     leaving: bool = False
@@ -69,13 +70,13 @@
     id: SubmissionId
     request: JobRequest
     deadline: float
-    sent: dict[int, UpstreamId] = field(default_factory=dict)
+    sent_to: dict[int, UpstreamId] = field(default_factory=dict)
     outputs: dict[int, str] = field(default_factory=dict)
-    ever_sent: bool = False
+    any_sent: bool = False
 
 
 class Baseline(Dispatcher):
-    """Run jobs in order of arrival; subclasses pick the upstream."""
+    """Run jobs in order of arrival; subclasses choose the upstream of each task."""
 
     def __init__(self, host: HostId, rng: random.Random, now: float) -> None:
         self._host = host
@@ -100,7 +101,7 @@
 
     @abc.abstractmethod
     def pick(self, free: list[_Worker]) -> _Worker:
-        """Choose one of the upstreams with a slot that this host hasn't filled."""
+        """Choose one of the upstreams with a slot that this host doesn't use."""
 
     def handle(self, event: Event, now: float) -> list[Effect]:
         effects: list[Effect] = []
@@ -122,24 +123,26 @@
             case Tick():
                 effects += self._expire(now)
             case _:
-                effects += self._replied(event, now)
+                effects += self._handle_reply(event, now)
         return effects + self._place(now)
 
-    def _replied(self, event: Event, now: float) -> list[Effect]:
+    def _handle_reply(self, event: Event, now: float) -> list[Effect]:
         match event:
             case StartsReplied(reply=reply):
-                return self._verdicts(reply, now)
-            case StartRequestFailed(upstream=upstream, tasks=tasks, maybe_sent=left):
-                return self._lost(upstream, tasks, left, now)
+                return self._handle_verdicts(reply, now)
+            case StartRequestFailed(
+                upstream=upstream, tasks=tasks, maybe_sent=maybe_sent
+            ):
+                return self._handle_failed_start(upstream, tasks, maybe_sent, now)
             case (
                 ResultsReplied(reply=reply)
                 | StatusReplied(reply=reply)
                 | UsageReplied(reply=reply)
             ):
-                return self._outcomes(reply, now)
+                return self._handle_outcomes(reply, now)
             case StatusQueryFailed(upstream=upstream, tasks=tasks):
-                again = now + STATUS_AGAIN_S
-                self._timers += [(again, task, upstream) for task in tasks]
+                retry_at = now + STATUS_RETRY_S
+                self._timers += [(retry_at, task, upstream) for task in tasks]
         return []
 
     def _next_id(self) -> SubmissionId:
@@ -172,12 +175,12 @@
             free = [
                 worker
                 for worker in self._workers.values()
-                if worker.held < worker.slots
+                if worker.used_slots < worker.slots
                 and not worker.leaving
                 and worker.avoid_until <= now
             ]
             if not free:
-                self._blocked_until = now + REFUSED_AGAIN_S
+                self._blocked_until = now + REFUSAL_BACKOFF_S
                 break
             task = self._queue.popleft()
             job = self._jobs.get(task.submission)
@@ -187,69 +190,75 @@
             batches.setdefault(worker.id, []).append(
                 self._start(job, task, worker, now)
             )
-        return [StartTasks(where, tuple(starts)) for where, starts in batches.items()]
+        return [
+            StartTasks(upstream, tuple(starts)) for upstream, starts in batches.items()
+        ]
 
     def _start(self, job: _Job, task: TaskId, worker: _Worker, now: float) -> TaskStart:
-        worker.held += 1
-        job.sent[task.index] = worker.id
-        job.ever_sent = True
+        worker.used_slots += 1
+        job.sent_to[task.index] = worker.id
+        job.any_sent = True
         spec = job.request.tasks[task.index]
         lease_ms = (job.deadline - now) * 1000 + LEASE_SLACK_MS
         return TaskStart(task, spec.payload, lease_ms)
 
     def _release(self, job: _Job, index: int) -> None:
-        where = job.sent.pop(index, None)
-        if where is not None:
-            self._workers[where].held -= 1
+        upstream = job.sent_to.pop(index, None)
+        if upstream is not None:
+            self._workers[upstream].used_slots -= 1
 
-    def _again(self, task: TaskId, upstream: UpstreamId) -> None:
+    def _requeue(self, task: TaskId, upstream: UpstreamId) -> None:
         job = self._jobs.get(task.submission)
-        if job is not None and job.sent.get(task.index) == upstream:
+        if job is not None and job.sent_to.get(task.index) == upstream:
             self._release(job, task.index)
             self._queue.appendleft(task)
 
-    def _verdicts(self, reply: UpstreamReply, now: float) -> list[Effect]:
+    def _handle_verdicts(self, reply: UpstreamReply, now: float) -> list[Effect]:
         worker = self._workers[reply.upstream]
-        effects = self._met(worker, reply.incarnation)
+        effects = self._record_incarnation(worker, reply.incarnation)
         for verdict in reply.verdicts:
             if verdict.refusal is None:
                 continue
             worker.leaving |= verdict.refusal is RefusalReason.LEAVING
-            worker.avoid_until = now + REFUSED_AGAIN_S
-            self._again(verdict.task, reply.upstream)
+            worker.avoid_until = now + REFUSAL_BACKOFF_S
+            self._requeue(verdict.task, reply.upstream)
         return effects
 
-    def _lost(
-        self, upstream: UpstreamId, tasks: tuple[TaskId, ...], left: bool, now: float
+    def _handle_failed_start(
+        self,
+        upstream: UpstreamId,
+        tasks: tuple[TaskId, ...],
+        maybe_sent: bool,
+        now: float,
     ) -> list[Effect]:
-        self._workers[upstream].avoid_until = now + UNREACHABLE_S
-        if left:
+        self._workers[upstream].avoid_until = now + UNREACHABLE_BACKOFF_S
+        if maybe_sent:
             return [QueryTaskStatus(upstream, tasks)]
         for task in tasks:
-            self._again(task, upstream)
+            self._requeue(task, upstream)
         return []
 
-    def _outcomes(self, reply: UpstreamReply, now: float) -> list[Effect]:
+    def _handle_outcomes(self, reply: UpstreamReply, now: float) -> list[Effect]:
         worker = self._workers[reply.upstream]
-        effects = self._met(worker, reply.incarnation)
+        effects = self._record_incarnation(worker, reply.incarnation)
         if reply.usage is not None:
             worker.usage = reply.usage
             worker.leaving |= reply.usage.leaving
         for outcome in reply.outcomes:
             job = self._jobs.get(outcome.task.submission)
-            if job is None or job.sent.get(outcome.task.index) != reply.upstream:
+            if job is None or job.sent_to.get(outcome.task.index) != reply.upstream:
                 continue
-            effects += self._outcome(job, outcome, reply.upstream)
+            effects += self._handle_outcome(job, outcome, reply.upstream)
         return effects
 
-    def _outcome(self, job: _Job, outcome, upstream: UpstreamId) -> list[Effect]:
+    def _handle_outcome(self, job: _Job, outcome, upstream: UpstreamId) -> list[Effect]:
         match outcome.state:
             case TaskState.DONE:
                 self._release(job, outcome.task.index)
                 job.outputs[outcome.task.index] = outcome.output
                 return self._complete(job)
             case TaskState.SEALED:
-                self._again(outcome.task, upstream)
+                self._requeue(outcome.task, upstream)
             case TaskState.FAILED | TaskState.STOPPED:
                 self._release(job, outcome.task.index)
                 return self._fail(job, FailureCode.TASK_FAILED)
@@ -257,15 +266,17 @@
                 return self._fail(job, FailureCode.OUTCOME_UNKNOWN)
         return []
 
-    # A restarted upstream has forgotten what it ran, so those jobs are lost.
-    def _met(self, worker: _Worker, incarnation: int) -> list[Effect]:
-        forgot = worker.incarnation not in (0, incarnation)
+    # A restarted upstream has lost the state of its tasks, so their jobs fail.
+    def _record_incarnation(self, worker: _Worker, incarnation: int) -> list[Effect]:
+        restarted = worker.incarnation not in (0, incarnation)
         worker.incarnation = incarnation
-        if not forgot:
+        if not restarted:
             return []
-        lost = [job for job in self._jobs.values() if worker.id in job.sent.values()]
+        lost_jobs = [
+            job for job in self._jobs.values() if worker.id in job.sent_to.values()
+        ]
         effects: list[Effect] = []
-        for job in lost:
+        for job in lost_jobs:
             effects += self._fail(job, FailureCode.OUTCOME_UNKNOWN)
         return effects
 
@@ -280,12 +291,12 @@
     def _fail(self, job: _Job, code: FailureCode) -> list[Effect]:
         del self._jobs[job.id]
         running: dict[UpstreamId, list[TaskId]] = {}
-        for index, where in job.sent.items():
-            running.setdefault(where, []).append(TaskId(job.id, index))
-            self._workers[where].held -= 1
-        state = JobState.FAILED if job.ever_sent else JobState.REFUSED
-        answer = Answer(state, job.id, code=code, not_run=not job.ever_sent)
-        stops = [StopTasks(where, tuple(tasks)) for where, tasks in running.items()]
+        for index, upstream in job.sent_to.items():
+            running.setdefault(upstream, []).append(TaskId(job.id, index))
+            self._workers[upstream].used_slots -= 1
+        state = JobState.FAILED if job.any_sent else JobState.REFUSED
+        answer = Answer(state, job.id, code=code, not_run=not job.any_sent)
+        stops = [StopTasks(item, tuple(tasks)) for item, tasks in running.items()]
         return [*stops, AnswerCall(job.call, answer)]
 
     def _expire(self, now: float) -> list[Effect]:
@@ -304,40 +315,44 @@
 
 
 class RandomBaseline(Baseline):
-    """Pick any upstream."""
+    """Pick a random upstream."""
 
     def pick(self, free: list[_Worker]) -> _Worker:
         return self._rng.choice(free)
 
 
 class RoundRobinBaseline(Baseline):
-    """Pick upstreams in turn."""
+    """Pick upstreams in round-robin order."""
 
     def __init__(self, host: HostId, rng: random.Random, now: float) -> None:
         super().__init__(host, rng, now)
-        self._turns: Counter[UpstreamId] = Counter()
+        self._pick_counts: Counter[UpstreamId] = Counter()
 
     def pick(self, free: list[_Worker]) -> _Worker:
-        worker = min(free, key=lambda item: self._turns[item.id])
-        self._turns[worker.id] += 1
+        worker = min(free, key=lambda item: self._pick_counts[item.id])
+        self._pick_counts[worker.id] += 1
         return worker
 
 
 class TwoChoicesBaseline(Baseline):
-    """Pick the less held of two random upstreams."""
+    """Pick the one of two random upstreams on which this host uses fewer slots."""
 
     def pick(self, free: list[_Worker]) -> _Worker:
-        pair = self._rng.sample(free, min(2, len(free)))
-        return min(pair, key=lambda item: item.held)
+        candidates = self._rng.sample(free, min(2, len(free)))
+        return min(candidates, key=lambda item: item.used_slots)
 
 
 class ShortestQueueBaseline(Baseline):
-    """Pick the upstream whose stale usage, and what this host holds, is least."""
+    """Pick the upstream with the fewest busy slots.
+
+    These are the slots in its last usage report, which is stale, or those that this
+    host uses, whichever are more.
+    """
 
     def pick(self, free: list[_Worker]) -> _Worker:
         def load(worker: _Worker) -> tuple[int, float]:
             busy = worker.usage.busy if worker.usage is not None else 0
-            return (max(busy, worker.held), self._rng.random())
+            return (max(busy, worker.used_slots), self._rng.random())
 
         return min(free, key=load)
 
--- a/jackdawspur/bench/_bounds.py
+++ b/jackdawspur/bench/_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds and last values of figures, kept in a file of the repository."""
+"""Bounds and last values of figures, stored in a file of the repository."""
 
 from dataclasses import dataclass, field, replace
 from pathlib import Path
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """Hold what is kept of one figure; None where nothing is.
+    """The stored bound, last value and goal of one figure; None if not set.
 
-    A figure over its `bound` fails the run; one over its `goal` is only shown.
+    A figure above its `bound` fails the run; one above its `goal` is only reported.
     """
 
     bound: float | None = None
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundsFile:
-    """Hold entries by experiment and figure; they hold for one seed and length."""
+    """Entries by experiment and figure, valid for one seed and run length."""
 
     seed: int = 1
     seconds: float = 20.0
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Set one figure against its bound and its last value."""
+    """One figure, with its stored bound, last value and goal."""
 
     experiment: str
     figure: str
@@ -61,17 +61,17 @@
 
     @property
     def breached(self) -> bool:
-        """Tell whether the figure exceeds its bound."""
+        """Return whether the figure exceeds its bound."""
         return self.entry.bound is not None and self.value > self.entry.bound
 
     @property
     def missed(self) -> bool:
-        """Tell whether the figure has not reached its goal."""
+        """Return whether the figure misses its goal."""
         return self.entry.goal is not None and self.value > self.entry.goal
 
 
 def read_bounds(path: Path) -> BoundsFile:
-    """Return the bounds of a file; raise `BoundsFileError`."""
+    """Read a bounds file; raise `BoundsFileError` if that fails."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=BoundsFile)
     except (OSError, msgspec.MsgspecError) as error:
@@ -79,32 +79,35 @@
 
 
 def write_bounds(path: Path, bounds: BoundsFile) -> None:
-    """Write bounds to a file, in a stable order."""
+    """Write bounds to a file, in sorted order."""
     ordered = msgspec.json.encode(bounds, order="sorted")
     path.write_bytes(msgspec.json.format(ordered, indent=1) + b"\n")
 
 
 def compare(bounds: BoundsFile, outcome: Outcome) -> list[Comparison]:
-    """Set the figures of a run against the file; none for another seed or length."""
+    """Compare the figures of a run with the file.
+
+    Returns an empty list if the run has another seed or length than the file.
+    """
     experiment = outcome.experiment
     if (experiment.seed, experiment.seconds) != (bounds.seed, bounds.seconds):
         return []
-    kept = bounds.entries.get(experiment.key, {})
+    stored = bounds.entries.get(experiment.key, {})
     return [
         Comparison(
             experiment.key,
             name,
             getattr(outcome.figures, name),
-            kept.get(name, Entry()),
+            stored.get(name, Entry()),
         )
         for name in BOUNDED_FIGURES
     ]
 
 
-def with_last(bounds: BoundsFile, found: list[Comparison]) -> BoundsFile:
-    """Return the file with new last values and the same bounds."""
+def with_last(bounds: BoundsFile, comparisons: list[Comparison]) -> BoundsFile:
+    """Return the bounds with updated last values; the bounds stay the same."""
     entries = {key: dict(figures) for key, figures in bounds.entries.items()}
-    for item in found:
+    for item in comparisons:
         figures = entries.setdefault(item.experiment, {})
         figures[item.figure] = replace(item.entry, last=item.value)
     return BoundsFile(bounds.seed, bounds.seconds, entries)
--- a/jackdawspur/bench/_front_simulation.py
+++ b/jackdawspur/bench/_front_simulation.py
@@ -1,4 +1,4 @@
-"""One leading host with its upstreams in virtual time."""
+"""One leader with its upstreams, in virtual time."""
 
 import heapq
 import itertools
@@ -43,16 +43,16 @@
 TICK_S = 0.025
 UPSTREAM_LATENCY_S = 0.001
 ADVANCE_INTERVAL_S = 0.002
-# Orders that were left without a reply are carried out after this, in seconds.
+# Range of the delay, in seconds, after which a start without a reply is carried out.
 LATE_EXECUTION_S = (2.0, 12.0)
 MS_PER_S = 1000.0
 MILLIS_PER_CORE = 1000.0
 CALLER_TIMEOUT_S = 1.488
-# Callers that state how long they wait do so for this many times their objective more.
+# Callers that state their maximum wait add this many times the job's objective.
 STATED_WAIT_OBJECTIVES = 3.0
 ATTEMPTS = 3
 UNIX_MS = 1_800_000_000_000
-# Hosts that take the lead have read the list of upstreams long before.
+# A host that becomes leader read the list of upstreams this long ago.
 LISTED_FOR_S = 60.0
 
 Policy = type[Dispatcher]
@@ -60,7 +60,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobKind:
-    """Describe a kind of job; `work_s` at a pace of one, `declared` how far off."""
+    """A kind of job and its arrival rate.
+
+    `work_s` is the mean run time of a task at a slowdown of 1. `spread` and `declared`
+    are the standard deviations of the logarithm of run times and declaration errors.
+    """
 
     name: str
     per_second: float
@@ -72,7 +76,7 @@
 
 @dataclass
 class FrontResult:
-    """Count how jobs ended, and what must never happen."""
+    """Counts of how jobs ended, and counters of what must never happen."""
 
     offered: int = 0
     on_time: int = 0
@@ -103,7 +107,7 @@
 
 
 class FrontSimulation:
-    """Feed jobs to a leading host, and carry its effects out on upstreams."""
+    """Offer jobs to a leader, and carry out its effects on simulated upstreams."""
 
     def __init__(
         self,
@@ -116,7 +120,7 @@
         self._states_waits = states_waits
         self.result = FrontResult()
         self.rng = random.Random(seed)
-        # Jobs are the same whatever a policy does with them.
+        # A separate generator, so that all policies get the same jobs.
         self._arrivals = random.Random(seed + 1)
         self.load = 1.0
         self.late_orders = 0.0
@@ -124,22 +128,22 @@
         self._order = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._open_jobs: dict[str, _OpenJob] = {}
-        self._lost: dict[str, JobLost] = {}
+        self._lost_by_job: dict[str, JobLost] = {}
         self._fence = 0
-        self.upstreams = {one.entry.id: one for one in self._make_upstreams()}
+        self.upstreams = {item.entry.id: item for item in self._make_upstreams()}
         self._pending_polls: list[_PendingPoll] = []
         self.dispatcher = self._new_leader()
         self._every(TICK_S, self._tick)
         self._every(ADVANCE_INTERVAL_S, self._advance)
         for kind in kinds:
-            self._next_job(kind)
+            self._schedule_next_job(kind)
 
     def at(self, when: float, act: Callable[[], None]) -> None:
-        """Act at a time."""
+        """Run a callback at a virtual time."""
         heapq.heappush(self._events, (when, next(self._order), act))
 
     def run(self, until: float) -> FrontResult:
-        """Run to a time, and return what came of the jobs."""
+        """Run until a virtual time, and return the outcomes of the jobs."""
         while self._events and self._events[0][0] <= until:
             self.now, _, act = heapq.heappop(self._events)
             act()
@@ -147,10 +151,12 @@
         return self.result
 
     def change_leader(self) -> None:
-        """Let another host lead, and offer it all jobs that are not answered."""
+        """Replace the leader, and offer the new one all open jobs."""
         crashes = self.dispatcher.upstream_pool.crashes
-        told = self.dispatcher.open_jobs.progress_by_host(crashes)
-        progress = {job: one for jobs in told.values() for job, one in jobs.items()}
+        by_host = self.dispatcher.open_jobs.progress_by_host(crashes)
+        progress_by_job = {
+            job: progress for jobs in by_host.values() for job, progress in jobs.items()
+        }
         self.dispatcher = self._new_leader()
         for open_job in self._open_jobs.values():
             offer = open_job.offer
@@ -161,13 +167,13 @@
                 offer.arrived,
                 offer.deadline,
                 1,
-                progress.get(offer.request.id, Progress()),
+                progress_by_job.get(offer.request.id, Progress()),
             )
             self.dispatcher.offer(again, self.now)
 
     def _new_leader(self) -> Dispatcher:
         leader = self._policy(HostId("z1", "h1", 1), self.now)
-        entries = [one.entry for one in self.upstreams.values()]
+        entries = [upstream.entry for upstream in self.upstreams.values()]
         leader.set_upstreams(entries, self.now - LISTED_FOR_S)
         self._fence = next_fence(UNIX_MS, "h1", self._fence)
         leader.start_leading(self._fence, self.now)
@@ -190,11 +196,11 @@
         return made
 
     def _every(self, seconds: float, act: Callable[[], None]) -> None:
-        def again() -> None:
+        def run_and_reschedule() -> None:
             act()
-            self.at(self.now + seconds, again)
+            self.at(self.now + seconds, run_and_reschedule)
 
-        self.at(self.now + seconds, again)
+        self.at(self.now + seconds, run_and_reschedule)
 
     def _tick(self) -> None:
         self.dispatcher.tick(self.now)
@@ -204,14 +210,14 @@
             upstream.advance(self.now)
         self._answer_polls()
 
-    def _next_job(self, kind: JobKind) -> None:
-        wait = self._arrivals.expovariate(kind.per_second * self.load)
+    def _schedule_next_job(self, kind: JobKind) -> None:
+        wait_s = self._arrivals.expovariate(kind.per_second * self.load)
 
         def arrive() -> None:
             self._offer(kind)
-            self._next_job(kind)
+            self._schedule_next_job(kind)
 
-        self.at(self.now + wait, arrive)
+        self.at(self.now + wait_s, arrive)
 
     def _offer(self, kind: JobKind) -> None:
         rng = self._arrivals
@@ -248,7 +254,7 @@
         elif isinstance(effect, PollUpstream):
             self._poll(effect)
         elif isinstance(effect, JobLost):
-            self._lost[effect.job] = effect
+            self._lost_by_job[effect.job] = effect
         elif isinstance(effect, AnswerJob):
             self._answered(effect)
 
@@ -262,18 +268,18 @@
             )
             leader.start_replied(effect, outcome, self.now)
 
-        def give_up() -> None:
+        def time_out() -> None:
             leader.start_replied(effect, CallOutcome.UNKNOWN, self.now)
 
         if upstream.silent or self._is_late():
-            self.at(self.now + effect.timeout_s, give_up)
+            self.at(self.now + effect.timeout_s, time_out)
             late_s = self.rng.uniform(*LATE_EXECUTION_S)
             self.at(self.now + late_s, lambda: self._late_start(effect, demand))
         else:
             self.at(self.now + UPSTREAM_LATENCY_S, arrive)
 
     def _is_late(self) -> bool:
-        """Draw whether an order gets no reply and is carried out late."""
+        """Return, at random, whether a call gets no reply and is carried out late."""
         return self.late_orders > 0.0 and self.rng.random() < self.late_orders
 
     def _late_start(self, effect: StartRun, demand: JobDemand) -> None:
@@ -316,8 +322,8 @@
             self._answer_polls()
 
         if upstream.silent or self._is_late():
-            wait = effect.timeout_s
-            self.at(self.now + wait, lambda: fail(CallOutcome.UNKNOWN))
+            timeout_s = effect.timeout_s
+            self.at(self.now + timeout_s, lambda: fail(CallOutcome.UNKNOWN))
         else:
             self.at(self.now + UPSTREAM_LATENCY_S, arrive)
 
@@ -338,26 +344,26 @@
         open_job = self._open_jobs.pop(answer.job, None)
         if open_job is None:
             return
-        passed_s = self.now - open_job.offer.arrived
-        paces = [one.pace for one in self.upstreams.values()]
-        lost = self._lost.pop(answer.job, None)
+        response_s = self.now - open_job.offer.arrived
+        slowdowns = [upstream.pace for upstream in self.upstreams.values()]
+        lost = self._lost_by_job.pop(answer.job, None)
         self.result.records.append(
-            _job_record(open_job, answer.outcome.end, paces, lost)
+            _job_record(open_job, answer.outcome.end, slowdowns, lost)
         )
         if answer.outcome.end is JobEnd.REFUSED:
             self.result.refused += 1
         elif answer.outcome.end is not JobEnd.COMPLETE:
             self.result.failed += 1
-        elif passed_s <= open_job.objective_s:
+        elif response_s <= open_job.objective_s:
             self.result.on_time += 1
-        elif passed_s <= 3.0 * open_job.objective_s:
+        elif response_s <= 3.0 * open_job.objective_s:
             self.result.late += 1
         else:
             self.result.failed += 1
 
 
 def _job_record(
-    open_job: _OpenJob, end: JobEnd, paces: list[float], lost: JobLost | None
+    open_job: _OpenJob, end: JobEnd, slowdowns: list[float], lost: JobLost | None
 ) -> JobRecord:
     seconds = open_job.demand.run_times_s.values()
     cores = open_job.demand.resources.cpu_millis / MILLIS_PER_CORE
@@ -366,9 +372,9 @@
     return JobRecord(
         open_job.offer.request.route.name,
         sum(seconds) * cores,
-        longest_s * min(paces),
+        longest_s * min(slowdowns),
         served,
-        servable=longest_s * statistics.median(paces) <= max_wait_s,
+        servable=longest_s * statistics.median(slowdowns) <= max_wait_s,
         arrived=open_job.offer.arrived,
         lost=None if served else _lost_job(lost, longest_s),
     )
--- a/jackdawspur/bench/_job_records.py
+++ b/jackdawspur/bench/_job_records.py
@@ -1,4 +1,4 @@
-"""How large jobs are served beside the others of their kind."""
+"""Records of jobs, and figures on how the largest of a kind are served."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -14,17 +14,18 @@
     "served_share",
 ]
 
-PARTS = 10
+QUANTILES = 10
 DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class LostJob:
-    """Tell why a job was lost; milliseconds count from its coming.
+    """Why a job was lost; times in milliseconds are relative to its arrival.
 
-    `cause` is what the product tells, `seen` what the bench knows, `longest_ms` what
-    the longest task really takes at a pace of 1, `after_ms` when the job ended and
-    `believed` the pace that was believed of the upstream whose task ends last.
+    `cause` is the cause that the product reports, `seen` the one that the bench
+    observes. `longest_ms` is the true run time of the longest task at a slowdown of 1,
+    `after_ms` the time when the job ended, and `believed` the estimated slowdown of
+    the upstream whose task ends last.
     """
 
     cause: str
@@ -40,10 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRecord:
-    """Tell what came of one job; `size` is its work in core-seconds.
+    """The outcome of one job; `size` is its demand in core-seconds.
 
-    `min_run_s` is what its longest task takes on the fastest upstream, in seconds.
-    A job is `servable` that would end in time if begun at once on a usual one.
+    `min_run_s` is the run time of its longest task on the fastest upstream, in
+    seconds. A job is `servable` if it would end in time when started immediately on a
+    median upstream.
     """
 
     kind: str
@@ -56,30 +58,31 @@
 
 
 def largest_tenth(records: Iterable[JobRecord], kind: str) -> list[JobRecord]:
-    """Return the largest tenth of the jobs of a kind."""
+    """Return the largest tenth of the jobs of a kind, by size."""
     of_kind = sorted(
-        (one for one in records if one.kind == kind), key=lambda one: one.size
+        (job for job in records if job.kind == kind), key=lambda job: job.size
     )
-    return of_kind[len(of_kind) - len(of_kind) // PARTS :]
+    return of_kind[len(of_kind) - len(of_kind) // QUANTILES :]
 
 
 def served_share(records: Sequence[JobRecord]) -> float:
     """Return the share of jobs that were served, on time or late."""
-    return round(sum(one.served for one in records) / max(1, len(records)), DIGITS)
+    return round(sum(job.served for job in records) / max(1, len(records)), DIGITS)
 
 
 def achievable_share(records: Sequence[JobRecord], limit_s: float) -> float:
-    """Return the share that ends within the limit if begun at once where it is fast."""
-    count = sum(one.min_run_s <= limit_s for one in records)
+    """Return the share that would end within the limit on the fastest upstream."""
+    count = sum(job.min_run_s <= limit_s for job in records)
     return round(count / max(1, len(records)), DIGITS)
 
 
 @dataclass(frozen=True, slots=True)
 class Servable:
-    """Count jobs, those that could be served, and those of them that were.
+    """The number of jobs, of servable jobs, and of servable jobs that were served.
 
-    `causes` counts the servable ones that were lost, by what the product tells and by
-    what the bench saw; `lost` lists them.
+    `share` is the fraction of servable jobs that were served. `causes` counts the lost
+    servable jobs by the cause that the product reports and the one that the bench
+    observes; `lost` lists them.
     """
 
     jobs: int
@@ -91,11 +94,11 @@
 
 
 def servable(records: Sequence[JobRecord]) -> Servable:
-    """Return how many jobs could be served, and what became of them."""
-    could = [one for one in records if one.servable]
-    lost = tuple(one.lost for one in could if one.lost)
-    served = sum(one.served for one in could)
-    causes = Counter(f"{one.cause}, {one.seen}" for one in lost)
-    share = round(served / max(1, len(could)), DIGITS)
+    """Return how many jobs were servable, and how these ended."""
+    servable_jobs = [job for job in records if job.servable]
+    lost = tuple(job.lost for job in servable_jobs if job.lost)
+    served = sum(job.served for job in servable_jobs)
+    causes = Counter(f"{job.cause}, {job.seen}" for job in lost)
+    share = round(served / max(1, len(servable_jobs)), DIGITS)
     ordered = dict(causes.most_common())
-    return Servable(len(records), len(could), served, share, ordered, lost)
+    return Servable(len(records), len(servable_jobs), served, share, ordered, lost)
--- a/jackdawspur/bench/_report.py
+++ b/jackdawspur/bench/_report.py
@@ -1,4 +1,4 @@
-"""Write figures as a table and as JSON lines."""
+"""Format figures as a table and as JSON lines."""
 
 from collections.abc import Sequence
 from dataclasses import asdict
@@ -24,7 +24,7 @@
 
 
 def header_line() -> str:
-    """Return the heads of the table's columns."""
+    """Return the header of the table."""
     heads = "".join(f"{name:>10}" for name in COLUMNS)
     ratios = "".join(f"{name.removesuffix('_per_job'):>10}" for name in RATIOS)
     return f"{'experiment':64}{heads}{ratios}{'broken':>8}"
@@ -40,16 +40,16 @@
 
 
 def previous_line(bounds: BoundsFile, key: str) -> str:
-    """Return the row of the project's previous version, from its last values."""
-    kept = bounds.entries.get(key, {})
+    """Return the row of the product's previous version, from the last values."""
+    stored = bounds.entries.get(key, {})
 
-    def show(name: str) -> str:
-        last = kept[name].last if name in kept else None
+    def format_last(name: str) -> str:
+        last = stored[name].last if name in stored else None
         return f"{NO_VALUE if last is None else format(last, '.3f'):>10}"
 
     label = key.removesuffix(PRODUCT_POLICY) + "previous"
     counts = f"{NO_VALUE:>10}" * len(COLUMNS)
-    return f"{label:64}{counts}{''.join(show(name) for name in RATIOS)}"
+    return f"{label:64}{counts}{''.join(format_last(name) for name in RATIOS)}"
 
 
 def json_line(outcome: Outcome) -> str:
@@ -69,39 +69,40 @@
 
 
 def comparison_lines(items: Sequence[Comparison]) -> list[str]:
-    """Return a line a figure: value, bound, last value and verdict."""
+    """Return one line per figure: value, bound, last value, goal and verdict."""
     lines = []
     for item in items:
-        kept = item.entry
+        entry = item.entry
         verdict = "ok"
         if item.missed:
             verdict = "goal missed"
         if item.breached:
             verdict = "BREACH"
         lines.append(
-            f"  {item.figure:22} {item.value:>10g} bound {_show(kept.bound):>8}"
-            f" last {_show(kept.last):>8} goal {_show(kept.goal):>6} {verdict}"
+            f"  {item.figure:22} {item.value:>10g} bound {_format(entry.bound):>8}"
+            f" last {_format(entry.last):>8} goal {_format(entry.goal):>6} {verdict}"
         )
     return lines
 
 
 def excess_line(outcomes: Sequence[Outcome]) -> str | None:
-    """Set the own policy's excess over the ideal against the best baseline's.
+    """Compare the product's excess over the ideal with that of the best baseline.
 
-    None unless both ran.
+    Returns None unless both ran.
     """
-    own = [item for item in outcomes if item.experiment.policy == PRODUCT_POLICY]
-    others = [item for item in outcomes if item.experiment.policy != PRODUCT_POLICY]
-    if not own or not others:
+    product = [item for item in outcomes if item.experiment.policy == PRODUCT_POLICY]
+    baselines = [item for item in outcomes if item.experiment.policy != PRODUCT_POLICY]
+    if not product or not baselines:
         return None
-    best = min(others, key=lambda item: item.figures.p99)
-    mine, theirs = own[0].figures.p99 - 1, best.figures.p99 - 1
-    share = f"{mine / theirs:.2f}" if theirs > 0 else NO_VALUE
+    best = min(baselines, key=lambda item: item.figures.p99)
+    product_excess, best_excess = product[0].figures.p99 - 1, best.figures.p99 - 1
+    share = f"{product_excess / best_excess:.2f}" if best_excess > 0 else NO_VALUE
     return (
-        f"  p99 excess over ideal: own {mine:.4f}, best baseline {theirs:.4f}"
+        f"  p99 excess over ideal: own {product_excess:.4f},"
+        f" best baseline {best_excess:.4f}"
         f" ({best.experiment.policy}), own share {share}"
     )
 
 
-def _show(value: float | None) -> str:
+def _format(value: float | None) -> str:
     return NO_VALUE if value is None else f"{value:g}"
--- a/jackdawspur/bench/_simulated_upstream.py
+++ b/jackdawspur/bench/_simulated_upstream.py
@@ -1,4 +1,4 @@
-"""A fenced upstream in virtual time, with its faults."""
+"""A simulated upstream with fencing, leases and faults, in virtual time."""
 
 import random
 from dataclasses import dataclass, field
@@ -17,13 +17,13 @@
 __all__ = ["JobDemand", "RunCounters", "SimulatedUpstream"]
 
 MS_PER_S = 1000.0
-# Clocks of upstreams start anywhere.
+# The clocks of upstreams have random offsets below this.
 CLOCK_SPAN_MS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class JobDemand:
-    """Say how long each task of a job takes at a pace of one, in seconds."""
+    """Run times of a job's tasks in seconds, at a slowdown of 1, and resources."""
 
     run_times_s: dict[str, float]
     resources: Resources
@@ -31,7 +31,7 @@
 
 @dataclass
 class RunCounters:
-    """Count what must never happen, over all upstreams."""
+    """Counts of starts, and of what must never happen, over all upstreams."""
 
     starts: int = 0
     two_at_once: int = 0
@@ -40,18 +40,19 @@
 
 
 @dataclass(eq=False, slots=True)
-class _Running:
+class _LiveRun:
     run: RunId
-    began: float
-    whole_s: float
+    started: float
+    run_time_s: float
     cpu: int
 
 
 class SimulatedUpstream:
-    """Run tasks under fences and leases; faults are set from outside.
+    """Run tasks under fences and leases; the simulation sets the faults.
 
-    `pace` and `slow` multiply run times, `hangs` stops all progress of new runs,
-    `fails` is the share of runs that end badly, `silent` drops every call.
+    `pace` and `slow` multiply run times. While `hangs` is set, new runs make no
+    progress. `fails` is the share of runs that fail. While `silent` is set, the
+    simulation drops every call.
     """
 
     def __init__(
@@ -72,24 +73,24 @@
         self._clock_offset_ms = rng.randrange(CLOCK_SPAN_MS)
         self._fence = 0
         self._lease_ms = 0
-        self._tasks: dict[RunId, _Running] = {}
+        self._tasks: dict[RunId, _LiveRun] = {}
         self._last_run_number: dict[str, int] = {}
         self._unacknowledged_ends: list[EndedRun] = []
         self._end_count = 0
 
     @property
     def has_unacknowledged_ends(self) -> bool:
-        """Tell whether there are ends that nobody has taken note of."""
+        """Return whether the ends of some runs have not been acknowledged."""
         return bool(self._unacknowledged_ends)
 
     def clock_ms(self, now: float) -> int:
-        """Return the upstream's own clock."""
+        """Return the time of the upstream's clock, in milliseconds."""
         return self._clock_offset_ms + int(now * MS_PER_S)
 
     def start(
         self, run: RunId, until_ms: int, fence: int, demand: JobDemand, now: float
     ) -> CallOutcome:
-        """Start a run unless a fence, the lease or an earlier run forbids it."""
+        """Start a run unless its fence, its lease or its number is outdated."""
         if fence < self._fence:
             return CallOutcome.FENCED
         self._fence = fence
@@ -100,16 +101,16 @@
             return CallOutcome.OK
         if run.number <= self._last_run_number.get(run.task, 0):
             return CallOutcome.OLD_RUN
-        whole_s = demand.run_times_s[run.task] * self.pace * self.slow
+        run_time_s = demand.run_times_s[run.task] * self.pace * self.slow
         if self.hangs:
-            whole_s = float("inf")
+            run_time_s = float("inf")
         cpu = demand.resources.cpu_millis
-        self._tasks[run] = _Running(run, now, whole_s, cpu)
+        self._tasks[run] = _LiveRun(run, now, run_time_s, cpu)
         self._count_start(run, cpu)
         return CallOutcome.OK
 
     def stop(self, run: RunId, fence: int, now: float) -> CallOutcome:
-        """Stop a run, or make it impossible."""
+        """Stop a run, and prevent it from starting later."""
         if fence < self._fence:
             return CallOutcome.FENCED
         self._fence = fence
@@ -123,33 +124,35 @@
     def hold(
         self, fence: int, last_seen: int, until_ms: int | None, now: float
     ) -> CallOutcome:
-        """Take note of ends and prolong the lease."""
+        """Acknowledge the ends of runs, and renew the lease."""
         if fence < self._fence:
             return CallOutcome.FENCED
         self._fence = fence
         self._unacknowledged_ends = [
-            one for one in self._unacknowledged_ends if one.number > last_seen
+            end for end in self._unacknowledged_ends if end.number > last_seen
         ]
         if until_ms is not None:
             self._lease_ms = max(self._lease_ms, until_ms)
         return CallOutcome.OK
 
     def report(self, now: float) -> PollReport:
-        """Report all runs and the ends not yet taken note of."""
+        """Report all live runs, and the ends that have not been acknowledged."""
         rows = tuple(
-            RunningRun(one.run, "", int(100.0 * (now - one.began) / one.whole_s))
-            for one in self._tasks.values()
+            RunningRun(
+                live.run, "", int(100.0 * (now - live.started) / live.run_time_s)
+            )
+            for live in self._tasks.values()
         )
         return PollReport(self.clock_ms(now), rows, tuple(self._unacknowledged_ends))
 
     def advance(self, now: float) -> None:
-        """End what is done, and everything when the lease is over."""
-        for one in list(self._tasks.values()):
-            if now >= one.began + one.whole_s:
+        """End the runs that are finished, and all runs if the lease has expired."""
+        for live in list(self._tasks.values()):
+            if now >= live.started + live.run_time_s:
                 failed = self._rng.random() < self.fails
-                self._end_run(one, RunResult.FAILED if failed else RunResult.DONE)
+                self._end_run(live, RunResult.FAILED if failed else RunResult.DONE)
             elif self.clock_ms(now) >= self._lease_ms:
-                self._end_run(one, RunResult.LAPSED)
+                self._end_run(live, RunResult.LAPSED)
 
     def _count_start(self, run: RunId, cpu: int) -> None:
         counters = self._counters
@@ -158,14 +161,16 @@
         counters.running_by_task[run.task] = (
             counters.running_by_task.get(run.task, 0) + 1
         )
-        taken = sum(one.cpu for one in self._tasks.values())
-        counters.over_capacity += taken > self.entry.capacity.cpu_millis
-
-    def _end_run(self, one: _Running, ending: RunResult) -> None:
-        del self._tasks[one.run]
-        self._counters.running_by_task[one.run.task] -= 1
-        self._last_run_number[one.run.task] = max(
-            one.run.number, self._last_run_number.get(one.run.task, 0)
+        used = sum(live.cpu for live in self._tasks.values())
+        counters.over_capacity += used > self.entry.capacity.cpu_millis
+
+    def _end_run(self, live: _LiveRun, result: RunResult) -> None:
+        del self._tasks[live.run]
+        self._counters.running_by_task[live.run.task] -= 1
+        self._last_run_number[live.run.task] = max(
+            live.run.number, self._last_run_number.get(live.run.task, 0)
         )
         self._end_count += 1
-        self._unacknowledged_ends.append(EndedRun(self._end_count, one.run, ending, ""))
+        self._unacknowledged_ends.append(
+            EndedRun(self._end_count, live.run, result, "")
+        )
--- a/jackdawspur/bench/_zone.py
+++ b/jackdawspur/bench/_zone.py
@@ -1,4 +1,4 @@
-"""The leading host of one zone with its upstreams, in virtual time."""
+"""The leader of one zone with its upstreams, in virtual time."""
 
 import heapq
 import itertools
@@ -33,7 +33,7 @@
 __all__ = ["EventScheduler", "Zone"]
 
 TICK_S = 0.025
-# Leases of upstreams that nobody reaches are looked at so often, others with each call.
+# Interval of lease checks of unresponsive upstreams; calls check those of the others.
 LEASE_CHECK_INTERVAL_S = 0.002
 LISTED_FOR_S = 60.0
 MS_PER_S = 1000.0
@@ -41,7 +41,7 @@
 
 
 class EventScheduler:
-    """Order all that happens."""
+    """Run callbacks in order of virtual time, ties in order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -49,42 +49,44 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def at(self, when: float, act: Callable[[], None]) -> None:
-        """Act at a time."""
+        """Run a callback at a virtual time."""
         heapq.heappush(self._events, (when, next(self._order), act))
 
     def every(self, seconds: float, act: Callable[[], None]) -> None:
-        """Act again and again."""
+        """Run a callback every `seconds`, the first time after one interval."""
 
-        def again() -> None:
+        def run_and_reschedule() -> None:
             act()
-            self.at(self.now + seconds, again)
+            self.at(self.now + seconds, run_and_reschedule)
 
-        self.at(self.now + seconds, again)
+        self.at(self.now + seconds, run_and_reschedule)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run all events due until a virtual time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, act = heapq.heappop(self._events)
             act()
 
 
 class ZoneOwner(Protocol):
-    """Hear of what a leading host does with jobs."""
+    """Callbacks for what a leader does with jobs."""
 
     def demand_of(self, task: str) -> JobDemand:
-        """Return how long a task takes."""
+        """Return the demand of a task's job."""
 
-    def started(self, effect: StartRun, pace: float, estimated_slowdown: float) -> None:
-        """Take in that a run began on an upstream of a pace, and what was believed."""
+    def started(
+        self, effect: StartRun, slowdown: float, estimated_slowdown: float
+    ) -> None:
+        """Record the start of a run, with the true and the estimated slowdown."""
 
     def answered(self, answer: AnswerJob) -> None:
-        """Take in how a job ended."""
+        """Deliver the answer of a job."""
 
     def redirected(self, effect: RedirectJob) -> None:
-        """Take in that a job is to go to another zone."""
+        """Redirect a job to another zone."""
 
     def lost(self, lost: JobLost) -> None:
-        """Take in why a job is lost."""
+        """Record why a job was lost."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,10 +97,11 @@
 
 
 class Zone:
-    """Lead one zone; its loop handles what falls into one pass in any order.
+    """Simulate the leader of one zone and its event loop.
 
-    With a `pass_s` above zero a pass begins up to so long after the first event that
-    it handles, which may be a tick; with zero each event has its own.
+    The events of one pass of the loop are handled in random order. A pass starts up to
+    `pass_delay_s` seconds after the first event (which may be a tick) that it handles;
+    if `pass_delay_s` is zero, each event has its own pass.
     """
 
     def __init__(
@@ -107,7 +110,7 @@
         scheduler: EventScheduler,
         number: int,
         upstreams: int,
-        pass_s: float,
+        pass_delay_s: float,
         counters: RunCounters,
         rng: random.Random,
     ) -> None:
@@ -116,14 +119,14 @@
         self.load = 1.0
         self._owner = owner
         self._scheduler = scheduler
-        self.pass_s = pass_s
+        self.pass_delay_s = pass_delay_s
         self._rng = rng
         self._inbox: list[Callable[[], None]] = []
         self._flush_due = NEVER_S
-        made = [self._make(n, counters) for n in range(upstreams)]
-        self.upstreams = {one.entry.id: one for one in made}
+        made = [self._make_upstream(n, counters) for n in range(upstreams)]
+        self.upstreams = {upstream.entry.id: upstream for upstream in made}
         self._pending_polls: dict[UpstreamId, list[_PendingPoll]] = {
-            one: [] for one in self.upstreams
+            upstream_id: [] for upstream_id in self.upstreams
         }
         self._fence = self.remote_leader.fence
         self.dispatcher = self._new_leader(self._fence)
@@ -131,50 +134,54 @@
         scheduler.every(LEASE_CHECK_INTERVAL_S, self._end_leases)
 
     def label_upstreams(self) -> None:
-        """Let the list name the kind of each upstream, by its pace, as it may do."""
-        for one in self.upstreams.values():
-            one.entry = replace(one.entry, labels=(f"pace-{one.pace}",))
-        entries = [one.entry for one in self.upstreams.values()]
+        """Label each upstream with its slowdown, as a platform's list may do."""
+        for upstream in self.upstreams.values():
+            upstream.entry = replace(upstream.entry, labels=(f"pace-{upstream.pace}",))
+        entries = [upstream.entry for upstream in self.upstreams.values()]
         self.dispatcher.set_upstreams(entries, self._scheduler.now)
 
-    def _make(self, number: int, counters: RunCounters) -> SimulatedUpstream:
+    def _make_upstream(self, number: int, counters: RunCounters) -> SimulatedUpstream:
         cpu = 48_000 if number % 3 == 2 else 32_000
         pace = SLOWDOWN if number // 3 % 3 == 0 else 1.0
-        one = UpstreamId(self.name, f"u{number}")
+        upstream_id = UpstreamId(self.name, f"u{number}")
         capacity = Resources(cpu, 131_072, 0)
-        entry = UpstreamEntry(one, "service", "127.0.0.1:1", capacity, (), False)
+        entry = UpstreamEntry(
+            upstream_id, "service", "127.0.0.1:1", capacity, (), False
+        )
         return SimulatedUpstream(entry, pace, counters, self._rng)
 
     def _new_leader(self, fence: Fence) -> Dispatcher:
         leader = Dispatcher(
             HostId(self.name, self.remote_leader.leader, 1), self._scheduler.now
         )
-        entries = [one.entry for one in self.upstreams.values()]
+        entries = [upstream.entry for upstream in self.upstreams.values()]
         leader.set_upstreams(entries, self._scheduler.now - LISTED_FOR_S)
         leader.start_leading(fence, self._scheduler.now)
         return leader
 
     def post(self, act: Callable[[], None]) -> None:
-        """Let the loop handle an event, in its next pass."""
+        """Add an event to those that the next pass of the loop handles."""
         self._inbox.append(act)
-        if self.pass_s <= 0.0:
+        if self.pass_delay_s <= 0.0:
             self._run_pass()
         elif len(self._inbox) == 1:
-            wait_s = self._rng.uniform(0.0, self.pass_s)
+            wait_s = self._rng.uniform(0.0, self.pass_delay_s)
             self._scheduler.at(self._scheduler.now + wait_s, self._run_pass)
 
     def replace_leader(self) -> dict[str, Progress]:
-        """Let another host lead, and return what the last one told of its jobs."""
+        """Replace the leader, and return the progress that it reported for its jobs."""
         crashes = self.dispatcher.upstream_pool.crashes
-        told = self.dispatcher.open_jobs.progress_by_host(crashes)
+        by_host = self.dispatcher.open_jobs.progress_by_host(crashes)
         self._fence += 1
         self.dispatcher = self._new_leader(self._fence)
-        return {job: one for jobs in told.values() for job, one in jobs.items()}
+        return {
+            job: progress for jobs in by_host.values() for job, progress in jobs.items()
+        }
 
     def receive_offered_capacity(
         self, zone: "Zone", capacity: dict[str, SpareCapacity]
     ) -> None:
-        """Take in the room that another zone offers."""
+        """Record the free capacity that another zone offers."""
         now = self._scheduler.now
         self.post(
             lambda: self.dispatcher.update_offered_capacity(
@@ -183,7 +190,7 @@
         )
 
     def offer(self, offer: Offer) -> None:
-        """Offer a job."""
+        """Offer a job to the leader."""
         self.post(lambda: self.dispatcher.offer(offer, self._scheduler.now))
 
     def _run_pass(self) -> None:
@@ -219,7 +226,7 @@
         elif isinstance(effect, JobLost):
             self._owner.lost(effect)
 
-    # Calls to upstreams, each way CALL_S.
+    # Calls to upstreams; each way takes UPSTREAM_LATENCY_S.
 
     def _call_upstream(
         self, effect, act: Callable[[], None], replied: Callable
@@ -236,10 +243,10 @@
         result: object,
         after_s: float = UPSTREAM_LATENCY_S,
     ) -> None:
-        def come() -> None:
+        def arrive() -> None:
             self.post(lambda: replied(effect, result, self._scheduler.now))
 
-        self._scheduler.at(self._scheduler.now + after_s, come)
+        self._scheduler.at(self._scheduler.now + after_s, arrive)
 
     def _start(self, effect: StartRun) -> None:
         upstream, replied = (
@@ -303,7 +310,7 @@
         self._call_upstream(effect, arrive, replied)
 
     def _answer_polls(self, upstream: SimulatedUpstream) -> None:
-        """Answer the looks that waited long enough, or for an end that is there."""
+        """Answer the polls that have timed out, or that have a run's end to report."""
         waiting = self._pending_polls[upstream.entry.id]
         now, report = self._scheduler.now, None
         for poll in waiting[:]:
--- a/jackdawspur/bench/_zones.py
+++ b/jackdawspur/bench/_zones.py
@@ -1,4 +1,4 @@
-"""Zones that pass jobs on to each other, in virtual time."""
+"""Zones that redirect jobs to each other, in virtual time."""
 
 import itertools
 import random
@@ -9,8 +9,8 @@
 from jackdawspur.bench._front_simulation import JobKind
 from jackdawspur.bench._generated_jobs import (
     ANSWER_RESERVE_S,
+    CALLER_TIMEOUT_S,
     HOST_LATENCY_S,
-    LIMIT_S,
     GeneratedJob,
     generate_job,
 )
@@ -34,15 +34,15 @@
 
 MS_PER_S = 1000.0
 MILLIS_PER_CORE = 1000.0
-# Leading hosts offer their room to each other so often.
+# Interval at which leaders offer each other their free capacity.
 CAPACITY_OFFER_INTERVAL_S = 0.2
-# Of callers that state long waits, all have left by then.
+# Time in which the last callers that state long maximum waits get their answers.
 LAST_ANSWERS_S = 15.0
 
 
 @dataclass
 class ZonesResult:
-    """Tell what became of all jobs, and what must never happen."""
+    """Records of all jobs, and counters of what must never happen."""
 
     offered: int = 0
     redirected: int = 0
@@ -54,13 +54,13 @@
 class _Run:
     task: str
     at: float
-    pace: float
+    slowdown: float
     estimated_slowdown: float
 
 
 @dataclass(eq=False, slots=True)
 class _OpenJob:
-    """Keep a job whose caller waits, its zone and what was seen of it."""
+    """A job whose caller is waiting, its zone and its observed runs."""
 
     generated: GeneratedJob
     zone: Zone
@@ -72,14 +72,14 @@
 
 
 class ZonesSimulation:
-    """Let callers of each zone send jobs to its hosts; keep what comes of them."""
+    """Simulate callers that send jobs to the hosts of their zones."""
 
     def __init__(
         self,
         kinds: Sequence[JobKind],
         zones: int,
         upstreams: int,
-        pass_s: float,
+        pass_delay_s: float,
         seed: int,
         states_waits: bool = False,
     ) -> None:
@@ -89,7 +89,15 @@
         self._kinds = kinds
         rng = random.Random(f"zones {seed}")
         self.zones = [
-            Zone(self, self.scheduler, n, upstreams, pass_s, self.result.counters, rng)
+            Zone(
+                self,
+                self.scheduler,
+                n,
+                upstreams,
+                pass_delay_s,
+                self.result.counters,
+                rng,
+            )
             for n in range(zones)
         ]
         self._by_leader = {zone.remote_leader.leader: zone for zone in self.zones}
@@ -97,28 +105,31 @@
         self._open_jobs: dict[str, _OpenJob] = {}
         for zone in self.zones:
             for kind in kinds:
-                # Jobs are the same whatever becomes of others.
+                # One generator per zone and kind, so that jobs don't depend on the
+                # outcome of others.
                 arrivals = random.Random(f"{zone.name} {kind.name} {seed}")
                 self._next_job(zone, kind, arrivals)
         if zones > 1:
             self.scheduler.every(CAPACITY_OFFER_INTERVAL_S, self._offer_capacity)
 
     def run(self, until: float) -> ZonesResult:
-        """Let callers come until a time, and wait for their answers."""
-        self._ends = until
+        """Submit jobs until a virtual time, then wait for their answers."""
+        self._arrivals_end = until
         self.scheduler.run(
-            until + (LAST_ANSWERS_S if self._states_waits else 2 * LIMIT_S)
+            until + (LAST_ANSWERS_S if self._states_waits else 2 * CALLER_TIMEOUT_S)
         )
         return self.result
 
     def change_leader(self, zone: Zone) -> None:
-        """Let another host lead a zone, and offer it all jobs that the last one had."""
-        progress = zone.replace_leader()
+        """Replace the leader of a zone, and offer the new one all open jobs."""
+        progress_by_job = zone.replace_leader()
         for open_job in self._open_jobs.values():
             if open_job.zone is zone:
                 offer = open_job.offer
-                told = progress.get(offer.request.id, Progress())
-                open_job.offer = self._offer_of(open_job, offer.handovers + 1, told)
+                progress = progress_by_job.get(offer.request.id, Progress())
+                open_job.offer = self._offer_again(
+                    open_job, offer.handovers + 1, progress
+                )
                 zone.offer(open_job.offer)
 
     # Callers.
@@ -126,14 +137,14 @@
     def _next_job(self, zone: Zone, kind: JobKind, arrivals: random.Random) -> None:
         wait_s = arrivals.expovariate(kind.per_second * zone.load)
 
-        def come() -> None:
-            if self.scheduler.now < self._ends:
-                self._ask(zone, kind, arrivals)
+        def arrive() -> None:
+            if self.scheduler.now < self._arrivals_end:
+                self._submit(zone, kind, arrivals)
                 self._next_job(zone, kind, arrivals)
 
-        self.scheduler.at(self.scheduler.now + wait_s, come)
+        self.scheduler.at(self.scheduler.now + wait_s, arrive)
 
-    def _ask(self, zone: Zone, kind: JobKind, arrivals: random.Random) -> None:
+    def _submit(self, zone: Zone, kind: JobKind, arrivals: random.Random) -> None:
         self.result.offered += 1
         call = next(self._calls)
         generated = generate_job(kind, f"{call:016x}", arrivals, self._states_waits)
@@ -143,10 +154,12 @@
         open_job = _OpenJob(generated, zone, offer, arrived)
         self._open_jobs[generated.request.id] = open_job
         self.scheduler.at(arrived + HOST_LATENCY_S, lambda: zone.offer(open_job.offer))
-        # The host answers its caller itself when its time is over.
+        # At the deadline the host answers its caller itself.
         self.scheduler.at(deadline, lambda: self._time_out(open_job))
 
-    def _offer_of(self, open_job: _OpenJob, handed: int, told: Progress) -> Offer:
+    def _offer_again(
+        self, open_job: _OpenJob, handovers: int, progress: Progress
+    ) -> Offer:
         last = open_job.offer
         return Offer(
             last.request,
@@ -154,8 +167,8 @@
             last.call,
             last.arrived,
             last.deadline,
-            handed,
-            told,
+            handovers,
+            progress,
             from_other_group=last.from_other_group,
             attempt=last.attempt,
         )
@@ -170,16 +183,16 @@
             zone.dispatcher.drop(offer.host, job, offer.call, self.scheduler.now)
 
         zone.post(drop)
-        # What is told of it comes with the end of the pass.
+        # The leader reports why the job was lost at the end of its pass.
         self.scheduler.at(
-            self.scheduler.now + HOST_LATENCY_S + zone.pass_s,
+            self.scheduler.now + HOST_LATENCY_S + zone.pass_delay_s,
             lambda: self._end(job, False),
         )
 
-    # What leading hosts decide.
+    # Decisions of the leaders.
 
     def demand_of(self, task: str) -> JobDemand:
-        """Return how long the tasks of a task's job take."""
+        """Return the demand of a task's job."""
         open_job = self._open_jobs.get(task.split(".", 1)[0])
         return (
             open_job.generated.demand
@@ -187,22 +200,24 @@
             else JobDemand({task: 0.1}, Resources())
         )
 
-    def started(self, effect: StartRun, pace: float, estimated_slowdown: float) -> None:
-        """Take in that a run began on an upstream of a pace, and what was believed."""
+    def started(
+        self, effect: StartRun, slowdown: float, estimated_slowdown: float
+    ) -> None:
+        """Record the start of a run, with the true and the estimated slowdown."""
         open_job = self._open_jobs.get(effect.run.task.split(".", 1)[0])
         if open_job is not None:
             task = effect.run.task
             open_job.runs.append(
-                _Run(task, self.scheduler.now, pace, estimated_slowdown)
+                _Run(task, self.scheduler.now, slowdown, estimated_slowdown)
             )
 
     def lost(self, lost: JobLost) -> None:
-        """Take in why a job is lost."""
+        """Record why a job was lost."""
         if lost.job in self._open_jobs:
             self._open_jobs[lost.job].lost = lost
 
     def answered(self, answer: AnswerJob) -> None:
-        """Pass an answer on to its caller."""
+        """Deliver an answer to its caller."""
         complete = answer.outcome.end is JobEnd.COMPLETE
         open_job = self._open_jobs.get(answer.job)
         if open_job is not None:
@@ -211,7 +226,7 @@
             self.scheduler.at(when, lambda: self._end(answer.job, complete))
 
     def redirected(self, effect: RedirectJob) -> None:
-        """Let a job's host offer it to the leading host of another zone."""
+        """Offer a job to the leader of another zone."""
         self.result.redirected += 1
         open_job = self._open_jobs.get(effect.job)
         if open_job is None:
@@ -235,10 +250,12 @@
     def _offer_capacity(self) -> None:
         for zone in self.zones:
             now = self.scheduler.now
-            others = [one for one in self.zones if one is not zone]
-            wanting = [one for one in others if one.dispatcher.needs_capacity(now)]
-            names = [one.remote_leader.leader for one in wanting or others]
-            dealt = {
+            others = [other for other in self.zones if other is not zone]
+            in_need = [
+                other for other in others if other.dispatcher.needs_capacity(now)
+            ]
+            names = [other.remote_leader.leader for other in in_need or others]
+            shares = {
                 service: (
                     split_round_robin(spare.fast, names),
                     split_round_robin(spare.slow, names),
@@ -249,13 +266,13 @@
                 name = other.remote_leader.leader
                 capacity = {
                     service: SpareCapacity(fast.get(name, ()), slow.get(name, ()))
-                    for service, (fast, slow) in dealt.items()
+                    for service, (fast, slow) in shares.items()
                 }
                 when = now + HOST_LATENCY_S
                 self.scheduler.at(
                     when,
-                    lambda o=other, z=zone, r=capacity: o.receive_offered_capacity(
-                        z, r
+                    lambda o=other, z=zone, c=capacity: o.receive_offered_capacity(
+                        z, c
                     ),
                 )
 
@@ -270,11 +287,11 @@
             complete and self.scheduler.now - open_job.arrived <= generated.usable_s
         )
         cores = generated.demand.resources.cpu_millis / MILLIS_PER_CORE
-        seconds = generated.demand.run_times_s.values()
+        run_times_s = generated.demand.run_times_s.values()
         self.result.records.append(
             JobRecord(
                 generated.request.route.name,
-                sum(seconds) * cores,
+                sum(run_times_s) * cores,
                 generated.longest_s,
                 served,
                 servable=generated.longest_s <= generated.usable_s,
@@ -284,10 +301,10 @@
         )
 
     def _lost_job(self, open_job: _OpenJob, complete: bool) -> LostJob:
-        told = open_job.lost
-        cause = told.cause.value if told else "no_answer"
-        first = told.first_start_ms if told else None
-        last = told.last_start_ms if told else None
+        reported = open_job.lost
+        cause = reported.cause.value if reported else "no_answer"
+        first = reported.first_start_ms if reported else None
+        last = reported.last_start_ms if reported else None
         return LostJob(
             cause="answered_late" if complete else cause,
             seen=_observed_cause(open_job),
@@ -302,31 +319,31 @@
 
 
 def _observed_cause(open_job: _OpenJob) -> str:
-    """Tell what really kept a job from its time, by when and where its tasks ran."""
+    """Return why a job really missed its deadline: when and where its tasks ran."""
     if not open_job.runs:
         return "not begun"
     if len(open_job.runs) > len(Counter(run.task for run in open_job.runs)):
         return "run again"
-    seconds = open_job.generated.demand.run_times_s
-    if len(open_job.runs) < len(seconds):
+    run_times_s = open_job.generated.demand.run_times_s
+    if len(open_job.runs) < len(run_times_s):
         return "not all begun"
-    begun = [
-        (run.at - open_job.arrived, seconds[run.task], run.pace)
+    started = [
+        (run.at - open_job.arrived, run_times_s[run.task], run.slowdown)
         for run in open_job.runs
     ]
     usable_s = open_job.generated.usable_s
-    if all(at + demand * pace <= usable_s for at, demand, pace in begun):
+    if all(at + run_s * slowdown <= usable_s for at, run_s, slowdown in started):
         return "in time where it was"
-    if all(at + demand <= usable_s for at, demand, _ in begun):
+    if all(at + run_s <= usable_s for at, run_s, _ in started):
         return "slow upstream"
     return "late start"
 
 
 def _estimated_slowdown(open_job: _OpenJob) -> float:
-    """Return the pace that was believed of the upstream whose task ends last."""
-    seconds = open_job.generated.demand.run_times_s
+    """Return the estimated slowdown of the upstream whose task ends last."""
+    run_times_s = open_job.generated.demand.run_times_s
     ends = [
-        (run.at + seconds[run.task] * run.pace, run.estimated_slowdown)
+        (run.at + run_times_s[run.task] * run.slowdown, run.estimated_slowdown)
         for run in open_job.runs
     ]
     return round(max(ends, default=(0.0, 0.0))[1], 2)
--- a/jackdawspur/bench/front.py
+++ b/jackdawspur/bench/front.py
@@ -1,7 +1,7 @@
-"""Run the leading host's decisions in virtual time against bounds and a baseline.
+"""Run the leader in virtual time, and compare it with bounds and a baseline.
 
-``python -m`` this module prints one line a scenario and policy, and exits 1 when a
-bound or an invariant is broken.
+``python -m`` this module prints one line per scenario and policy, and exits with 1 if
+a bound is missed or an invariant is violated.
 """
 
 import sys
@@ -29,10 +29,11 @@
 
 SEED = 11
 SECONDS = 15.0
-# The kind whose largest jobs are as long as their callers wait.
+# The kind of job whose largest jobs take as long as their callers wait.
 LONG_KIND = "reassign"
 SLOWDOWN = 1.3
-# The mix of both users at their usual rate: about 40 of 56 places are taken.
+# The mix of both users at their usual rate: it uses the capacity of about 40 of the 56
+# tasks that fit on the upstreams.
 KINDS = (
     JobKind("confirm", 17.2, 8, 0.06),
     JobKind("reassign", 3.12, 4, 0.9),
@@ -41,18 +42,18 @@
 
 
 class FifoPlacer(Placer):
-    """Serve in order of arrival."""
+    """Place jobs in order of arrival."""
 
     def ordered(self, waiting: list[Job], now: float) -> Sequence[Job]:
-        """Return the jobs by the time they came."""
-        return sorted(waiting, key=lambda one: one.offer.arrived)
+        """Return the jobs in order of arrival."""
+        return sorted(waiting, key=lambda job: job.offer.arrived)
 
 
 class FifoDispatcher(Dispatcher):
-    """Serve in order of arrival, and never look at progress: the baseline."""
+    """Baseline: serve jobs in order of arrival, and ignore their progress."""
 
-    def __init__(self, own: HostId, now: float) -> None:
-        super().__init__(own, now)
+    def __init__(self, local_id: HostId, now: float) -> None:
+        super().__init__(local_id, now)
         self._placer = FifoPlacer(
             self._fleet, self._starts, self._estimates, self._begun, self._redirector
         )
@@ -70,9 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Name what happens, and the least share of jobs that must be on time.
+    """The faults to inject, and the minimum share of jobs that must be on time.
 
-    With `states_waits` callers say how long they wait, which is longer for long jobs.
+    With `states_waits`, callers state their maximum wait, which is longer for long
+    jobs.
     """
 
     name: str
@@ -90,44 +92,44 @@
     simulation.at(9.0, lambda: setattr(simulation, "load", 1.0))
 
 
-def _some(
+def _set_fault(
     simulation: FrontSimulation, name: str, bad: object, good: object, first: int = 0
 ) -> None:
-    """Set a fault of every seventh upstream, from the first given, for 7 s."""
+    """Set a fault of every seventh upstream, starting with number `first`, for 7 s."""
 
-    def change(value: object) -> None:
+    def set_all(value: object) -> None:
         for upstream in list(simulation.upstreams.values())[first::7]:
             setattr(upstream, name, value)
 
-    simulation.at(5.0, lambda: change(bad))
-    simulation.at(12.0, lambda: change(good))
+    simulation.at(5.0, lambda: set_all(bad))
+    simulation.at(12.0, lambda: set_all(good))
 
 
 def _third_slower(simulation: FrontSimulation) -> None:
-    """Give a third of the upstreams a slower pace than the others, under load."""
+    """Slow down a third of the upstreams, under increased load."""
     for number, upstream in enumerate(simulation.upstreams.values()):
         upstream.pace = SLOWDOWN if number // 3 % 3 == 0 else 1.0
     simulation.load = 1.3
 
 
 def _slow(simulation: FrontSimulation) -> None:
-    _some(simulation, "slow", 6.0, 1.0)
+    _set_fault(simulation, "slow", 6.0, 1.0)
 
 
 def _hanging(simulation: FrontSimulation) -> None:
-    _some(simulation, "hangs", True, False)
+    _set_fault(simulation, "hangs", True, False)
 
 
 def _failing(simulation: FrontSimulation) -> None:
-    _some(simulation, "fails", 1.0, 0.0)
+    _set_fault(simulation, "fails", 1.0, 0.0)
 
 
-def _silent(simulation: FrontSimulation) -> None:
-    _some(simulation, "silent", True, False)
+def _unresponsive(simulation: FrontSimulation) -> None:
+    _set_fault(simulation, "silent", True, False)
 
 
 def _late_orders(share: float) -> Callable[[FrontSimulation], None]:
-    """Leave a share of all orders without a reply, for 7 s."""
+    """Let a share of all calls get no reply, for 7 s."""
 
     def inject(simulation: FrontSimulation) -> None:
         simulation.at(5.0, lambda: setattr(simulation, "late_orders", share))
@@ -136,22 +138,22 @@
     return inject
 
 
-def _new_leader(simulation: FrontSimulation) -> None:
+def _change_leader(simulation: FrontSimulation) -> None:
     for when in (5.0, 8.0, 11.0):
         simulation.at(when, simulation.change_leader)
 
 
-def _slow_and_silent(simulation: FrontSimulation) -> None:
+def _slow_and_unresponsive(simulation: FrontSimulation) -> None:
     _slow(simulation)
-    _some(simulation, "silent", True, False, first=3)
+    _set_fault(simulation, "silent", True, False, first=3)
 
 
-def _burst_and_new_leader(simulation: FrontSimulation) -> None:
+def _burst_and_change_leader(simulation: FrontSimulation) -> None:
     _burst(simulation)
-    _new_leader(simulation)
+    _change_leader(simulation)
 
 
-# Bounds are 0.02 under what this code reached with the seed above.
+# Bounds are 0.02 below the results of this code with SEED.
 SCENARIOS = (
     Scenario("steady", 0.96, _steady),
     Scenario("burst", 0.88, _burst),
@@ -159,17 +161,19 @@
     Scenario("slow", 0.905, _slow),
     Scenario("hanging", 0.895, _hanging),
     Scenario("failing", 0.945, _failing),
-    Scenario("silent", 0.94, _silent),
+    Scenario("silent", 0.94, _unresponsive),
     Scenario("late orders 0.05", 0.89, _late_orders(0.05)),
     Scenario("late orders 0.2", 0.8, _late_orders(0.2)),
     Scenario("late orders 0.5", 0.5, _late_orders(0.5)),
-    Scenario("new leader", 0.955, _new_leader),
-    Scenario("slow and silent", 0.845, _slow_and_silent),
-    Scenario("burst and new leader", 0.915, _burst_and_new_leader),
+    Scenario("new leader", 0.955, _change_leader),
+    Scenario("slow and silent", 0.845, _slow_and_unresponsive),
+    Scenario("burst and new leader", 0.915, _burst_and_change_leader),
     Scenario("steady, waits stated", 0.96, _steady, True),
     Scenario("burst, waits stated", 0.88, _burst, True),
     Scenario("third slower, waits stated", 0.914, _third_slower, True),
-    Scenario("burst and new leader, waits stated", 0.915, _burst_and_new_leader, True),
+    Scenario(
+        "burst and new leader, waits stated", 0.915, _burst_and_change_leader, True
+    ),
 )
 
 
@@ -179,7 +183,7 @@
     seconds: float = SECONDS,
     seed: int = SEED,
 ) -> FrontResult:
-    """Play a scenario with one policy."""
+    """Run a scenario with one policy."""
     simulation = FrontSimulation(KINDS, policy, seed, scenario.states_waits)
     scenario.inject(simulation)
     return simulation.run(seconds)
@@ -187,7 +191,7 @@
 
 def _line(scenario: Scenario, policy: str, result: FrontResult) -> bytes:
     counters = result.counters
-    long = [one for one in result.records if one.kind == LONG_KIND]
+    long = [job for job in result.records if job.kind == LONG_KIND]
     largest = largest_tenth(result.records, LONG_KIND)
     fields = {
         "scenario": scenario.name,
@@ -210,16 +214,16 @@
 
 
 def main() -> int:
-    """Play all scenarios; return 1 when a bound or an invariant is broken."""
-    broken = 0
+    """Run all scenarios; return 1 if a bound is missed or an invariant violated."""
+    failures = 0
     for scenario in SCENARIOS:
-        own = run_scenario(scenario)
-        sys.stdout.buffer.write(_line(scenario, "own", own))
-        first = run_scenario(scenario, FifoDispatcher)
-        sys.stdout.buffer.write(_line(scenario, "arrival order", first))
-        broken += own.on_time_share < scenario.min_on_time_share
-        broken += own.counters.two_at_once + own.counters.over_capacity > 0
-    return 1 if broken else 0
+        product = run_scenario(scenario)
+        sys.stdout.buffer.write(_line(scenario, "own", product))
+        fifo = run_scenario(scenario, FifoDispatcher)
+        sys.stdout.buffer.write(_line(scenario, "arrival order", fifo))
+        failures += product.on_time_share < scenario.min_on_time_share
+        failures += product.counters.two_at_once + product.counters.over_capacity > 0
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/jackdawspur/bench/tests/__init__.py
+++ b/jackdawspur/bench/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the bench, and of the dispatcher through it."""
+"""Tests of the bench, and of the dispatcher by means of the bench."""
--- a/jackdawspur/bench/tests/conftest.py
+++ b/jackdawspur/bench/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Short runs that several tests share."""
+"""Shared fixtures: short runs, an invariant checker and task ids."""
 
 import pytest
 
@@ -20,9 +20,9 @@
 
 @pytest.fixture
 def run():
-    """Run a scenario briefly at one deployment."""
+    """Return a function that runs a scenario briefly on one deployment."""
 
-    def short(
+    def run_briefly(
         scenario: str,
         policy: str,
         deployment: str = "ramdenee",
@@ -31,30 +31,30 @@
         seed: int = 1,
     ) -> Outcome:
         chosen = (SCENARIOS | PAIRS)[scenario]
-        sizes = DEPLOYMENTS.get(deployment, SMALL)
-        experiment = Experiment(sizes, chosen, policy, load, seed, seconds)
+        spec = DEPLOYMENTS.get(deployment, SMALL)
+        experiment = Experiment(spec, chosen, policy, load, seed, seconds)
         return run_experiment(
             experiment, POLICIES[policy].make, POLICIES[policy].deduplicates
         )
 
-    return short
+    return run_briefly
 
 
 @pytest.fixture
 def checker():
-    """Return a checker that knows call 1 of request 0, non-idempotent, two tasks."""
-    tested = InvariantChecker()
+    """Return a checker that has seen call 1: request 0, non-idempotent, two tasks."""
+    invariant_checker = InvariantChecker()
     tasks = (TaskSpec("100.0 0 0"), TaskSpec("100.0 0 1"))
-    asked = JobRequest("alpha", "reassign", tasks, 1000.0, idempotent=False)
-    tested.call_sent(1, 0, asked)
-    return tested
+    request = JobRequest("alpha", "reassign", tasks, 1000.0, idempotent=False)
+    invariant_checker.call_sent(1, 0, request)
+    return invariant_checker
 
 
 @pytest.fixture
 def task():
-    """Name a task of a submission by its place."""
+    """Return a function that returns the id of a task of a submission."""
 
-    def named(index: int, sequence: int = 1) -> TaskId:
+    def task_id(index: int, sequence: int = 1) -> TaskId:
         return TaskId(SubmissionId(HostId("z1", "e1", 1), sequence), index)
 
-    return named
+    return task_id
--- a/jackdawspur/bench/tests/test_bounds.py
+++ b/jackdawspur/bench/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Figures are held against the bounds in the repository."""
+"""Tests of the comparison of figures with the bounds in the repository."""
 
 import pytest
 
@@ -18,23 +18,23 @@
     return run("steady", "random", load=0.3, seconds=3.0)
 
 
-def test_breach_is_found_and_bounds_stay(outcome, tmp_path):
+def test_exceeded_bound_is_detected_and_bounds_are_kept(outcome, tmp_path):
     key = outcome.experiment.key
     bounds = BoundsFile(1, 3.0, {key: {"p50": Entry(0.5, 0.4), "p99": Entry(99.0)}})
-    found = compare(bounds, outcome)
-    assert [item.figure for item in found if item.breached] == ["p50"]
+    comparisons = compare(bounds, outcome)
+    assert [item.figure for item in comparisons if item.breached] == ["p50"]
     path = tmp_path / "bounds.json"
-    write_bounds(path, with_last(bounds, found))
-    again = read_bounds(path)
-    assert again.entries[key]["p50"] == Entry(0.5, outcome.figures.p50)
-    assert again.entries[key]["p99"] == Entry(99.0, outcome.figures.p99)
+    write_bounds(path, with_last(bounds, comparisons))
+    reread = read_bounds(path)
+    assert reread.entries[key]["p50"] == Entry(0.5, outcome.figures.p50)
+    assert reread.entries[key]["p99"] == Entry(99.0, outcome.figures.p99)
 
 
-def test_other_seed_is_not_compared(outcome):
+def test_run_with_another_seed_is_not_compared(outcome):
     assert compare(BoundsFile(2, 3.0), outcome) == []
 
 
-def test_unreadable_bounds_are_one_clear_error(tmp_path):
+def test_invalid_bounds_file_raises_an_error_that_names_the_field(tmp_path):
     path = tmp_path / "bounds.json"
     path.write_text('{"seed": "x"}')
     with pytest.raises(BoundsFileError, match="seed"):
--- a/jackdawspur/bench/tests/test_disorder.py
+++ b/jackdawspur/bench/tests/test_disorder.py
@@ -1,4 +1,4 @@
-"""Random faults in random order, with the invariant checker as the oracle."""
+"""Property test: random faults in random order, checked by the invariant checker."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -16,24 +16,24 @@
 DEADLINE_S = 2.5
 GRACE_S = 6.0
 HOSTS = st.integers(0, 2)
-WORKERS = st.integers(0, 3)
+UPSTREAMS = st.integers(0, 3)
 ZONES = st.sampled_from(["z1", "z2"])
 TIMES = st.floats(0.2, SECONDS, allow_nan=False)
 
 
-def kill(place):
-    return lambda simulation: simulation.kill(_host(simulation, place), 0.3)
+def kill(index):
+    return lambda simulation: simulation.kill(_host(simulation, index), 0.3)
 
 
-def pause(place, seconds):
-    return lambda simulation: simulation.pause(_host(simulation, place), seconds)
+def pause(index, seconds):
+    return lambda simulation: simulation.pause(_host(simulation, index), seconds)
 
 
-def restart_worker(place):
-    return lambda simulation: _worker(simulation, place).restart()
+def restart_upstream(index):
+    return lambda simulation: _upstream(simulation, index).restart()
 
 
-def cut(zone, zones, platform):
+def partition(zone, zones, platform):
     return lambda simulation: simulation.links.partition_zone(zone, zones, platform)
 
 
@@ -41,9 +41,9 @@
     return lambda simulation: simulation.links.heal_zone(zone)
 
 
-def fail_all(place):
+def fail_all(index):
     def act(simulation):
-        _worker(simulation, place).faults.fails_all = True
+        _upstream(simulation, index).faults.fails_all = True
 
     return act
 
@@ -58,10 +58,10 @@
 FAULTS = st.one_of(
     st.builds(kill, HOSTS),
     st.builds(pause, HOSTS, st.floats(0.1, 4.0)),
-    st.builds(restart_worker, WORKERS),
-    st.builds(cut, ZONES, st.booleans(), st.booleans()),
+    st.builds(restart_upstream, UPSTREAMS),
+    st.builds(partition, ZONES, st.booleans(), st.booleans()),
     st.builds(heal, ZONES),
-    st.builds(fail_all, WORKERS),
+    st.builds(fail_all, UPSTREAMS),
     st.builds(set_log, st.booleans()),
 )
 
@@ -70,25 +70,25 @@
 @given(
     seed=st.integers(0, 10_000),
     faults=st.lists(st.tuples(TIMES, FAULTS), max_size=6),
-    lost=st.sampled_from([0.0, 0.02, 0.2]),
+    lost_replies=st.sampled_from([0.0, 0.02, 0.2]),
     jitter_s=st.sampled_from([0.0, 0.01, 0.1]),
     peer_loss=st.sampled_from([0.0, 0.1]),
 )
-def test_disorder_breaks_no_invariant(seed, faults, lost, jitter_s, peer_loss):
-    """Callers get whole answers or clear failures, whatever happens in which order.
+def test_disorder_breaks_no_invariant(seed, faults, lost_replies, jitter_s, peer_loss):
+    """Callers get complete answers or clear failures under any sequence of faults.
 
-    Replies are lost after their effect, results come twice and late, hosts die, sleep
-    and return, upstreams restart, zones are cut off. Keyed requests and those with
-    ids in advance are sent again meanwhile.
+    Replies are lost after the call took effect, results arrive twice and late, hosts
+    die, pause and return, upstreams restart, zones are partitioned. Meanwhile callers
+    resubmit requests that have a key or an id issued in advance.
     """
     make = POLICIES[PRODUCT_POLICY].make
     simulation = Simulation(SMALL, make, seed, resubmits=True)
     simulation.clients.ids_in_advance = True
     simulation.links.jitter_s = jitter_s
     simulation.links.peer_loss = peer_loss
-    simulation.log.lost_replies = lost
+    simulation.log.lost_replies = lost_replies
     for upstream in simulation.upstreams.values():
-        upstream.faults.lost_replies = lost
+        upstream.faults.lost_replies = lost_replies
     for when, fault in faults:
         simulation.loop.at(when, lambda fault=fault: fault(simulation))
     deadline_ms = DEADLINE_S * 1000
@@ -97,9 +97,9 @@
     assert simulation.checker.counts == {}, simulation.checker.violations
 
 
-def _host(simulation, place):
-    return list(simulation.hosts.values())[place]
+def _host(simulation, index):
+    return list(simulation.hosts.values())[index]
 
 
-def _worker(simulation, place):
-    return list(simulation.upstreams.values())[place]
+def _upstream(simulation, index):
+    return list(simulation.upstreams.values())[index]
--- a/jackdawspur/bench/tests/test_fakes.py
+++ b/jackdawspur/bench/tests/test_fakes.py
@@ -1,4 +1,4 @@
-"""The fakes keep to the interfaces, and a seed decides a run."""
+"""Tests that the fakes follow the interfaces, and that equal seeds give equal runs."""
 
 import random
 
@@ -18,7 +18,7 @@
 )
 
 HOLDER = HostId("z1", "e1", 1)
-LOAD_ERROR = 0.07
+LOAD_TOLERANCE = 0.07
 
 
 @pytest.fixture
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def upstream(loop):
-    """Return an upstream of one slot, with request 0 of four tasks known."""
+    """Return an upstream with one slot; its checker knows request 0 of four tasks."""
     checker = InvariantChecker()
     tasks = tuple(TaskSpec(f"100.0 0 {index}") for index in range(4))
     checker.call_sent(1, 0, JobRequest("alpha", "spot", tasks, 1000.0))
@@ -38,14 +38,14 @@
 
 @pytest.fixture
 def start(upstream, task):
-    """Start one task and return its refusal."""
+    """Return a function that starts one task and returns its refusal, if any."""
 
-    def started(index, lease_ms=1000.0):
+    def start_task(index, lease_ms=1000.0):
         text = f"100.0 0 {index}"
-        asked = TaskStart(task(index), text, lease_ms)
-        return upstream.start(HOLDER, [asked])[0].refusal
+        task_start = TaskStart(task(index), text, lease_ms)
+        return upstream.start(HOLDER, [task_start])[0].refusal
 
-    return started
+    return start_task
 
 
 def test_refusals_follow_the_interface(upstream, start, task):
@@ -59,7 +59,7 @@
     assert start(3) is RefusalReason.LEAVING
 
 
-def test_lease_ends_a_task(loop, upstream, start, task):
+def test_task_is_stopped_when_its_lease_expires(loop, upstream, start, task):
     assert start(0, lease_ms=50.0) is None
     loop.run(0.06)
     assert upstream.status([task(0)], seal=False)[0].state is TaskState.STOPPED
@@ -68,14 +68,14 @@
     assert upstream.status([task(1)], seal=False)[0].output == "done 100.0 0 1"
 
 
-def test_restarted_upstream_proves_nothing(upstream, start, task):
+def test_restarted_upstream_reports_unknown_not_never_started(upstream, start, task):
     assert start(0) is None
     upstream.restart()
     assert upstream.status([task(0)], seal=True)[0].state is TaskState.UNKNOWN
     assert start(0) is RefusalReason.SEALED
 
 
-def test_load_is_the_share_of_slot_time():
+def test_load_is_the_offered_fraction_of_slot_time():
     deployment = DEPLOYMENTS["ramdenee"]
     seconds = 100.0
     jobs = generate_jobs(deployment, Workload(load=0.7, seconds=seconds), seed=3)
@@ -83,10 +83,10 @@
         float(spec.payload.split()[0]) for job in jobs for spec in job.request.tasks
     )
     offered = offered_ms / 1000 / seconds / deployment.total_slots
-    assert abs(offered - 0.7) < LOAD_ERROR
+    assert abs(offered - 0.7) < LOAD_TOLERANCE
 
 
-def test_a_seed_decides_a_run(run):
+def test_equal_seeds_give_equal_runs(run):
     first = run("lost_replies", "two_choices")
     assert run("lost_replies", "two_choices").figures == first.figures
     assert run("lost_replies", "two_choices", seed=2).figures != first.figures
--- a/jackdawspur/bench/tests/test_front.py
+++ b/jackdawspur/bench/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The leading host's decisions keep their promises under faults, in virtual time."""
+"""Tests of the leader's dispatcher under faults, in virtual time."""
 
 import pytest
 
@@ -12,15 +12,15 @@
 )
 
 SHORT_S = 7.0
-# Callers wait a little longer, and tasks need a few hundredths until they start.
-LIMIT_S = 1.45
+# Less than the callers' timeout, since tasks start a few hundredths of a second later.
+MAX_RUN_S = 1.45
 BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 
 
 @pytest.mark.parametrize("name", ["late orders 0.2", "new leader", "slow and silent"])
 def test_no_task_runs_twice_and_no_upstream_is_overloaded(name: str):
-    # A cooperative is billed twice: replies are lost and starts carried out late, the
-    # leading host changes, upstreams go silent and slow.
+    # Guards against a customer being billed twice for a task: replies are lost, starts
+    # are carried out late, the leader changes, upstreams become unresponsive or slow.
     result = run_scenario(BY_NAME[name], seconds=SHORT_S)
     assert result.counters.starts > 100
     assert result.counters.two_at_once == 0
@@ -28,29 +28,30 @@
 
 
 def test_a_burst_is_served_better_than_in_order_of_arrival():
-    # Guards lock crews out although there was room: in a burst jobs that were late
-    # already were served before those that could still be in time.
-    own = run_scenario(BY_NAME["burst"], seconds=SHORT_S)
-    first = run_scenario(BY_NAME["burst"], FifoDispatcher, SHORT_S)
-    assert own.offered == first.offered
-    assert own.on_time > first.on_time
+    # Guards against refusing jobs although there was capacity: in a burst, jobs that
+    # were already late were served before those that could still end in time.
+    product = run_scenario(BY_NAME["burst"], seconds=SHORT_S)
+    fifo = run_scenario(BY_NAME["burst"], FifoDispatcher, SHORT_S)
+    assert product.offered == fifo.offered
+    assert product.on_time > fifo.on_time
 
 
 def test_jobs_that_are_too_long_for_slow_upstreams_run_on_fast_ones():
-    # A skipper never gets the largest overlays while the map service is busy: a third
-    # of the upstreams is slower, and their tasks took room there when that was what
-    # came free first. 0.63 of these jobs were served before they waited for the others.
+    # Guards against losing the largest jobs under load when a third of the upstreams is
+    # slower: their tasks used the capacity that became free first, on any upstream.
+    # Before such jobs waited for the faster upstreams, 0.63 of them were served.
     scenario = BY_NAME["third slower"]
     records = [
-        one
+        job
         for seed in range(11, 21)
-        for one in run_scenario(scenario, seed=seed).records
-        if one.kind == LONG_KIND and one.min_run_s <= LIMIT_S < one.min_run_s * SLOWDOWN
+        for job in run_scenario(scenario, seed=seed).records
+        if job.kind == LONG_KIND
+        and job.min_run_s <= MAX_RUN_S < job.min_run_s * SLOWDOWN
     ]
     assert len(records) > 80
     assert served_share(records) > 0.82
 
 
-def test_a_run_repeats():
-    again = [run_scenario(BY_NAME["slow"], seconds=3.0) for _ in range(2)]
-    assert again[0] == again[1]
+def test_equal_runs_give_equal_results():
+    results = [run_scenario(BY_NAME["slow"], seconds=3.0) for _ in range(2)]
+    assert results[0] == results[1]
--- a/jackdawspur/bench/tests/test_largest_jobs.py
+++ b/jackdawspur/bench/tests/test_largest_jobs.py
@@ -1,4 +1,4 @@
-"""The largest jobs are served where there is room for all."""
+"""Tests that the largest jobs are served if there is capacity for all jobs."""
 
 import pytest
 
@@ -7,18 +7,18 @@
 
 SEEDS = range(11, 23)
 SHORT_S = 12.0
-LEAST = 0.95
+MIN_SERVED_SHARE = 0.95
 
 
-# Guards against losing the largest jobs that a usual upstream ends in time.
+# Guards against losing the largest of the jobs that a median upstream ends in time.
 @pytest.mark.parametrize(
     "name",
     ["room for all", "room for all, kinds named", "room for all, waits stated"],
 )
 def test_the_largest_jobs_that_can_be_served_are_served_where_there_is_room(name):
-    (scenario,) = [one for one in SCENARIOS if one.name == name]
-    told = servable(
+    (scenario,) = [item for item in SCENARIOS if item.name == name]
+    figures = servable(
         largest_jobs([run_zones_scenario(scenario, seed, SHORT_S) for seed in SEEDS])
     )
-    assert told.servable > 10
-    assert told.share >= LEAST, told
+    assert figures.servable > 10
+    assert figures.share >= MIN_SERVED_SHARE, figures
--- a/jackdawspur/bench/tests/test_own_policy.py
+++ b/jackdawspur/bench/tests/test_own_policy.py
@@ -1,26 +1,26 @@
-"""Faults of the platform, through the real decisions on virtual time.
+"""Tests of the product's policy under faults of the platform, in virtual time.
 
-The invariant checker sees only what upstreams and callers saw. Figures come from one
-seed, so each count is exact.
+The invariant checker uses only what upstreams and callers observe. The figures are of
+one seed, so each count is exact.
 """
 
 import pytest
 
 from jackdawspur.bench import PRODUCT_POLICY
 
-FAULTS_OVER_S = 6.0
-# More than an ejection needs, far less than the jobs that a fault meets.
-JOBS_LOST_TO_A_BAD_WORKER = 3
-# Measured over these six seconds, which hold a job of 289 tasks, and a tenth more.
-TAIL_AT_USUAL_LOAD = [("ramdenee", 1.56), ("derinsu", 1.8)]
+RUN_S = 6.0
+# More than are lost until an ejection, far fewer than the fault affects without one.
+MAX_JOBS_LOST_TO_FAILING_UPSTREAM = 3
+# A tenth above the p99 measured over RUN_S, which include a job of 289 tasks.
+MAX_P99_AT_USUAL_LOAD = [("ramdenee", 1.56), ("derinsu", 1.8)]
 
 
 @pytest.mark.parametrize("deployment", ["ramdenee", "derinsu"])
 def test_steady_load_wastes_nothing(run, deployment):
     """All callers are served, and no message is wasted while nothing fails.
 
-    Jobs arrive at six hosts which share the zone's slots without a coordinator. Were
-    two hosts to believe in the same free slot, an upstream would refuse a start.
+    Jobs arrive at six hosts, which share the slots of their zones without a
+    coordinator. If two hosts used the same free slot, an upstream would refuse a start.
     """
     outcome = run("steady", PRODUCT_POLICY, deployment, load=0.3)
     assert outcome.broken == {}
@@ -28,35 +28,35 @@
     assert outcome.figures.wasted_per_job < 0.01
 
 
-@pytest.mark.parametrize(("deployment", "most"), TAIL_AT_USUAL_LOAD)
-def test_usual_load_keeps_the_tail_and_refuses_nobody(run, deployment, most):
-    """Callers of wide jobs wait, though slots of other hosts and zones lie idle.
+@pytest.mark.parametrize(("deployment", "max_p99"), MAX_P99_AT_USUAL_LOAD)
+def test_usual_load_keeps_the_tail_and_refuses_nobody(run, deployment, max_p99):
+    """Jobs of many tasks must not wait while slots of other hosts and zones are free.
 
-    At 70 % load each host alone often lacks slots that others have to spare.
+    At 70 % load, a host often lacks slots that other hosts don't need.
     """
-    outcome = run("steady", PRODUCT_POLICY, deployment, seconds=FAULTS_OVER_S)
+    outcome = run("steady", PRODUCT_POLICY, deployment, seconds=RUN_S)
     assert outcome.broken == {}
     assert outcome.figures.refused == outcome.figures.failed == 0
-    assert outcome.figures.p99 <= most
+    assert outcome.figures.p99 <= max_p99
     assert outcome.figures.wasted_per_job < 0.01
 
 
 def test_always_failing_worker_costs_few_jobs(run):
-    """Some callers see a failed job, then all is well again.
+    """A few jobs fail, then none.
 
-    From the fourth second on one upstream fails at once whatever it starts, and looks
-    the freest of all. Without ejection it would draw most jobs to itself.
+    From the fourth second on, one upstream fails every task immediately, and so
+    appears to have the max_p99 free slots. Without ejection it would get max_p99 jobs.
     """
-    outcome = run("worker_fails_all", PRODUCT_POLICY, seconds=FAULTS_OVER_S)
+    outcome = run("worker_fails_all", PRODUCT_POLICY, seconds=RUN_S)
     assert outcome.broken == {}
-    assert outcome.figures.jobs_lost <= JOBS_LOST_TO_A_BAD_WORKER
+    assert outcome.figures.jobs_lost <= MAX_JOBS_LOST_TO_FAILING_UPSTREAM
 
 
 def test_lost_replies_start_nothing_twice(run):
-    """Callers notice little; every answer is whole.
+    """Callers are hardly affected; every answer is complete.
 
-    One reply in fifty is lost after its effect: starts, status queries, results and
-    appends to the log. A start sent again would run its task twice.
+    One reply in fifty is lost after the call took effect: of starts, status queries,
+    results and appends to the log. A repeated start would run its task twice.
     """
     outcome = run("lost_replies", PRODUCT_POLICY)
     assert outcome.broken == {}
--- a/jackdawspur/bench/zones.py
+++ b/jackdawspur/bench/zones.py
@@ -1,8 +1,8 @@
-"""Run leading hosts of zones in virtual time among jobs as callers send them.
+"""Run the leaders of zones in virtual time under randomly generated jobs.
 
-``python -m`` this module prints one line a scenario, over all seeds: how many jobs of
-the long kind could be served, and what became of these. It exits 1 when a task ran
-twice at one time or an upstream was overloaded.
+``python -m`` this module prints one line per scenario, over all seeds: how many jobs
+of the long kind could be served, and how they ended. It exits with 1 if a task had two
+runs at the same time or an upstream was overloaded.
 """
 
 import sys
@@ -26,42 +26,43 @@
 
 SEEDS = range(11, 31)
 SECONDS = 20.0
-# Jobs that come earlier meet a host that has learned nothing yet.
+# Until then, the leaders have not learned the slowdown of upstreams.
 WARM_UP_S = 4.0
 LONG_KIND = "reassign"
-PASS_S = 0.005
+PASS_DELAY_S = 0.005
 UPSTREAMS = 24
-# About half of the places are taken by these, where an upstream has two or three.
+# Uses about half of the capacity; an upstream has capacity for two or three tasks.
 HALF_LOAD = (
     JobKind("confirm", 2.0, 8, 0.06),
     JobKind("reassign", 5.0, 4, 0.9),
     JobKind("check", 20.0, 2, 0.2),
 )
-# About three quarters.
+# Uses about three quarters of the capacity.
 USUAL_LOAD = (
     JobKind("confirm", 4.0, 8, 0.06),
     JobKind("reassign", 9.0, 4, 0.9),
     JobKind("check", 17.0, 2, 0.2),
 )
-BURST = 1.3
-BURST_S = (5.0, 9.0)
+BURST_FACTOR = 1.3
+BURST_PERIOD_S = (5.0, 9.0)
 LOST_SHARE = 0.13
-# A zone with this load has little room left, one with that load much.
+# Loads of a zone with little free capacity, and of a zone with much.
 BUSY_ZONE_LOAD = 1.05
 QUIET_ZONE_LOAD = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class ZonesScenario:
-    """Name what happens in how many zones of what load.
+    """A number of zones, their load and the faults to inject.
 
-    With `states_waits` callers say how long they wait, which is longer for long jobs.
+    With `states_waits`, callers state their maximum wait, which is longer for long
+    jobs.
     """
 
     name: str
     zones: int = 1
     kinds: Sequence[JobKind] = HALF_LOAD
-    pass_s: float = PASS_S
+    pass_delay_s: float = PASS_DELAY_S
     inject: Callable[[ZonesSimulation], None] = lambda _simulation: None
     states_waits: bool = False
 
@@ -72,11 +73,11 @@
 
 
 def _burst(simulation: ZonesSimulation) -> None:
-    """Let more jobs come to the first zone while it loses upstreams."""
+    """Increase the load of the first zone while some upstreams are unresponsive."""
     zone = simulation.zones[0]
     lost = list(zone.upstreams.values())[1 :: round(1 / LOST_SHARE)]
-    loads = (BURST * zone.load, zone.load)
-    for when, load, silent in zip(BURST_S, loads, (True, False), strict=True):
+    loads = (BURST_FACTOR * zone.load, zone.load)
+    for when, load, silent in zip(BURST_PERIOD_S, loads, (True, False), strict=True):
 
         def change(load: float = load, silent: bool = silent) -> None:
             zone.load = load
@@ -86,15 +87,15 @@
         simulation.scheduler.at(when, change)
 
 
-def _burst_beside_room(simulation: ZonesSimulation) -> None:
+def _burst_beside_quiet_zones(simulation: ZonesSimulation) -> None:
     for zone in simulation.zones:
         zone.load = QUIET_ZONE_LOAD
     simulation.zones[0].load = BUSY_ZONE_LOAD
     _burst(simulation)
 
 
-def _full(simulation: ZonesSimulation) -> None:
-    """Let the first zone have too many jobs for it, and others few."""
+def _overload_first_zone(simulation: ZonesSimulation) -> None:
+    """Overload the first zone, and give the others a low load."""
     for zone in simulation.zones:
         zone.load = QUIET_ZONE_LOAD
     simulation.zones[0].load = 1.4
@@ -109,21 +110,21 @@
 SCENARIOS = (
     ZonesScenario("room for all"),
     ZonesScenario("room for all, kinds named", inject=_label_upstreams),
-    ZonesScenario("room for all, a pass each", pass_s=0.0),
+    ZonesScenario("room for all, a pass each", pass_delay_s=0.0),
     ZonesScenario("usual load", kinds=USUAL_LOAD),
     ZonesScenario("burst and lost upstreams", kinds=USUAL_LOAD, inject=_burst),
     ZonesScenario("new leader", inject=_new_leader),
     ZonesScenario(
-        "three zones, one in a burst", 3, USUAL_LOAD, inject=_burst_beside_room
+        "three zones, one in a burst", 3, USUAL_LOAD, inject=_burst_beside_quiet_zones
     ),
-    ZonesScenario("three zones, one full", 3, USUAL_LOAD, inject=_full),
-    ZonesScenario("two zones, one full", 2, USUAL_LOAD, inject=_full),
+    ZonesScenario("three zones, one full", 3, USUAL_LOAD, inject=_overload_first_zone),
+    ZonesScenario("two zones, one full", 2, USUAL_LOAD, inject=_overload_first_zone),
     ZonesScenario("room for all, waits stated", states_waits=True),
     ZonesScenario(
         "two zones, one full, waits stated",
         2,
         USUAL_LOAD,
-        inject=_full,
+        inject=_overload_first_zone,
         states_waits=True,
     ),
 )
@@ -132,12 +133,12 @@
 def run_zones_scenario(
     scenario: ZonesScenario, seed: int, seconds: float = SECONDS
 ) -> ZonesResult:
-    """Play a scenario with one seed."""
+    """Run a scenario with one seed."""
     simulation = ZonesSimulation(
         scenario.kinds,
         scenario.zones,
         UPSTREAMS,
-        scenario.pass_s,
+        scenario.pass_delay_s,
         seed,
         scenario.states_waits,
     )
@@ -147,14 +148,16 @@
 
 def largest_jobs(results: Sequence[ZonesResult]) -> list[JobRecord]:
     """Return the largest tenth of the long jobs of each seed together."""
-    return [one for each in results for one in largest_tenth(_long(each), LONG_KIND)]
+    return [
+        job for result in results for job in largest_tenth(_long(result), LONG_KIND)
+    ]
 
 
 def _long(result: ZonesResult) -> list[JobRecord]:
     return [
-        one
-        for one in result.records
-        if one.kind == LONG_KIND and one.arrived >= WARM_UP_S
+        job
+        for job in result.records
+        if job.kind == LONG_KIND and job.arrived >= WARM_UP_S
     ]
 
 
@@ -162,30 +165,30 @@
     fields = {
         "scenario": scenario.name,
         "seeds": len(results),
-        "offered": sum(one.offered for one in results),
-        "passed_on": sum(one.redirected for one in results),
-        "long": servable([one for each in results for one in _long(each)]),
+        "offered": sum(result.offered for result in results),
+        "passed_on": sum(result.redirected for result in results),
+        "long": servable([job for result in results for job in _long(result)]),
         "largest": servable(largest_jobs(results)),
-        "two_at_once": sum(one.counters.two_at_once for one in results),
-        "over_capacity": sum(one.counters.over_capacity for one in results),
+        "two_at_once": sum(result.counters.two_at_once for result in results),
+        "over_capacity": sum(result.counters.over_capacity for result in results),
     }
     fields["long"] = {n: v for n, v in asdict(fields["long"]).items() if n != "lost"}
     return msgspec.json.encode(fields) + b"\n"
 
 
 def main() -> int:
-    """Play all scenarios, or those named; return 1 when an invariant is broken."""
-    named = sys.argv[1:]
-    broken = 0
+    """Run all scenarios, or those named; return 1 if an invariant is violated."""
+    names = sys.argv[1:]
+    violations = 0
     for scenario in SCENARIOS:
-        if named and scenario.name not in named:
+        if names and scenario.name not in names:
             continue
         results = [run_zones_scenario(scenario, seed) for seed in SEEDS]
         sys.stdout.buffer.write(_line(scenario, results))
         sys.stdout.buffer.flush()
-        broken += sum(one.counters.two_at_once for one in results)
-        broken += sum(one.counters.over_capacity for one in results)
-    return 1 if broken else 0
+        violations += sum(result.counters.two_at_once for result in results)
+        violations += sum(result.counters.over_capacity for result in results)
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
