--- /dev/null
+++ b/jackdawspur/bench/_job_records.py
@@ -0,0 +1,104 @@
+"""Records of jobs, and figures on how the largest of a kind are served."""
+
+from collections import Counter
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+
+__all__ = [
+    "JobRecord",
+    "LostJob",
+    "Servable",
+    "largest_tenth",
+    "achievable_share",
+    "servable",
+    "served_share",
+]
+
+QUANTILES = 10
+DIGITS = 3
+
+
+@dataclass(frozen=True, slots=True)
+class LostJob:
+    """Why a job was lost; times in milliseconds are relative to its arrival.
+
+    `cause` is the cause that the product reports, `seen` the one that the bench
+    observes. `longest_ms` is the true run time of the longest task at a slowdown of 1,
+    `after_ms` the time when the job ended, and `believed` the estimated slowdown of
+    the upstream whose task ends last.
+    """
+
+    cause: str
+    seen: str = ""
+    first_start_ms: int | None = None
+    last_start_ms: int | None = None
+    longest_ms: int = 0
+    after_ms: int = 0
+    believed: float = 0.0
+    came_s: float = 0.0
+    far: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class JobRecord:
+    """The outcome of one job; `size` is its demand in core-seconds.
+
+    `min_run_s` is the run time of its longest task on the fastest upstream, in
+    seconds. A job is `servable` if it would end in time when started immediately on a
+    median upstream.
+    """
+
+    kind: str
+    size: float
+    min_run_s: float
+    served: bool
+    servable: bool = True
+    arrived: float = 0.0
+    lost: LostJob | None = None
+
+
+def largest_tenth(records: Iterable[JobRecord], kind: str) -> list[JobRecord]:
+    """Return the largest tenth of the jobs of a kind, by size."""
+    of_kind = sorted(
+        (job for job in records if job.kind == kind), key=lambda job: job.size
+    )
+    return of_kind[len(of_kind) - len(of_kind) // QUANTILES :]
+
+
+def served_share(records: Sequence[JobRecord]) -> float:
+    """Return the share of jobs that were served, on time or late."""
+    return round(sum(job.served for job in records) / max(1, len(records)), DIGITS)
+
+
+def achievable_share(records: Sequence[JobRecord], limit_s: float) -> float:
+    """Return the share that would end within the limit on the fastest upstream."""
+    count = sum(job.min_run_s <= limit_s for job in records)
+    return round(count / max(1, len(records)), DIGITS)
+
+
+@dataclass(frozen=True, slots=True)
+class Servable:
+    """The number of jobs, of servable jobs, and of servable jobs that were served.
+
+    `share` is the fraction of servable jobs that were served. `causes` counts the lost
+    servable jobs by the cause that the product reports and the one that the bench
+    observes; `lost` lists them.
+    """
+
+    jobs: int
+    servable: int
+    served: int
+    share: float
+    causes: dict[str, int]
+    lost: tuple[LostJob, ...]
+
+
+def servable(records: Sequence[JobRecord]) -> Servable:
+    """Return how many jobs were servable, and how these ended."""
+    servable_jobs = [job for job in records if job.servable]
+    lost = tuple(job.lost for job in servable_jobs if job.lost)
+    served = sum(job.served for job in servable_jobs)
+    causes = Counter(f"{job.cause}, {job.seen}" for job in lost)
+    share = round(served / max(1, len(servable_jobs)), DIGITS)
+    ordered = dict(causes.most_common())
+    return Servable(len(records), len(servable_jobs), served, share, ordered, lost)
--- a/jackdawspur/front/tests/faulty_parts.py
+++ b/jackdawspur/front/tests/faulty_parts.py
@@ -134,7 +134,7 @@
         self.is_down = False
         self.incarnation += 1
         self._clock_offset_ms = -int(now * MS_PER_S)
-        self._fence = self._lease_ms = self._ends = 0
+        self._fence = self._lease_ms = self._end_count = 0
         self._last_run_number.clear()
         self._stops.clear()
 
