--- a/jackdawspur/front/_service.py
+++ b/jackdawspur/front/_service.py
@@ -233,7 +233,7 @@
         group = self._owner.group
         term = group.term(now)
         for job in self._jobs.offered_to_other_terms(term):
-            if group.leads_other_group(job.offered_to, now):
+            if group.is_term_of_other_group(job.offered_to, now):
                 self._leave_with_other_group(job, now)
         if term is None:
             return
--- a/jackdawspur/group/_candidates.py
+++ b/jackdawspur/group/_candidates.py
@@ -17,8 +17,9 @@
     """Return a sort key; the host with the lowest key leads.
 
     The host with the largest processor share comes first, and among equals the one
-    that started last. In a rolling restart that host is restarted last again, so the
-    leader changes least often. A host that started just now ranks last.
+    that started last, to within `MIN_UPTIME_MS`. In the next rolling restart that host
+    is restarted last again, so the leader changes least often. A host that has run for
+    less than `MIN_UPTIME_MS` ranks last.
     """
     fresh = unix_ms - host.started_ms < MIN_UPTIME_MS
     return (fresh, -host.processor, -(host.started_ms // MIN_UPTIME_MS), host.name)
--- a/jackdawspur/group/_contention.py
+++ b/jackdawspur/group/_contention.py
@@ -2,9 +2,9 @@
 
 __all__ = ["LeadershipContention"]
 
-# If upstreams obey an unknown fence twice within this time, another host leads.
-# The smaller side then backs off.
-CONTENTION_MEMORY_S = 20.0
+# If upstreams obey an unknown fence twice within this time, another host leads, and the
+# smaller side of the network partition backs off.
+CONTENTION_WINDOW_S = 20.0
 INITIAL_BACKOFF_S = 3.0
 MAX_BACKOFF_S = 24.0
 
@@ -13,36 +13,36 @@
     """Tracks when upstreams obeyed an unknown fence, and the election backoff."""
 
     def __init__(self, now: float) -> None:
-        self._last_contention_at = now - CONTENTION_MEMORY_S
+        self._last_contention_at = now - CONTENTION_WINDOW_S
         self._backoffs = 0
         self._backoff_until = now
 
     @property
     def backing_off(self) -> bool:
-        """Return whether this host leaves the leadership to one that it can't hear."""
+        """Return whether this host has backed off and was not reset since."""
         return self._backoffs > 0
 
     def must_wait(self, now: float) -> bool:
-        """Return whether this host must not lead yet."""
+        """Return whether the pause after the last backoff goes on."""
         return now < self._backoff_until
 
     def is_recent(self, now: float) -> bool:
-        """Return whether there was contention within `CONTENTION_MEMORY_S`."""
-        return now - self._last_contention_at < CONTENTION_MEMORY_S
+        """Return whether there was contention within `CONTENTION_WINDOW_S`."""
+        return now - self._last_contention_at < CONTENTION_WINDOW_S
 
     def record(self, now: float) -> bool:
-        """Record contention; return whether there was some shortly before."""
+        """Record contention; return whether the previous one was recent."""
         was_recent = self.is_recent(now)
         self._last_contention_at = now
         return was_recent
 
     def back_off(self, now: float) -> None:
-        """Leave the leadership to the other side, for twice as long each time."""
+        """Leave the leadership to the other side, twice as long as the last time."""
         self._backoffs += 1
         pause_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self._backoffs - 1))
         self._backoff_until = now + pause_s
 
     def reset(self, now: float) -> None:
-        """End the backoff, because a host that could not be heard is heard again."""
+        """End the backoff, because messages of an unresponsive host arrive again."""
         self._backoffs = 0
         self._backoff_until = now
--- a/jackdawspur/group/_group.py
+++ b/jackdawspur/group/_group.py
@@ -21,32 +21,32 @@
 # Leaders of other groups send heartbeats every second, and offer capacity more often.
 OTHER_LEADER_TIMEOUT_S = 2.5
 # Time without a leader before a takeover, so that all hosts have the same heartbeats.
-TAKEOVER_S = 0.1
+VACANCY_S = 0.1
 # A new leader sends heartbeats at once, but links must reconnect after a partition. An
-# upstream that obeys an unknown fence for longer obeys a leader that can't be heard.
-# With less, the leaders of both sides alternately take upstreams from each other.
+# upstream that obeys an unknown fence for longer than this obeys an unreachable leader.
+# If this is too short, both sides' leaders alternately take upstreams from each other.
 CONTENTION_AFTER_S = 0.6
 # How long a host defers to a leader that others follow and that it doesn't hear itself:
 # links reconnect within half a second after a network partition ends.
 UNHEARD_LEADER_GRACE_S = 0.6
 # At startup hosts must discover each other before one leads: reading the store, a
 # connection and a heartbeat each way take 0.02 s, and hosts start within 0.3 s.
-INITIAL_TAKEOVER_S = 0.25
-# Least time between the first read of the store, which may be late, and taking over.
-PEERING_S = 0.2
-# Longest wait of a heartbeat before it is read; a host paused for longer can't lead.
-READ_MARGIN_S = 0.4
-# How far a fence exceeds a refused one; more than clocks of hosts are known to differ.
+INITIAL_VACANCY_S = 0.25
+# Minimum time from the first read of the store, which may be late, to a takeover.
+DISCOVERY_S = 0.2
+# How long a heartbeat may wait to be read; a host that is paused for longer can't lead.
+HEARTBEAT_READ_MARGIN_S = 0.4
+# How far a fence is raised above a refused one; clocks are known to differ by less.
 FENCE_JUMP_MS = 5000
 
 
 class Group:
-    """Follows the live host with the highest fence; leads when there is none.
+    """One host's view of its group: it follows the live leader with the highest fence.
 
-    Two leaders at a time cost refused calls and nothing worse: upstreams obey only the
-    higher fence, and the other leader steps down when it hears of this one.
-
-    The leader decides which zones the group covers and sends this in its heartbeats.
+    Without one it leads. Two leaders at the same time cause refused calls, but no other
+    harm: upstreams obey the higher fence only, and its heartbeats make the other leader
+    step down. The leader's heartbeats also state which zones the group covers, which
+    the leader decides.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._seen_at: dict[str, float] = {}
         self._sampled_at: dict[str, float] = {}
         self._addresses: dict[str, HostAddress] = {}
-        self._vacant_since = now + INITIAL_TAKEOVER_S - TAKEOVER_S
+        self._vacant_since = now + INITIAL_VACANCY_S - VACANCY_S
         self._max_fence: Fence = 0
         self._followed_fence: Fence = 0
         self._extent = Extent(max_upstreams)
@@ -108,7 +108,7 @@
         ]
 
     def is_term_active(self, term: Term, since: float, now: float) -> bool:
-        """Return whether another group's term, learned of at `since`, goes on.
+        """Return whether another group's term, known since `since`, goes on.
 
         Its leader sends heartbeats to all hosts whose jobs it has.
         """
@@ -124,8 +124,8 @@
         """Return the last heartbeat of every other host, alive or not."""
         return tuple(self._peers.values())
 
-    def leads_other_group(self, term: Term, now: float) -> bool:
-        """Return whether a term goes on in a group that excludes this host now."""
+    def is_term_of_other_group(self, term: Term, now: float) -> bool:
+        """Return whether a term goes on, in a group that now excludes this host."""
         heartbeat = self._peers.get(term.leader)
         if heartbeat is None or not self.is_alive(term.leader, now):
             return False
@@ -180,7 +180,7 @@
         return True
 
     def record_heartbeat(self, heartbeat: HostHeartbeat, now: float) -> bool:
-        """Record a heartbeat; return whether it named hosts that were not known.
+        """Record a heartbeat; return whether it named new hosts or incarnations.
 
         One that arrives after a later one, over a connection that was slow to break, is
         ignored: it could make this host follow an ended term, or become the leader.
@@ -189,8 +189,8 @@
         if last is not None and heartbeat.is_before(last):
             return False
         new_hosts = [self.add_host(host) for host in (heartbeat.host, *heartbeat.knows)]
-        fresh = last is None or not self.is_alive(heartbeat.host.name, now)
-        if fresh and self.includes(heartbeat):
+        newly_alive = last is None or not self.is_alive(heartbeat.host.name, now)
+        if newly_alive and self.includes(heartbeat):
             self._contention.reset(now)
         self._peers[heartbeat.host.name] = heartbeat
         self._seen_at[heartbeat.host.name] = self._sampled_at[heartbeat.host.name] = now
@@ -200,17 +200,17 @@
         return any(new_hosts)
 
     def record_message(self, name: str, now: float) -> None:
-        """Record a message as a sign of life; it may precede the first heartbeat."""
+        """Record that a message of a host arrived, maybe before its first heartbeat."""
         self._seen_at[name] = now
 
     def is_alive(self, name: str, now: float) -> bool:
-        """Return whether a host was heard within the timeout; true for this one."""
+        """Return whether a host sent a message within the timeout, or is this host."""
         if name == self._local.name:
             return True
         return now - self._seen_at.get(name, -HEARTBEAT_TIMEOUT_S) < HEARTBEAT_TIMEOUT_S
 
     def is_running(self, name: str, now: float) -> bool:
-        """Return whether a host was heard within the longer timeout of followers."""
+        """Return whether a host sent a message within the longer follower timeout."""
         return self.silent_s(name, now) < FOLLOWER_TIMEOUT_S and name in self._peers
 
     def is_leaderless(self, name: str, now: float) -> bool:
@@ -226,25 +226,25 @@
         return HEARTBEAT_TIMEOUT_S if seen_at is None else now - seen_at
 
     def clock_lower_bound(self, name: str, now: float) -> float:
-        """Return a lower bound of a host's clock, infinity (stale) if it is unknown."""
+        """Return a lower bound of a host's clock; infinity if it sent no heartbeat."""
         heartbeat = self._peers.get(name)
         if heartbeat is None:
             return float("inf")
         return heartbeat.sent_at + now - self._sampled_at[name]
 
     def peer_list_bounds(self, now: float) -> tuple[int, float]:
-        """Return the greatest length of peers' lists, and when all had read one.
+        """Return the maximum length of peers' lists, and when all had read theirs.
 
-        Hosts without a list are left out: they have just started and can't lead.
-        Otherwise no upstream could be used until they have one.
+        Hosts without a list are left out, since they have just started and can't lead.
+        If they counted, no upstream could be used until they have one.
         """
         heartbeats = [b for b in self.running_heartbeats(now) if b.ready]
         longest = max((b.upstreams for b in heartbeats), default=0)
         ages = (self.silent_s(b.host.name, now) + b.upstreams_age_s for b in heartbeats)
-        return longest, now - max(ages, default=0.0) - READ_MARGIN_S
+        return longest, now - max(ages, default=0.0) - HEARTBEAT_READ_MARGIN_S
 
     def newest_peer_list_age_s(self, now: float) -> float:
-        """Return the age of the newest list of other hosts, infinity without one."""
+        """Return the age of the newest list of a peer; infinity if no peer has one."""
         return min(
             (
                 self.silent_s(heartbeat.host.name, now) + heartbeat.upstreams_age_s
@@ -254,7 +254,7 @@
         )
 
     def live_heartbeats(self, now: float) -> list[HostHeartbeat]:
-        """Return the last heartbeats of the other hosts that are alive."""
+        """Return the last heartbeats of the peers for which `is_alive` holds."""
         return [
             heartbeat
             for heartbeat in self._peers.values()
@@ -262,7 +262,7 @@
         ]
 
     def running_heartbeats(self, now: float) -> list[HostHeartbeat]:
-        """Return the last heartbeats of the other hosts that are running."""
+        """Return the last heartbeats of the peers for which `is_running` holds."""
         return [
             heartbeat
             for heartbeat in self._peers.values()
@@ -303,13 +303,13 @@
             self._followed_fence = self.term(now).fence
             return False
         if not ready:
-            # The store also lists the other hosts. Otherwise hosts that all read it
-            # late, at the same moment, would each lead before they are connected.
-            self._vacant_since = max(self._vacant_since, now + PEERING_S - TAKEOVER_S)
+            # The store also lists the other hosts. Without this delay, hosts that read
+            # it late, at the same moment, would each lead before they are connected.
+            self._vacant_since = max(self._vacant_since, now + DISCOVERY_S - VACANCY_S)
             return False
         if self._contention.must_wait(now) or self._defers_to_unheard_leader(now):
             return False
-        vacant = now - self._vacant_since >= TAKEOVER_S
+        vacant = now - self._vacant_since >= VACANCY_S
         if not vacant or not self._is_first(unix_ms, now):
             return False
         self._start_leading(unix_ms, now)
@@ -320,7 +320,7 @@
 
         After a network partition the leader of one side steps down at once. If a host
         of that side led before it hears the other one, all jobs would be handed over
-        twice. The leader lost just now doesn't count: others may notice that later.
+        twice. The leader lost last doesn't count: others may notice its loss later.
         """
         if now - self._vacant_since > UNHEARD_LEADER_GRACE_S:
             return False
@@ -328,13 +328,13 @@
 
     @property
     def backing_off(self) -> bool:
-        """Return whether this host leaves the leadership to one that it can't hear."""
+        """Return whether this host has backed off for a leader that it can't hear."""
         return self._contention.backing_off
 
     def contend_for_upstreams(
         self, fenced_s: float, unix_ms: float, now: float
     ) -> bool:
-        """Contend for upstreams fenced for `fenced_s`; return whether it did so."""
+        """Resolve contention if `fenced_s` is too long; return whether it was."""
         if not self.is_leader or fenced_s <= CONTENTION_AFTER_S:
             return False
         self.resolve_contention(unix_ms, now)
@@ -343,8 +343,8 @@
     def resolve_contention(self, unix_ms: float, now: float) -> None:
         """Raise the fence above an unknown one, or back off.
 
-        The first time the fence may come from a host that is gone. A second time within
-        `CONTENTION_MEMORY_S` there is a leader that this host can't hear. Both would
+        The first time, that fence may be of a host that is gone. The second time within
+        `CONTENTION_WINDOW_S`, it is of a leader that this host can't hear. Both would
         alternately take the upstreams and stop each other's runs, so the smaller side
         backs off, for longer each time.
         """
@@ -380,7 +380,7 @@
         return True
 
     def _should_transfer(self, unix_ms: float, now: float) -> bool:
-        """Return whether to transfer the leadership, which is done only when stable."""
+        """Return whether to transfer the leadership; only while the group is stable."""
         stable = self.store_reachable and not self._contention.is_recent(now)
         if not stable or self._is_zone_missing(now):
             return False
--- a/jackdawspur/group/_leadership_transfer.py
+++ b/jackdawspur/group/_leadership_transfer.py
@@ -8,9 +8,9 @@
 
 __all__ = ["LeadershipTransfer"]
 
-# Shortest time before a transfer that is not forced: during each change of leader no
-# task starts for a moment. The time doubles with each transfer to the same host, so
-# that the leadership doesn't oscillate with a host that fails repeatedly.
+# Minimum time that a host leads before it transfers the leadership voluntarily: during
+# each change of leader no task starts for a moment. The time doubles with each transfer
+# to the same host, so that the leadership doesn't oscillate if that host often fails.
 MIN_LEADERSHIP_S = 5.0
 MAX_DOUBLINGS = 4
 MS_PER_S = 1000.0
@@ -41,14 +41,14 @@
         unix_ms: float,
         now: float,
     ) -> bool:
-        """Return whether to step down, because the next host in rank is stronger."""
+        """Return whether to step down for a stronger host, and if so, record that."""
         eligible = [heartbeat for heartbeat in heartbeats if is_eligible(heartbeat)]
-        first = min(
+        candidate = min(
             eligible, key=lambda heartbeat: rank(heartbeat.host, unix_ms), default=None
         )
-        if first is None or not self._is_better_leader(first, fence, unix_ms):
+        if candidate is None or not self._is_better_leader(candidate, fence, unix_ms):
             return False
-        name = first.host.name
+        name = candidate.host.name
         transfers = self._transfer_counts.get(name, 0)
         if now - self._leading_since < MIN_LEADERSHIP_S * 2 ** min(
             transfers, MAX_DOUBLINGS
@@ -64,11 +64,13 @@
         stronger = (
             heartbeat.host.processor >= MIN_PROCESSOR_RATIO * self._local.processor
         )
-        settled = unix_ms - heartbeat.host.started_ms >= MIN_LEADERSHIP_S * MS_PER_S
+        long_running = (
+            unix_ms - heartbeat.host.started_ms >= MIN_LEADERSHIP_S * MS_PER_S
+        )
         follows = heartbeat.follows == fence
         return (
             stronger
-            and settled
+            and long_running
             and follows
             and heartbeat.upstreams_age_s < MAX_LIST_AGE_S
         )
--- a/jackdawspur/group/_messages.py
+++ b/jackdawspur/group/_messages.py
@@ -27,7 +27,7 @@
 
 
 class GroupMessageDecodeError(JackdawspurError):
-    """Raised when bytes do not decode as a message of a host."""
+    """Raised when bytes do not decode as a message between hosts."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
     `fence` is the sender's own if it leads, else 0; `follows` is the fence of the
     leader to which it offers its jobs, 0 without one. `knows` lists hosts for
-    discovery. `silent_s` is the time since the sender last heard the receiver.
+    discovery. `silent_s` is the time since the receiver's last message to the sender.
 
     `by_zone` is set if the sender's group consists of its zone only. `too_large` is set
     if its list has too many upstreams for one group of all zones; `upstreams` is the
@@ -86,8 +86,8 @@
 
         False for different incarnations: the time of day may have been set back.
         """
-        same_run = self.host.started_ms == other.host.started_ms
-        return same_run and self.sent_at < other.sent_at
+        same_incarnation = self.host.started_ms == other.host.started_ms
+        return same_incarnation and self.sent_at < other.sent_at
 
 
 class CapacityOffer(msgspec.Struct, frozen=True):
@@ -109,7 +109,7 @@
 
 
 class JobOffer(msgspec.Struct, frozen=True, tag="offer"):
-    """Offer of a job to a leader.
+    """Offer of a job to a leader by the job's host, on which its caller waits.
 
     `age_ms` is the time since the job arrived, `left_ms` the time to its deadline.
     `handed` counts earlier handovers, `attempt` the offers of the job, and `progress`
--- a/jackdawspur/group/_terms.py
+++ b/jackdawspur/group/_terms.py
@@ -24,6 +24,6 @@
     """Return a sort key; a host follows the leader with the highest key.
 
     The leader of a single zone precedes one of all zones. It steps down as soon as its
-    own list is short enough. Until then both run jobs, and each keeps its own.
+    own list is short enough. Until then both leaders run jobs, each its own.
     """
     return (term.by_zone, term.fence)
--- a/jackdawspur/group/tests/test_group.py
+++ b/jackdawspur/group/tests/test_group.py
@@ -4,12 +4,12 @@
 
 from jackdawspur.group import Group, HostAddress, HostHeartbeat, Term
 from jackdawspur.group._group import (
+    DISCOVERY_S,
+    HEARTBEAT_READ_MARGIN_S,
     HEARTBEAT_TIMEOUT_S,
-    INITIAL_TAKEOVER_S,
-    PEERING_S,
-    READ_MARGIN_S,
-    TAKEOVER_S,
+    INITIAL_VACANCY_S,
     UNHEARD_LEADER_GRACE_S,
+    VACANCY_S,
 )
 from jackdawspur.group.tests.heartbeats import heartbeat_of
 
@@ -58,7 +58,7 @@
 @pytest.fixture
 def hosts() -> Hosts:
     cluster = Hosts("a", "b", "c")
-    cluster.advance(INITIAL_TAKEOVER_S + 1.0)
+    cluster.advance(INITIAL_VACANCY_S + 1.0)
     return cluster
 
 
@@ -72,7 +72,7 @@
     (leader,) = hosts.leaders()
     before = hosts.groups[leader].fence
     hosts.stopped.add(leader)
-    hosts.advance(HEARTBEAT_TIMEOUT_S + TAKEOVER_S + 0.2)
+    hosts.advance(HEARTBEAT_TIMEOUT_S + VACANCY_S + 0.2)
     (second,) = [name for name in hosts.leaders() if name != leader]
     assert hosts.groups[second].fence > before
 
@@ -182,7 +182,7 @@
 
 
 def test_groups_do_not_change_with_every_upstream_around_the_limit():
-    # All jobs are handed over again and again: the number of upstreams varied around
+    # All jobs are handed over repeatedly: the number of upstreams varied around
     # the limit, and with each one that came or left the hosts changed between one group
     # and one group for each zone.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0, max_upstreams=64)
@@ -243,7 +243,7 @@
     The follower on the first side ranks before the leader of that side.
     """
     cluster = Hosts("a", "b", "c", "d")
-    cluster.advance(INITIAL_TAKEOVER_S + 1.0)
+    cluster.advance(INITIAL_VACANCY_S + 1.0)
     (former_leader,) = cluster.leaders()
     cluster.stopped.add(former_leader)
     cluster.advance(1.0)
@@ -274,7 +274,7 @@
 def test_a_host_that_stays_partitioned_from_the_leader_leads_eventually(
     reconnecting: Hosts,
 ):
-    reconnecting.advance(UNHEARD_LEADER_GRACE_S + TAKEOVER_S + 0.3)
+    reconnecting.advance(UNHEARD_LEADER_GRACE_S + VACANCY_S + 0.3)
     assert len(reconnecting.leaders()) == 2
 
 
@@ -285,11 +285,11 @@
     hosts = Hosts("a", "b", "c")
     hosts.unready = set(hosts.groups)
     hosts.partitions = {frozenset(pair) for pair in ("ab", "ac", "bc")}
-    hosts.advance(INITIAL_TAKEOVER_S + 0.2)
+    hosts.advance(INITIAL_VACANCY_S + 0.2)
     hosts.unready = set()
     hosts.advance(0.05)
     assert hosts.leaders() == []
-    hosts.advance(PEERING_S - 0.1)
+    hosts.advance(DISCOVERY_S - 0.1)
     assert hosts.leaders() == []
     hosts.partitions = set()
     hosts.advance(0.1)
@@ -299,7 +299,8 @@
 def test_a_heartbeat_that_arrives_after_a_later_one_is_ignored():
     # A task runs twice at the same time: a connection that broke delivered its last
     # heartbeat after the first one of the next connection. Because of the old heartbeat
-    # a host took itself for the leader, and a job went from a higher fence to a lower.
+    # a host became the leader, and a job was handed over from a higher fence to a lower
+    # one.
     group = Group(HostAddress("own", "z1", "127.0.0.1:1", 1), 0.0)
     group.record_heartbeat(remote_heartbeat(60, sent_at=2.0), 2.0)
     group.record_heartbeat(remote_heartbeat(50, sent_at=1.0), 2.1)
@@ -327,7 +328,7 @@
     )
     group.record_heartbeat(heartbeat, 5.0)
     longest, all_read_at = group.peer_list_bounds(5.0)
-    assert (longest, all_read_at) == (8, pytest.approx(4.0 - READ_MARGIN_S))
+    assert (longest, all_read_at) == (8, pytest.approx(4.0 - HEARTBEAT_READ_MARGIN_S))
     started = HostAddress("started", "z1", "127.0.0.1:3", 1)
     without_list = HostHeartbeat(
         started, 5.0, False, 0, False, False, False, 1, 1e9, ()
--- a/jackdawspur/group/tests/test_leadership_transfer.py
+++ b/jackdawspur/group/tests/test_leadership_transfer.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jackdawspur.group import Group, HostAddress
-from jackdawspur.group._group import INITIAL_TAKEOVER_S
+from jackdawspur.group._group import INITIAL_VACANCY_S
 from jackdawspur.group._leadership_transfer import MIN_LEADERSHIP_S
 from jackdawspur.group.tests.heartbeats import heartbeat_of
 
@@ -31,7 +31,7 @@
         self.groups[name] = Group(address, self.now)
 
     def stop(self, name: str) -> None:
-        """Stop a host without a last message."""
+        """Stop a host, which sends no further message."""
         del self.groups[name]
 
     def run(self, seconds: float) -> None:
@@ -67,7 +67,7 @@
     weakly_led = Zone()
     weakly_led.start("weak-1")
     weakly_led.start("weak-2")
-    weakly_led.run(INITIAL_TAKEOVER_S + 3 * MIN_LEADERSHIP_S)
+    weakly_led.run(INITIAL_VACANCY_S + 3 * MIN_LEADERSHIP_S)
     weakly_led.start("strong")
     return weakly_led
 
