--- a/jackdawspur/messages/_messages.py
+++ b/jackdawspur/messages/_messages.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LivePeer:
-    """A peer that the sender heard from within its own timeout."""
+    """A peer that is alive according to the sender's own timeout."""
 
     host: HostId
     draining: bool = False
@@ -65,8 +65,9 @@
     """Liveness, load and configuration version of the sender.
 
     For a receiver in another zone `zones` holds the sender's own zone; for peers in the
-    same zone, the other zones that the sender hears itself. `usage` is valid only if
-    `reports_usage` is set.
+    same zone, the other zones from which the sender receives heartbeats. `usage` is
+    valid only if `reports_usage` is set. `seen` lists the sender's live peers, and
+    `bad_upstreams` the upstreams that it considers unhealthy.
     """
 
     host: HostId
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardAnswer:
-    """The answer to a forwarded call."""
+    """Returns the answer to a forwarded call."""
 
     call: int
     answer: Answer
@@ -128,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delegate:
-    """Delegates a whole job, of which no task was sent, to another host."""
+    """Delegates a whole job, none of whose tasks has been sent, to another host."""
 
     submission: SubmissionId
     request: JobRequest
@@ -137,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelegateAnswer:
-    """The outcome of a delegated job, for its owner."""
+    """Returns the answer of a delegated job to the host that owns it."""
 
     submission: SubmissionId
     answer: Answer
@@ -145,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """Asks a host to lend slots for one term; `number` identifies the request.
+    """Requests a loan of slots for one loan term; `number` identifies the request.
 
     `slack_ms` is how long the most urgent job may still wait and meet its deadline;
     `urgent` is the number of its tasks among the wanted slots.
@@ -167,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotGrant:
-    """Lends slots until the term ends or they are returned.
+    """Lends slots until `term_ms` have passed or they are returned.
 
     `request` is the number of the granted request.
     """
@@ -189,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotReturn:
-    """Returns lent slots before the term ends.
+    """Returns lent slots before the loan term ends.
 
     `failed` lists the tasks that failed on them.
     """
@@ -201,14 +202,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsWanted:
-    """Requests the configuration records after a version."""
+    """Requests the configuration records after an offset of the log."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsPassed:
-    """Configuration records in log order, without gaps after `after`."""
+    """Configuration records in log order, without gaps after offset `after`."""
 
     records: tuple[LogRecord, ...]
     after: int = -1
