--- a/jackdawspur/front/_early_calls.py
+++ b/jackdawspur/front/_early_calls.py
@@ -7,7 +7,7 @@
 __all__ = ["EarlyCall", "EarlyCalls"]
 
 # A host reads the configuration within a tenth of a second of its start. During an
-# outage of the store it gets it from another host, or refuses the calls.
+# outage of the store it receives the configuration from a peer, or refuses the calls.
 MAX_WAIT_S = 0.8
 MAX_CALLS = 256
 
--- a/jackdawspur/front/_heartbeats.py
+++ b/jackdawspur/front/_heartbeats.py
@@ -23,14 +23,15 @@
 # After this time without a message a peer gets a new connection, before it counts as
 # lost.
 REDIAL_S = 0.28
-# Heartbeats within the group are sent at 10 a second. Every n-th also lists the known
-# hosts, goes to the leaders of other groups, or to all hosts of other groups.
+# The group gets 10 heartbeats a second. Only every n-th one lists the known hosts, is
+# also sent to the leaders of other groups, or is also sent to all their hosts.
 KNOWN_EVERY = 5
 OTHER_LEADERS_EVERY = 2
 OTHER_HOSTS_EVERY = 10
-# Every n-th carries learned statistics to the group, which bounds the bytes sent.
+# Only every n-th one carries learned statistics, to limit the bytes sent.
 LEARNED_EVERY = 5
-# Followers of one leader need each other only when it is lost.
+# Only every n-th one is sent to other followers of the same leader: followers need each
+# other's heartbeats only when the leader is lost.
 FOLLOWERS_EVERY = 10
 
 
@@ -40,7 +41,7 @@
     address: HostAddress
     group: Group
     routes: RouteTable
-    views: StoreView
+    view: StoreView
     leader_driver: LeaderDriver
     callers: CallerService
     can_lead: bool
@@ -56,7 +57,7 @@
         self._sent = 0
 
     def peers(self, now: float) -> tuple[HostAddress, ...]:
-        """Return the hosts to connect to, the most needed first.
+        """Return the hosts to connect to, in order of priority.
 
         A leader connects to all hosts of other groups, to discover their leaders. Other
         hosts connect to these leaders only, since they may have to offer a job to one
@@ -95,7 +96,7 @@
             self._send_to_other_groups(common, progress_by_host, now, to_all)
 
     def greet(self, names: list[str], now: float) -> None:
-        """Send a heartbeat to hosts just connected to, so that they know this one."""
+        """Send a heartbeat to new connections, so that the hosts learn of this one."""
         common = self._common(now)
         for name in names:
             silent_s = self._owner.group.silent_s(name, now)
@@ -104,8 +105,8 @@
     def _is_due(self, name: str, leader: str | None, now: float) -> bool:
         """Return whether a host of the group gets this heartbeat.
 
-        A host without a leader must hear all others, to elect the next leader or to
-        learn that there is one.
+        A host without a leader needs the heartbeats of all others, to elect the next
+        leader or to learn that there is one.
         """
         if leader in (self._owner.address.name, name, None):
             return True
@@ -116,12 +117,13 @@
     def redial_if_unresponsive(self, name: str, silent_s: float, now: float) -> None:
         """Reconnect to a host if messages are lost in one of the two directions.
 
-        Each connection carries one direction and may go silent by itself; its sender
-        learns that only from the other side. Messages queued on it are lost.
+        Each connection carries messages in one direction and may stop delivering them
+        while the other one works; the sender learns of this only from the receiver.
+        Messages queued on the connection are lost.
         """
         last = self._redialled.get(name, now - 2 * HEARTBEAT_TIMEOUT_S)
-        ends = (name, self._owner.address.name)
-        leader_involved = self._owner.group.leader(now) in ends
+        endpoints = (name, self._owner.address.name)
+        leader_involved = self._owner.group.leader(now) in endpoints
         limit_s = REDIAL_S if leader_involved else FOLLOWER_TIMEOUT_S
         if silent_s > limit_s and now - last > HEARTBEAT_TIMEOUT_S:
             self._redialled[name] = now
@@ -140,12 +142,12 @@
         loss of this host.
         """
         group = self._owner.group
-        waiting = self._owner.leader_driver.hosts_with_jobs()
+        job_hosts = self._owner.leader_driver.hosts_with_jobs()
         names = [heartbeat.host.name for heartbeat in group.other_group_leaders(now)]
         is_due = self._sent % OTHER_LEADERS_EVERY == 0
         offers = self._owner.leader_driver.capacity_for(names, now) if is_due else {}
         for peer in group.other_group_hosts:
-            due = to_all or peer.name in waiting or peer.name in offers
+            due = to_all or peer.name in job_hosts or peer.name in offers
             if due or self._sent % OTHER_HOSTS_EVERY == 0:
                 silent_s = group.silent_s(peer.name, now)
                 offered = offers.get(peer.name, ())
@@ -168,11 +170,11 @@
             draining=group.draining,
             slow=group.slow,
             configuration=owner.routes.version,
-            upstreams_age_s=owner.views.age_s(now),
+            upstreams_age_s=owner.view.age_s(now),
             knows=group.known_peers if self._sent % KNOWN_EVERY == 0 else (),
             follows=term.fence if term else 0,
             by_zone=group.by_zone,
             too_large=group.too_large,
-            upstreams=len(owner.views.entries),
+            upstreams=len(owner.view.entries),
             wants_room=owner.leader_driver.needs_capacity(now),
         )
--- a/jackdawspur/front/_host_metrics.py
+++ b/jackdawspur/front/_host_metrics.py
@@ -9,7 +9,10 @@
 
 
 class HostMetrics:
-    """Counters of events, and histograms of times by route and end of the job."""
+    """Counters of events, and histograms of times by route and end of the job.
+
+    In the keys of histograms, the customer is the route and the job class the end.
+    """
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -20,16 +23,16 @@
         """Count one event."""
         self._counts[name] += 1
 
-    def ended(self, route: str, end: JobEnd, took_ms: float) -> None:
+    def record_end(self, route: str, end: JobEnd, took_ms: float) -> None:
         """Count the end of a job and record how long its caller waited."""
         self._counts[f"jobs_{end.value}"] += 1
         self._times.record(HistogramKey(route, end.value), took_ms)
 
-    def lost(self, route: str, cause: LossCause) -> None:
+    def record_loss(self, route: str, cause: LossCause) -> None:
         """Count a job that the leader lost, by its cause."""
         self._counts[f'jobs_lost{{route="{route}",cause="{cause.value}"}}'] += 1
 
-    def started(self, route: str, last_start_ms: float) -> None:
+    def record_last_start(self, route: str, last_start_ms: float) -> None:
         """Record the time from a job's arrival to the first start of its last task."""
         self._last_starts.record(HistogramKey(route, ""), last_start_ms)
 
--- a/jackdawspur/front/_leader_driver.py
+++ b/jackdawspur/front/_leader_driver.py
@@ -1,4 +1,4 @@
-"""The leader's part of a host: drives the dispatcher and carries out its effects."""
+"""The part of a host that acts while it leads: drives the dispatcher."""
 
 import logging
 from dataclasses import replace
@@ -61,7 +61,7 @@
     group: Group
     metrics: HostMetrics
     routes: RouteTable
-    views: StoreView
+    view: StoreView
     callers: CallerService
 
     def send(self, host: str, message: GroupMessage) -> None:
@@ -125,11 +125,11 @@
         group = self._owner.group
         services = self._owner.routes.services
         entries = [
-            self._usable(entry)
-            for entry in self._owner.views.entries
+            self._mark_if_evacuated(entry)
+            for entry in self._owner.view.entries
             if group.covers(entry.id.zone) and entry.service in services
         ]
-        listed = self._owner.views.entries
+        listed = self._owner.view.entries
         self._dispatcher.set_upstreams(entries, now, listed, group.by_zone)
         if self._dispatcher.is_leader:
             pooled = {u.entry.address for u in self._dispatcher.upstream_pool.upstreams}
@@ -138,18 +138,18 @@
             )
         self._owner.flush_soon()
 
-    def _usable(self, entry: UpstreamEntry) -> UpstreamEntry:
-        """Mark an upstream of an evacuated zone as draining, so that no run starts."""
-        if entry.id.zone in self._owner.views.evacuated:
+    def _mark_if_evacuated(self, entry: UpstreamEntry) -> UpstreamEntry:
+        """Return an entry, draining if its zone is evacuated so that no run starts."""
+        if entry.id.zone in self._owner.view.evacuated:
             return replace(entry, draining=True)
         return entry
 
     def receive_offer(self, message: JobOffer, now: float) -> None:
         """Accept a job of another host if it is offered to the current term.
 
-        A host that has not heard of the current term yet repeats its offer to the
-        previous one. If that counted as a new job, a job that was already started could
-        be refused as not run.
+        A host that doesn't know the current term yet repeats its offer for the previous
+        one. If that counted as a new job, a job that was already started could be
+        refused as not run.
         """
         if self._is_stale(message, now):
             return
@@ -181,8 +181,8 @@
         """Return whether an offer was delayed in transit; if so, count and log it.
 
         An offer may be held up for seconds by a network partition or by a connection
-        that broke. After 0.4 s the job's host regards this one as lost and redirects
-        the job or replies to the caller, who tries again. If the offer counted as a new
+        that broke. After 0.4 s the job's host regards this host as lost and redirects
+        the job or replies to the caller, which retries. If the offer counted as a new
         job, the job would run twice at the same time. Offers of healthy hosts are a few
         milliseconds old, and are repeated anyway.
         """
@@ -209,12 +209,12 @@
         self._dispatcher.drop(host, job, call, now)
         self._owner.flush_soon()
 
-    def record_follower(self, host: str, follows: Fence, now: float) -> None:
+    def drop_handed_over(self, host: str, follows: Fence, now: float) -> None:
         """Drop the jobs of a host that hands them over to the leader of a later term.
 
-        The two leaders may not hear each other and reach different upstreams, so
-        fencing can't prevent two runs of a task. Both hear the job's host, and its
-        heartbeats repeat what a single lost message would miss.
+        The two leaders may be partitioned from each other and reach different
+        upstreams, so fencing can't prevent two runs of a task. Both receive the
+        heartbeats of the job's host, which repeat what one lost message would miss.
         """
         if self._dispatcher.is_leader and follows > self._owner.group.fence:
             self._dispatcher.drop_host(host, DropCause.HANDED_ON, now)
@@ -266,7 +266,7 @@
         return {name: tuple(offers) for name, offers in offers_by_leader.items()}
 
     def needs_capacity(self, now: float) -> bool:
-        """Return whether this host leads and jobs lately found no free capacity."""
+        """Return whether this host leads and recent jobs found no free capacity."""
         return self._dispatcher.is_leader and self._dispatcher.needs_capacity(now)
 
     def hosts_with_jobs(self) -> set[str]:
@@ -285,8 +285,8 @@
         changes: dict[str, tuple[JobProgress, ...]] = {}
         reported: dict[str, Progress] = {}
         crashes = self._dispatcher.upstream_pool.crashes
-        jobs_of = self._dispatcher.open_jobs.progress_by_host(crashes)
-        for host, jobs in jobs_of.items():
+        jobs_by_host = self._dispatcher.open_jobs.progress_by_host(crashes)
+        for host, jobs in jobs_by_host.items():
             reported.update(jobs)
             changed = [
                 job
@@ -313,20 +313,20 @@
         self._dispatcher.tick(now)
 
     def _update_peer_lists(self, now: float) -> None:
-        group, views = self._owner.group, self._owner.views
+        group, view = self._owner.group, self._owner.view
         longest, all_read_at = group.peer_list_bounds(now)
-        behind = views.age_s(now) - group.newest_peer_list_age_s(now) > MAX_LIST_LAG_S
+        behind = view.age_s(now) - group.newest_peer_list_age_s(now) > MAX_LIST_LAG_S
         self._dispatcher.update_peer_lists(longest, all_read_at, behind)
 
     def flush(self, now: float) -> None:
         """Carry out the effects that the dispatcher requests."""
         for effect in self._dispatcher.flush(now):
-            self._act(effect)
+            self._carry_out(effect)
         overdue_at = self._dispatcher.overdue_at
         if overdue_at is not None:
             self._owner.flush_at(overdue_at)
 
-    def _act(self, effect: Effect) -> None:
+    def _carry_out(self, effect: Effect) -> None:
         self._actions[type(effect)](effect)
 
     def _start(self, effect: StartRun) -> None:
@@ -380,8 +380,8 @@
             extra={"job": note.job, "upstream": note.upstream, "inputs": inputs},
         )
 
-    def _record_started(self, begun: InitialTasksStarted) -> None:
-        self._owner.metrics.started(begun.route, begun.last_start_ms)
+    def _record_started(self, event: InitialTasksStarted) -> None:
+        self._owner.metrics.record_last_start(event.route, event.last_start_ms)
 
     def _record_lost(self, lost: JobLost) -> None:
-        self._owner.metrics.lost(lost.route, lost.cause)
+        self._owner.metrics.record_loss(lost.route, lost.cause)
--- a/jackdawspur/front/_limits.py
+++ b/jackdawspur/front/_limits.py
@@ -29,8 +29,8 @@
     def source(self) -> LimitSource:
         """Return the source of the limit; the caller's own timeout comes first.
 
-        Only the caller knows when it leaves, and a job that is ended before that is
-        lost to it.
+        Only the caller knows how long it waits; a job that is ended earlier is lost to
+        it without need.
         """
         if self.caller_s is not None:
             return LimitSource.CALLER
--- a/jackdawspur/front/_mesh.py
+++ b/jackdawspur/front/_mesh.py
@@ -17,12 +17,13 @@
 
 __all__ = ["Mesh"]
 
-SEND_QUEUE = 128
+SEND_QUEUE_LENGTH = 128
 MAX_MESSAGE_BYTES = 4_194_304
 RECONNECT_MIN_MS = 20
 RECONNECT_MAX_MS = 300
-# Each dial takes one or two milliseconds of processor time. A leader that dialled a
-# hundred hosts at once would block while its followers wait for its heartbeats.
+# Maximum number of dials in one pass of the loop. Each takes one or two milliseconds of
+# processor time. A leader that dialled a hundred hosts at once would block while its
+# followers wait for its heartbeats.
 DIALS_PER_PASS = 8
 
 log = logging.getLogger(__name__)
@@ -49,7 +50,7 @@
         Connections to earlier incarnations and to other hosts are closed.
         """
         wanted = {host.name: host for host in hosts}
-        for name, (host, _socket) in list(self._outboxes.items()):
+        for name, (host, _outbox) in list(self._outboxes.items()):
             if wanted.get(name) != host:
                 self._close(name)
         missing = [host for name, host in wanted.items() if name not in self._outboxes]
@@ -60,8 +61,8 @@
     def redial(self, name: str) -> None:
         """Reconnect to a host.
 
-        A connection can go silent for good without a reset while new ones work;
-        messages queued on it would never be sent.
+        A connection can stop delivering messages permanently without a reset, while new
+        ones work; messages queued on it would never be sent.
         """
         known = self._outboxes.get(name)
         if known is not None:
@@ -82,7 +83,9 @@
         return True
 
     def _dial(self, host: HostAddress) -> None:
-        outbox = Outbox(host.link, SEND_QUEUE, RECONNECT_MIN_MS, RECONNECT_MAX_MS)
+        outbox = Outbox(
+            host.link, SEND_QUEUE_LENGTH, RECONNECT_MIN_MS, RECONNECT_MAX_MS
+        )
         self._outboxes[host.name] = (host, outbox)
 
     def _close(self, name: str) -> None:
--- a/jackdawspur/front/_own_jobs.py
+++ b/jackdawspur/front/_own_jobs.py
@@ -17,7 +17,8 @@
 
 # A caller that is refused because there is no leader may retry after this time.
 RETRY_AFTER_S = 1.0
-# Most jobs are answered sooner. Repeating an offer costs only a message.
+# An offer without an answer is repeated after this time. Most jobs are answered sooner,
+# and a repeated offer costs only one message.
 OFFER_RETRY_S = 0.4
 
 
@@ -82,7 +83,7 @@
         self._by_call[job.call] = job
 
     def limit_deadlines(self, deadline: float) -> None:
-        """Bring all deadlines forward to this time at the latest."""
+        """Limit all deadlines to this time."""
         for job in self._by_call.values():
             job.deadline = min(job.deadline, deadline)
 
@@ -95,7 +96,7 @@
         job = self._by_call.get(call)
         return job if job is not None and job.request.id == job_id else None
 
-    def by_job(self, job_id: str) -> OwnJob | None:
+    def find_by_id(self, job_id: str) -> OwnJob | None:
         """Return a job by its id, None if there is none."""
         for job in self._by_call.values():
             if job.request.id == job_id:
@@ -106,7 +107,7 @@
         """Return the jobs to offer to the leader of a term.
 
         These are jobs that were not offered to it, and jobs without an answer: an offer
-        or its answer may be lost with a connection that went silent.
+        or its answer may be lost with a connection that stopped delivering messages.
         """
         return [
             job
@@ -135,7 +136,7 @@
 
     def record_progress(self, job_id: str, progress: Progress) -> None:
         """Record what the next leader must know of a job's tasks."""
-        job = self.by_job(job_id)
+        job = self.find_by_id(job_id)
         if job is not None:
             job.done.update(progress.done)
             job.troubles.update({counts.task: counts for counts in progress.troubles})
--- a/jackdawspur/front/_pages.py
+++ b/jackdawspur/front/_pages.py
@@ -19,10 +19,10 @@
 
 
 class PageOwner(StatusOwner, Protocol):
-    """The host's parts that the pages show, and its reply."""
+    """The host's parts that the pages show, and its method to reply."""
 
     metrics: HostMetrics
-    late_s: float
+    average_lateness_s: float
     mesh: Mesh
 
     def reply_metrics(self, call_id: int, reply: HttpResponse) -> None:
@@ -60,12 +60,12 @@
     return [
         f"jackdawspur_leads {int(owner.group.is_leader)}",
         f"jackdawspur_configuration_version {owner.routes.version}",
-        f"jackdawspur_upstreams {len(owner.views.entries)}",
-        f"jackdawspur_upstreams_age_s {owner.views.age_s(now):.3f}",
+        f"jackdawspur_upstreams {len(owner.view.entries)}",
+        f"jackdawspur_upstreams_age_s {owner.view.age_s(now):.3f}",
         f"jackdawspur_hosts_alive {len(owner.group.running_heartbeats(now)) + 1}",
         f"jackdawspur_open_jobs {len(owner.leader_driver.dispatcher.open_jobs)}",
         f"jackdawspur_callers_waiting {owner.callers.waiting}",
         f"jackdawspur_messages_dropped {owner.mesh.dropped_messages}",
         f"jackdawspur_message_bytes_sent {owner.mesh.bytes_sent}",
-        f"jackdawspur_loop_late_ms {owner.late_s * 1000:.3f}",
+        f"jackdawspur_loop_late_ms {owner.average_lateness_s * 1000:.3f}",
     ]
--- a/jackdawspur/front/_ports.py
+++ b/jackdawspur/front/_ports.py
@@ -103,7 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A caller's request; `caller_timeout_s` is None if the caller states none."""
+    """A caller's request; `caller_timeout_s` is None if the caller states none.
+
+    `job` is the id of the job; `request` is set for a submission only.
+    """
 
     kind: RequestKind
     route: Route
--- a/jackdawspur/front/_process.py
+++ b/jackdawspur/front/_process.py
@@ -40,12 +40,12 @@
 
 TICK_S = 0.025
 NEVER_S = float("inf")
-# Tick of a follower without callers, which has no timeouts to handle. Heartbeats are
-# due at multiples of either tick.
+# Interval between ticks of a follower without callers, which has no timeouts to handle.
+# Heartbeats are due at multiples of either interval.
 IDLE_TICK_S = 0.05
 # Average lateness of ticks above which the processor is overloaded.
 SLOW_LATENESS_S = 0.035
-LATE_SMOOTHING = 0.1
+LATENESS_SMOOTHING = 0.1
 # Hosts discovered within this time are greeted together.
 GREETING_DELAY_S = 0.01
 # Shortest time between updates to a peer that lacks the configuration or the list.
@@ -55,7 +55,7 @@
 # The balancer stops sending requests after two failed readiness probes, a second apart.
 MIN_DRAIN_S = 2.2
 EXIT_GRACE_S = 0.2
-# Part of the time until SIGKILL that is left for closing.
+# Part of the grace period before SIGKILL that is reserved for closing connections.
 DRAIN_MARGIN_S = 0.6
 
 log = logging.getLogger("jackdawspur.host")
@@ -99,7 +99,7 @@
         self._ports = make_ports(self, self._timer_queue)
         max_upstreams = min(settings.most_upstreams, limits.max_upstreams)
         self.group = Group(self.address, now, max_upstreams)
-        self.views = StoreView(self)
+        self.view = StoreView(self)
         self.mesh = Mesh(settings.link, poller, self._on_message).register(self)
         self.leader_driver = LeaderDriver(self, self._ports.upstreams, now)
         self.callers = CallerService(self, self._ports.callers)
@@ -109,9 +109,9 @@
         self._greet_pending = False
         self._heartbeats = Heartbeats(self, self.mesh)
         self._heartbeat_due = self._update_due = self._tick_due = now
-        self._followed: str | None = None
+        self._last_leader: str | None = None
         self._by_zone = False
-        self.late_s = 0.0
+        self.average_lateness_s = 0.0
         self._draining_since: float | None = None
         self._exiting = False
         self._timer_queue.call_later(0.0, self._start_work)
@@ -137,7 +137,7 @@
     @property
     def can_lead(self) -> bool:
         """Return whether this host can lead: with routes and upstreams."""
-        return bool(self.routes.version) and bool(self.views.entries)
+        return bool(self.routes.version) and bool(self.view.entries)
 
     @property
     def _stops_at(self) -> float:
@@ -163,7 +163,7 @@
     def upstreams_changed(self) -> None:
         """Apply a new list of upstreams, of all zones or of this host's zone."""
         now = now_s()
-        self.group.set_upstream_count(len(self.views.entries), now)
+        self.group.set_upstream_count(len(self.view.entries), now)
         if self.group.by_zone == self._by_zone:
             self.leader_driver.upstreams_changed(now)
         else:
@@ -179,10 +179,10 @@
             self._send_heartbeats(now, to_all=True)
 
     def on_new_hosts(self) -> None:
-        """Connect to new hosts soon.
+        """Schedule connecting to new hosts.
 
         Hosts that start together have no leader until they have discovered each other.
-        They discover many within milliseconds and connect to these together.
+        Each discovers many within milliseconds and connects to them together.
         """
         if not self._greet_pending:
             self._greet_pending = True
@@ -228,9 +228,9 @@
         if when < self._flush_due:
             self._flush_due = when
             wait_s = max(0.0, when - now_s())
-            self._timer_queue.call_later(wait_s, self._flush_overdue)
+            self._timer_queue.call_later(wait_s, self._on_flush_due)
 
-    def _flush_overdue(self) -> None:
+    def _on_flush_due(self) -> None:
         self._flush_due = NEVER_S
         self.flush_soon()
 
@@ -242,13 +242,13 @@
     def _start_work(self) -> None:
         self._tick_due = now_s()
         self._tick()
-        self._ports.store.start_watch(self.views)
+        self._ports.store.start_watch(self.view)
         self._ports.store.announce(self.address)
 
     def _tick(self) -> None:
         now = now_s()
         late = min(1.0, max(0.0, now - self._tick_due))
-        self.late_s += LATE_SMOOTHING * (late - self.late_s)
+        self.average_lateness_s += LATENESS_SMOOTHING * (late - self.average_lateness_s)
         tick_s = IDLE_TICK_S if self._is_idle_follower(now) else TICK_S
         self._tick_due = now + tick_s
         # Scheduled first, so that an exception below costs only one tick: without ticks
@@ -257,8 +257,8 @@
         if self._reload_requested:
             self._reload_requested = False
             self._settings = reload_settings(self._settings, self._read_settings)
-        self.group.slow = self.late_s > SLOW_LATENESS_S
-        self.group.store_reachable = self.views.reachable
+        self.group.slow = self.average_lateness_s > SLOW_LATENESS_S
+        self.group.store_reachable = self.view.reachable
         self._connect(now)
         self._follow_leader(now)
         self.callers.tick(now)
@@ -289,12 +289,12 @@
         if changed:
             self.leader_driver.leadership_changed(now)
         leader = self.group.leader(now)
-        lost = leader is None and self._followed is not None
-        if leader != self._followed:
-            self.views.log_leader(self.group.term(now), now)
-        self._followed = leader
+        lost = leader is None and self._last_leader is not None
+        if leader != self._last_leader:
+            self.view.log_leader(self.group.term(now), now)
+        self._last_leader = leader
         if changed or lost:
-            # A host that lost its leader tells all others, which elect the next one.
+            # A host that lost its leader informs all others, which elect the next one.
             self._send_heartbeats(now, to_all=True)
         if self.group.contend_for_upstreams(
             self.leader_driver.fenced_s(now), unix_ms(), now
@@ -304,23 +304,23 @@
         self.callers.offer_waiting(now)
 
     def _send_updates(self, now: float) -> None:
-        """Send peers the newer configuration and list that they can't read."""
+        """Send newer configurations and lists to peers that can't read them."""
         group = self.group
         others = group.other_group_leaders(now) if group.is_leader else []
         for heartbeat in (*group.live_heartbeats(now), *others):
-            if heartbeat.configuration < self.routes.version and self.views.document:
-                update = ConfigurationUpdate(self.routes.version, self.views.document)
+            if heartbeat.configuration < self.routes.version and self.view.document:
+                update = ConfigurationUpdate(self.routes.version, self.view.document)
                 self.mesh.send(heartbeat.host.name, update)
-            age = self.views.age_s(now)
-            fresh = heartbeat.upstreams_age_s > STALE_LIST_S > age
+            age = self.view.age_s(now)
+            only_peer_is_stale = heartbeat.upstreams_age_s > STALE_LIST_S > age
             # A host that started during an outage of the store has no list, and could
             # not lead if the others fail.
-            if fresh or heartbeat.upstreams_age_s - age > STALE_LIST_S:
+            if only_peer_is_stale or heartbeat.upstreams_age_s - age > STALE_LIST_S:
                 update = UpstreamListUpdate(
                     group.clock_lower_bound(heartbeat.host.name, now),
                     age,
-                    self.views.entries,
-                    tuple(self.views.evacuated),
+                    self.view.entries,
+                    tuple(self.view.evacuated),
                 )
                 self.mesh.send(heartbeat.host.name, update)
 
@@ -339,9 +339,9 @@
         elif isinstance(message, JobResult):
             self.callers.receive_result(message)
         elif isinstance(message, ConfigurationUpdate):
-            self.views.on_configuration(message.version, message.document)
+            self.view.on_configuration(message.version, message.document)
         elif isinstance(message, UpstreamListUpdate):
-            self.views.on_upstream_update(message, now)
+            self.view.on_upstream_update(message, now)
         self.flush_soon()
 
     def _on_heartbeat(self, heartbeat: HostHeartbeat, now: float) -> None:
@@ -357,7 +357,7 @@
             heartbeat.host.name, heartbeat.silent_s, now
         )
         self.leader_driver.record_learned(heartbeat, now)
-        self.leader_driver.record_follower(heartbeat.host.name, heartbeat.follows, now)
+        self.leader_driver.drop_handed_over(heartbeat.host.name, heartbeat.follows, now)
 
     @handler("signal", channel="*")
     def _on_signal(self, event, signo, _stack) -> None:
@@ -395,6 +395,6 @@
 
 
 def _address(settings: HostSettings, limits: HostLimits) -> HostAddress:
-    """Return the address that other hosts get of this incarnation."""
+    """Return the address of this incarnation, as announced to other hosts."""
     link = settings.announced or settings.link
     return HostAddress(settings.name, settings.zone, link, unix_ms(), limits.cores)
--- a/jackdawspur/front/_service.py
+++ b/jackdawspur/front/_service.py
@@ -65,7 +65,7 @@
 
 
 class LocalLeader(Protocol):
-    """The leader's part of this host."""
+    """The part of this host that acts while it leads."""
 
     def accept_offer(self, offer: Offer, now: float) -> None:
         """Accept a job."""
@@ -140,43 +140,44 @@
             return
         self._owner.metrics.count("callers_left")
         log.info("caller left", extra={"job": job.request.id})
-        self._drop(job)
+        self._cancel_at_leader(job)
 
     def stop_by(self, stops_at: float) -> None:
         """Answer all current and future callers by this time.
 
-        When the process ends with a request unanswered, its caller must assume that the
-        job may still run. The balancer and open connections deliver requests until the
-        end.
+        If the process ended with a request unanswered, its caller would have to assume
+        that the job may still run. The balancer and open connections deliver requests
+        until the process ends.
         """
         self._stops_at = stops_at
         self._jobs.limit_deadlines(stops_at - ANSWER_MARGIN_S)
         for early in self._early.pop_all():
             self._refuse_early(early.call)
 
-    def receive_result(self, answer: JobResult) -> None:
+    def receive_result(self, result: JobResult) -> None:
         """Reply to the caller with the leader's result.
 
-        A result counts no matter which leader had the job. A refusal by an earlier
+        A result is valid no matter which leader had the job. A refusal by an earlier
         leader is ignored: the job was handed over since, and the next leader may have
         started it.
         """
-        job = self._jobs.find(answer.call, answer.job)
+        job = self._jobs.find(result.call, result.job)
         if job is None:
             return
-        earlier = answer.handed != job.handovers
-        if earlier and answer.outcome.end not in (JobEnd.COMPLETE, JobEnd.FAILED):
+        earlier = result.handed != job.handovers
+        if earlier and result.outcome.end not in (JobEnd.COMPLETE, JobEnd.FAILED):
             return
         self._jobs.pop(job.call)
         if earlier:
-            self._drop(job)
-        self._reply(job, answer.outcome)
+            self._cancel_at_leader(job)
+        self._reply(job, result.outcome)
 
     def redirect(self, message: JobRedirect) -> None:
         """Offer a job for which this group has no free capacity to another group.
 
-        Not if the job was handed over: an earlier leader may run it. And only in reply
-        to the last offer: the leader has accepted a later one and may run the job.
+        A job that was handed over is not redirected: an earlier leader may run it. A
+        reply to any but the last offer is ignored: the leader has accepted a later one
+        and may run the job.
         """
         job = self._jobs.find(message.call, message.job)
         if job is None or job.handovers or job.remote_term is not None:
@@ -206,7 +207,7 @@
         max_wait_s = 0.0 if group.backing_off else MAX_LEADERLESS_S
         for job, outcome in self._jobs.ended_jobs(leaderless, max_wait_s, now):
             self._jobs.pop(job.call)
-            self._drop(job)
+            self._cancel_at_leader(job)
             self._reply(job, outcome)
         for job in self._jobs.remote_jobs():
             self._update_remote_job(job, now)
@@ -229,7 +230,7 @@
             job.remote_term = None
 
     def offer_waiting(self, now: float) -> None:
-        """Offer the jobs that the leader does not have to it."""
+        """Offer to the leader the jobs that it does not have."""
         group = self._owner.group
         term = group.term(now)
         for job in self._jobs.offered_to_other_terms(term):
@@ -328,9 +329,9 @@
                 now,
             )
             return
-        self._owner.send(term.leader, self._message(job, term, now))
+        self._owner.send(term.leader, self._offer_message(job, term, now))
 
-    def _message(self, job: OwnJob, term: Term, now: float) -> JobOffer:
+    def _offer_message(self, job: OwnJob, term: Term, now: float) -> JobOffer:
         return JobOffer(
             sender=self._owner.address.name,
             fence=term.fence,
@@ -349,16 +350,16 @@
         )
 
     def _cancel(self, job_id: str) -> bool:
-        job = self._jobs.by_job(job_id)
+        job = self._jobs.find_by_id(job_id)
         if job is None:
             return False
         self._jobs.pop(job.call)
-        self._drop(job)
+        self._cancel_at_leader(job)
         outcome = JobOutcome(JobEnd.FAILED, not_run=False, reason="cancelled")
         self._reply(job, outcome)
         return True
 
-    def _drop(self, job: OwnJob) -> None:
+    def _cancel_at_leader(self, job: OwnJob) -> None:
         now = now_s()
         leader = (
             job.remote_term.leader if job.remote_term else self._owner.group.leader(now)
@@ -376,7 +377,7 @@
     def _reply(self, job: OwnJob, outcome: JobOutcome) -> None:
         took_ms = (now_s() - job.arrived) * MS_PER_S
         route = job.request.route.name
-        self._owner.metrics.ended(route, outcome.end, took_ms)
+        self._owner.metrics.record_end(route, outcome.end, took_ms)
         log.info(
             "job ended",
             extra={
--- a/jackdawspur/front/_status.py
+++ b/jackdawspur/front/_status.py
@@ -22,7 +22,7 @@
     address: HostAddress
     group: Group
     routes: RouteTable
-    views: StoreView
+    view: StoreView
     leader_driver: LeaderDriver
     callers: CallerService
     ready: bool
@@ -125,13 +125,13 @@
 
 
 def _store(owner: StatusOwner, now: float) -> StoreStatus:
-    views = owner.views
+    view = owner.view
     return StoreStatus(
-        reachable=views.reachable,
-        said=views.store_error,
-        list_age_s=_age(views.list_read_at, now),
+        reachable=view.reachable,
+        said=view.store_error,
+        list_age_s=_age(view.list_read_at, now),
         configuration=owner.routes.version,
-        configuration_age_s=_age(views.in_force_at, now),
+        configuration_age_s=_age(view.in_force_at, now),
     )
 
 
--- a/jackdawspur/front/_views.py
+++ b/jackdawspur/front/_views.py
@@ -17,10 +17,11 @@
 
 __all__ = ["StoreView"]
 
-NEVER_S = 1e9
-# Upstreams report continuously, and each read is a call that is paid for. A leader must
-# notice within 2 s that an upstream leaves. A follower may become the leader at any
-# moment, so its list must be recent enough for that.
+# Age of a list that was never read.
+NO_LIST_AGE_S = 1e9
+# Upstreams report to the store continuously, and each read of it is billed. A leader
+# must notice within 2 s that an upstream leaves. A follower may become the leader at
+# any moment, so its list must be recent enough for that.
 LEADER_LIST_INTERVAL_S = 0.5
 FOLLOWER_LIST_INTERVAL_S = 1.5
 
@@ -70,7 +71,7 @@
 
     def age_s(self, now: float) -> float:
         """Return the age of the list of upstreams in seconds."""
-        return NEVER_S if self.list_read_at is None else now - self.list_read_at
+        return NO_LIST_AGE_S if self.list_read_at is None else now - self.list_read_at
 
     def on_configuration(self, version: int, document: bytes) -> None:
         """Put a newer configuration in force; ignore and log an invalid one."""
@@ -110,8 +111,8 @@
     def on_upstream_update(self, update: UpstreamListUpdate, now: float) -> None:
         """Record another host's list if it is newer.
 
-        A message delayed by a network partition is ignored: its list is older than the
-        stated age.
+        A message delayed by a network partition is ignored, since its list is older
+        than the age in the message.
         """
         if is_stale_message(update.receiver_at, now):
             return
@@ -128,7 +129,7 @@
             self._owner.on_new_hosts()
 
     def on_store_reachability(self, reachable: bool, reason: str) -> None:
-        """Record and log that the store is lost or regained."""
+        """Record and log whether the store is reachable."""
         self.reachable = reachable
         self.store_error = "" if reachable else reason
         text = "store regained" if reachable else "store lost"
@@ -137,7 +138,7 @@
         )
 
     def log_leader(self, term: Term | None, now: float) -> None:
-        """Log which leader this host follows, and the state of its list then."""
+        """Log which leader this host follows, and the current state of its list."""
         log.info(
             "leading host changed",
             extra={
--- a/jackdawspur/front/tests/test_changing_groups.py
+++ b/jackdawspur/front/tests/test_changing_groups.py
@@ -162,7 +162,7 @@
     world.silent_links.add((leader, other))
     world.storeless.add(other)
     world.listed = world.listed[:6]
-    world.nodes[leader].process.views.on_upstreams(world.listed)
+    world.nodes[leader].process.view.on_upstreams(world.listed)
     for _ in range(4):
         world.run(wait_s / 4)
         world.submit(other, 0.8)
@@ -204,7 +204,7 @@
     world.run(0.1)
     world.add_upstreams("z2", 1)
     for name in alive(world):
-        world.nodes[name].process.views.on_upstreams(world.listed)
+        world.nodes[name].process.view.on_upstreams(world.listed)
     world.run(0.05)
     running_here = running_in(world, zone)
     assert running_here == 8
@@ -251,7 +251,7 @@
     world.run(0.1)
     world.listed = world.listed[5:]
     for name in (leader, *alive(world)):
-        world.nodes[name].process.views.on_upstreams(world.listed)
+        world.nodes[name].process.view.on_upstreams(world.listed)
         world.run(0.01)
     drain(world, leader)
     world.run(2.5)
--- a/jackdawspur/front/tests/test_evacuated_zones.py
+++ b/jackdawspur/front/tests/test_evacuated_zones.py
@@ -86,4 +86,4 @@
     world.kill("b1")
     world.start("b1", "z2")
     world.run(5.0)
-    assert world.nodes["b1"].process.views.evacuated == {"z1"}
+    assert world.nodes["b1"].process.view.evacuated == {"z1"}
--- a/jackdawspur/front/tests/test_heartbeats.py
+++ b/jackdawspur/front/tests/test_heartbeats.py
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Views:
+class View:
     """A view of the store that was read just now."""
 
     entries: tuple = ("w",)
@@ -92,7 +92,7 @@
     now: float = 50.0
     can_lead: bool = True
     routes: Routes = field(default_factory=Routes)
-    views: Views = field(default_factory=Views)
+    view: View = field(default_factory=View)
     leader_driver: IdleLeader = field(default_factory=IdleLeader)
     callers: Callers = field(default_factory=Callers)
 
--- a/jackdawspur/front/tests/test_leader_driver.py
+++ b/jackdawspur/front/tests/test_leader_driver.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Views:
+class View:
     """A view of the store with an empty list of upstreams."""
 
     entries: tuple = ()
@@ -44,7 +44,7 @@
     group: Group = field(default_factory=lambda: Group(Owner.address, 0.0))
     metrics: HostMetrics = field(default_factory=HostMetrics)
     routes: RouteTable = RouteTable(1, (ROUTE,))
-    views: Views = field(default_factory=Views)
+    view: View = field(default_factory=View)
 
     def flush_soon(self) -> None:
         pass
@@ -100,7 +100,7 @@
     # still heard the host, and continued the job on upstreams that the later one can't
     # reach.
     driver.receive_offer(offer(owner.group.fence), 5.0)
-    driver.record_follower("h2", owner.group.fence + 1, 5.1)
+    driver.drop_handed_over("h2", owner.group.fence + 1, 5.1)
     assert len(driver.dispatcher.open_jobs) == 0
 
 
@@ -111,8 +111,8 @@
     # A host without a leader, or one that does not know the current leader yet, has not
     # handed its job over to another one.
     driver.receive_offer(offer(owner.group.fence), 5.0)
-    driver.record_follower("h2", fence_known * (owner.group.fence - 1), 5.1)
-    driver.record_follower("h2", owner.group.fence, 5.2)
+    driver.drop_handed_over("h2", fence_known * (owner.group.fence - 1), 5.1)
+    driver.drop_handed_over("h2", owner.group.fence, 5.2)
     assert len(driver.dispatcher.open_jobs) == 1
 
 
@@ -127,7 +127,7 @@
         )
         for name, service in (("u1", "s"), ("u2", "nobody"))
     ]
-    owner.views.entries = tuple(entries)
+    owner.view.entries = tuple(entries)
     driver.upstreams_changed(6.0)
     assert [
         leased.entry.id.name for leased in driver.dispatcher.upstream_pool.upstreams
@@ -158,7 +158,7 @@
     driver: LeaderDriver, owner: Owner
 ):
     for ms in (0.0, 5.0, 40.0):
-        driver._act(InitialTasksStarted("aa", "r", ms))
+        driver._carry_out(InitialTasksStarted("aa", "r", ms))
     lines = owner.metrics.lines()
     assert 'jackdawspur_last_start_ms_count{route="r"} 3' in lines
     assert 'jackdawspur_last_start_ms{route="r",quantile="0.5"} 5' in lines
