--- a/jackdawspur/front/tests/faulty.py
+++ b/jackdawspur/front/tests/faulty.py
@@ -19,7 +19,7 @@
 __all__ = ["FaultyWorld"]
 
 RETRY_DELAY_S = 1.3
-# For the latency of a request and its answer, and the ticks of a host.
+# Added to a caller's timeout for the latency of request and answer and a host's ticks.
 MARGIN_S = 0.1
 RETRYABLE_STATUSES = (502, 504)
 MAX_ATTEMPTS = 3
@@ -38,7 +38,7 @@
 
 
 class Timers(VirtualTimerQueue):
-    """Calls back at virtual times; after a pause, before or after received messages."""
+    """Calls back at virtual times; after a pause, before or after delayed messages."""
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
         node = self._node
@@ -308,7 +308,7 @@
 
     # Messages and calls.
 
-    def lost(self, sender: str, name: str) -> bool:
+    def is_lost(self, sender: str, name: str) -> bool:
         """Return whether messages from one host to another are lost."""
         zones = self.zones[sender], self.zones[name]
         return (
@@ -319,11 +319,11 @@
             or not self.reachable(*zones)
         )
 
-    def carry(self, sender: Node, name: str, data: bytes) -> None:
+    def transmit(self, sender: Node, name: str, data: bytes) -> None:
         node, link = self.nodes[name], (sender, self.nodes[name])
         if node.dead:
             return
-        if not self.lost(sender.name, name):
+        if not self.is_lost(sender.name, name):
             self._partitioned_since.pop(link, None)
             self._deliver(sender, node, data)
         elif self.late_messages and (sender.name, name) not in self.silent_links:
@@ -340,7 +340,7 @@
         def retransmit() -> None:
             if node.dead or not left:
                 return
-            if self.lost(sender.name, node.name):
+            if self.is_lost(sender.name, node.name):
                 self._retransmit(sender, node, data, left - 1)
             else:
                 self._deliver(sender, node, data)
@@ -363,9 +363,9 @@
 
         def late() -> None:
             if not upstream.is_down and not upstream.silent:
-                pending_polls = len(self.waiting)
+                pending_polls = len(self.open_polls)
                 act(upstream)
-                del self.waiting[pending_polls:]
+                del self.open_polls[pending_polls:]
 
         def arrive() -> None:
             if self._unreachable(node, upstream):
@@ -394,6 +394,6 @@
         if upstream.is_down:
             self.after(effect.timeout_s, lambda: done(CallOutcome.UNKNOWN), node)
         elif not upstream.has_unacknowledged_ends and self.now < until:
-            self.waiting.append((effect, node, done, until))
+            self.open_polls.append((effect, node, done, until))
         else:
             self._return(node, upstream, effect, upstream.report(self.now), done)
--- a/jackdawspur/front/tests/faulty_parts.py
+++ b/jackdawspur/front/tests/faulty_parts.py
@@ -72,9 +72,9 @@
 class FaultyUpstream(SimulatedUpstream):
     """An upstream that can crash, stops runs after a delay and has a slow clock.
 
-    `drift` is the fraction by which its clock is slow. `guards` is set if it refuses
-    starts beyond its capacity, `is_down` after a crash, and `is_replaced` if another
-    upstream answers at its address.
+    `drift` is the fraction by which its clock is slow. `checks_capacity` is set if it
+    refuses starts beyond its capacity, `is_down` after a crash, and `is_replaced` if
+    another upstream answers at its address.
     """
 
     def __init__(self, entry, pace, counters: TaskCounters, rng: random.Random) -> None:
@@ -83,21 +83,28 @@
         self.is_down = self.is_replaced = False
         self.incarnation = 1
         self.crashes = 0
-        self.guards = False
+        self.checks_capacity = False
         self._stops: dict[RunId, float] = {}
 
     def clock_ms(self, now: float) -> int:
         return super().clock_ms(now * (1.0 - self.drift))
 
-    def runs_any(self, job: str) -> bool:
+    def runs_task_of(self, job: str) -> bool:
         """Return whether a task of a job runs here."""
         return any(run.task.startswith(f"{job}.") for run in self._tasks)
 
     def start(self, run: RunId, until_ms: int, fence: int, demand, now: float):
-        """Start a run; refuse it if it does not fit and the upstream `guards`."""
+        """Start a run; refuse it if `checks_capacity` is set and it does not fit."""
         used = sum(running.cpu for running in self._tasks.values())
-        beyond = used + demand.resources.cpu_millis > self.entry.capacity.cpu_millis
-        if self.guards and beyond and fence >= self._fence and run not in self._tasks:
+        exceeds_capacity = (
+            used + demand.resources.cpu_millis > self.entry.capacity.cpu_millis
+        )
+        if (
+            self.checks_capacity
+            and exceeds_capacity
+            and fence >= self._fence
+            and run not in self._tasks
+        ):
             self._fence = fence
             return CallOutcome.NO_ROOM
         return super().start(run, until_ms, fence, demand, now)
@@ -146,7 +153,7 @@
             logging.getLogger("upstream").info("TWICE %s %s", run, self.entry.id)
         super()._count_start(run, cpu)
         self._counters.started.add(run.task)
-        logging.getLogger("upstream").info("began %s %s", run, self.entry.id)
+        logging.getLogger("upstream").info("started %s %s", run, self.entry.id)
 
     def _end_run(self, running, ending: RunResult) -> None:
         super()._end_run(running, ending)
--- a/jackdawspur/front/tests/findings.py
+++ b/jackdawspur/front/tests/findings.py
@@ -5,7 +5,7 @@
 from jackdawspur.front.tests.faulty import FaultyWorld
 from jackdawspur.front.tests.faulty_parts import Attempt, Caller
 
-__all__ = ["Finding", "find"]
+__all__ = ["Finding", "find_broken_rules"]
 
 REFUSED = (429, 503)
 FAILED = b'{"state":"failed"}'
@@ -13,13 +13,19 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """A rule that was broken, and where."""
+    """A rule that was broken, and where.
+
+    TWICE: two runs of a task at the same time. LIMIT: more runs than an upstream has
+    capacity for. REFUSED: a refusal of a job that was started. COMPLETED: a result
+    without all tasks. FAILED: a failure although no task ran on a crashed upstream.
+    ANSWER: no answer in time. SERVES: a host that does not serve after all faults.
+    """
 
     rule: str
     detail: str
 
 
-def find(world: FaultyWorld, last: list[Caller]) -> list[Finding]:
+def find_broken_rules(world: FaultyWorld, final_callers: list[Caller]) -> list[Finding]:
     """Return the rules that were broken."""
     found = []
     if world.counters.two_at_once:
@@ -28,7 +34,7 @@
         found.append(Finding("LIMIT", str(world.counters.over_capacity)))
     for caller in world.callers:
         found += [Finding(rule, caller.request.id) for rule in _broken(world, caller)]
-    for caller in last:
+    for caller in final_callers:
         reply = caller.attempts[0].reply
         if reply is None or reply.status != 200:
             name = caller.attempts[0].node.name
@@ -56,9 +62,9 @@
 
 def _in_time(attempt: Attempt) -> bool:
     """Return whether an attempt was answered, or its host was paused meanwhile."""
-    ends = attempt.sent_at + attempt.timeout_s
+    timeout_at = attempt.sent_at + attempt.timeout_s
     pauses = any(
-        froze < ends and thawed > attempt.sent_at
-        for froze, thawed in attempt.node.pauses
+        paused_at < timeout_at and resumed_at > attempt.sent_at
+        for paused_at, resumed_at in attempt.node.pauses
     )
     return pauses or not attempt.unanswered
--- a/jackdawspur/front/tests/more_faults.py
+++ b/jackdawspur/front/tests/more_faults.py
@@ -32,7 +32,7 @@
 
     def crash_where_running() -> None:
         for upstream in list(world.upstreams.values()):
-            if crashes[0] < MAX_CRASHES and upstream.runs_any(job):
+            if crashes[0] < MAX_CRASHES and upstream.runs_task_of(job):
                 crashes[0] += 1
                 fail = world.restart if same_name else world.crash
                 fail(upstream.entry.id, rng.choice((0.02, 0.3)))
@@ -66,17 +66,17 @@
     for upstream in chosen:
         _set_capacity(scenario, upstream, REDUCED_CAPACITY)
 
-    def back() -> None:
+    def end_fault() -> None:
         for upstream, capacity in zip(chosen, capacities, strict=True):
             _set_capacity(scenario, upstream, capacity)
 
-    scenario.world.after(seconds, back)
+    scenario.world.after(seconds, end_fault)
     return f"{[str(upstream.entry.id) for upstream in chosen]} {seconds:.2f}"
 
 
 def _set_capacity(scenario: "FaultScenario", upstream, capacity: Resources) -> None:
     world = scenario.world
-    upstream.guards = True
+    upstream.checks_capacity = True
     upstream.entry = replace(upstream.entry, capacity=capacity)
     world.listed = tuple(
         replace(entry, capacity=capacity) if entry.id == upstream.entry.id else entry
@@ -88,8 +88,8 @@
     """Kill all hosts of a zone, with probability 0.5 also its upstreams."""
     world, rng = scenario.world, scenario.rng
     zone = rng.choice(scenario.zones)
-    for name, where in world.zones.items():
-        if where == zone:
+    for name, host_zone in world.zones.items():
+        if host_zone == zone:
             world.kill(name)
             scenario._restart_later(name, rng.uniform(0.2, 0.8))
     upstreams = rng.random() < 0.5
@@ -168,7 +168,7 @@
 
 def one_way_loss(scenario: "FaultScenario", seconds: float) -> str:
     """Lose all messages from a host or to it, while upstreams come and leave."""
-    world, name = scenario.world, scenario._host()
+    world, name = scenario.world, scenario._random_host()
     others = [other for other in world.nodes if other != name]
     outgoing = scenario.rng.random() < 0.7
     pairs = {(name, other) if outgoing else (other, name) for other in others}
@@ -176,7 +176,7 @@
     world.storeless.add(name)
     details = scenario.crash_upstream(0.05) if scenario._running_upstreams() else ""
 
-    def back() -> None:
+    def end_fault() -> None:
         world.one_way -= pairs
         world.after(
             scenario.rng.uniform(0.0, 0.5), lambda: world.storeless.discard(name)
@@ -185,7 +185,7 @@
             if scenario.rng.random() < 0.5 and leader != name:
                 _stop_or_kill(scenario, leader)
 
-    world.after(seconds, back)
+    world.after(seconds, end_fault)
     return f"{name} {outgoing} {details} {seconds:.2f}"
 
 
@@ -194,7 +194,7 @@
     world, rng = scenario.world, scenario.rng
     zone = rng.choice(scenario.zones)
     pairs = {frozenset((zone, other)) for other in scenario.zones if other != zone}
-    affected = {name for name, where in world.zones.items() if where == zone}
+    affected = {name for name, host_zone in world.zones.items() if host_zone == zone}
     world.partitions |= pairs
     world.storeless |= affected
     running = scenario._running_upstreams()
--- a/jackdawspur/front/tests/random_faults.py
+++ b/jackdawspur/front/tests/random_faults.py
@@ -5,14 +5,14 @@
 
 from jackdawspur.front.tests.faulty import FaultyWorld
 from jackdawspur.front.tests.faulty_parts import Caller
-from jackdawspur.front.tests.findings import Finding, find
+from jackdawspur.front.tests.findings import Finding, find_broken_rules
 from jackdawspur.front.tests.more_faults import COMBINED_FAULTS
 from jackdawspur.group import _leadership_transfer
 
 __all__ = ["LAYOUTS", "FaultScenario", "run_seed"]
 
-# By name: zones, hosts and upstreams of each zone, most upstreams of a group of all
-# zones.
+# By name: zones, number of hosts and of upstreams in each zone, and maximum number of
+# upstreams of a group of all zones.
 LAYOUTS = {
     "one group": (("z1", "z2", "z3"), 2, 3, 64),
     "two groups": (("z1", "z2"), 2, 4, 2),
@@ -30,20 +30,21 @@
 }
 # In these layouts callers state timeouts that exceed the route's timeout, and some jobs
 # take longer than the route's timeout.
-WAITING = ("long waits", "long waits in one group", "long waits at the limit")
-# In these the leadership goes back to the strongest hosts soon after each change.
+LONG_WAITS = ("long waits", "long waits in one group", "long waits at the limit")
+# In these layouts the strongest hosts regain the leadership soon after each change.
 UNEQUAL = ("unlike hosts", "unlike hosts in one group")
 UNEQUAL_TERM_S = 0.5
 UNEQUAL_CORES = (0.5, 1.0, 2.0)
-# In this one there are more kinds of faults; a seed of another one keeps its faults.
+# This layout also has `MORE_FAULTS`. The layouts before it don't, so that their seeds
+# generate the same faults as before.
 STUTTERING = "stuttering hosts"
-# In these there are all kinds of faults, and callers retry in other zones too.
+# These layouts have all kinds of faults, and callers retry in other zones too.
 ROAMING = (
     "roaming callers",
     "roaming in one group",
     "three at the limit",
     "one host a zone",
-    *WAITING,
+    *LONG_WAITS,
     *UNEQUAL,
 )
 ROAMING_FRACTION = 0.7
@@ -68,7 +69,7 @@
 
     def __init__(self, monkeypatch, layout: str, seed: int) -> None:
         self.rng = random.Random(f"{layout} {seed}")
-        self.long_waits = layout in WAITING
+        self.long_waits = layout in LONG_WAITS
         self.job_interval_s = LONG_JOB_INTERVAL_S if self.long_waits else JOB_INTERVAL_S
         self.zones, hosts, upstreams, limit = LAYOUTS[layout]
         self.world = FaultyWorld(monkeypatch, limit, seed)
@@ -104,9 +105,9 @@
             world.run(self.rng.expovariate(1.0 / self.job_interval_s))
         self._end_faults()
         world.run(RECOVERY_S + (2 * LONGEST_S if self.long_waits else 0.0))
-        last = [self._send_final_job(name) for name in world.nodes]
+        final_callers = [self._send_final_job(name) for name in world.nodes]
         world.run(FINAL_CHECK_S)
-        return find(world, last)
+        return find_broken_rules(world, final_callers)
 
     def _random_schedule(self) -> list[ScheduledFault]:
         world, rng = self.world, self.rng
@@ -171,15 +172,15 @@
 
     # Faults; each returns a description of what it chose.
 
-    def _host(self) -> str:
+    def _random_host(self) -> str:
         """Return a random host; with probability 0.5 a leader."""
         leaders = list(self.world.leaders())
         if leaders and self.rng.random() < 0.5:
             return self.rng.choice(leaders)
         return self.rng.choice(list(self.world.nodes))
 
-    def _pair(self) -> tuple[str, str]:
-        name = self._host()
+    def _random_pair(self) -> tuple[str, str]:
+        name = self._random_host()
         others = [other for other in self.world.nodes if other != name]
         other = self.rng.choice(others)
         return (name, other) if self.rng.random() < 0.5 else (other, name)
@@ -201,7 +202,7 @@
         world.after(seconds, start)
 
     def kill(self, seconds: float) -> str:
-        name = self._host()
+        name = self._random_host()
         self.world.kill(name)
         self._restart_later(name, seconds)
         return f"{name} {seconds:.2f}"
@@ -213,20 +214,20 @@
         return ""
 
     def stop(self, seconds: float) -> str:
-        name = self._host()
+        name = self._random_host()
         self.world.stop_gracefully(name)
         for pause_s in (3.0, 7.0):
             self._restart_later(name, pause_s)
         return name
 
     def freeze(self, seconds: float) -> str:
-        name = self._host()
+        name = self._random_host()
         self.world.freeze(name, seconds)
         return f"{name} {seconds:.2f}"
 
     def restart_without_store(self, seconds: float) -> str:
         """Restart a host that reads the store late or gets a short list."""
-        name, world = self._host(), self.world
+        name, world = self._random_host(), self.world
         world.kill(name)
         if self.rng.random() < 0.5:
             world.storeless.add(name)
@@ -234,11 +235,11 @@
             world.list_limits[name] = self.rng.randint(1, 4)
         self._restart_later(name, 0.3)
 
-        def back() -> None:
+        def end_fault() -> None:
             world.storeless.discard(name)
             world.list_limits.pop(name, None)
 
-        world.after(seconds, back)
+        world.after(seconds, end_fault)
         return f"{name} {seconds:.2f}"
 
     def cut_off_store(self, seconds: float) -> str:
@@ -248,19 +249,19 @@
         return f"{sorted(names)} {seconds:.2f}"
 
     def partition_pair(self, seconds: float) -> str:
-        pair = frozenset(self._pair())
+        pair = frozenset(self._random_pair())
         self.world.partitions.add(pair)
         self.world.after(seconds, lambda: self.world.partitions.discard(pair))
         return f"{sorted(pair)} {seconds:.2f}"
 
     def partition_one_way(self, seconds: float) -> str:
-        pair = self._pair()
+        pair = self._random_pair()
         self.world.one_way.add(pair)
         self.world.after(seconds, lambda: self.world.one_way.discard(pair))
         return f"{pair} {seconds:.2f}"
 
     def silence_links(self, seconds: float) -> str:
-        pairs = [self._pair() for _ in range(self.rng.randint(1, 4))]
+        pairs = [self._random_pair() for _ in range(self.rng.randint(1, 4))]
         self.world.silent_links.update(pairs)
         return f"{pairs}"
 
@@ -274,7 +275,7 @@
         return f"{zone} {seconds:.2f}"
 
     def isolate(self, seconds: float) -> str:
-        name = self._host()
+        name = self._random_host()
         self.world.isolated.add(name)
         self.world.after(seconds, lambda: self.world.isolated.discard(name))
         return f"{name} {seconds:.2f}"
@@ -285,11 +286,11 @@
         for upstream in chosen:
             upstream.silent = True
 
-        def back() -> None:
+        def end_fault() -> None:
             for upstream in chosen:
                 upstream.silent = False
 
-        self.world.after(seconds, back)
+        self.world.after(seconds, end_fault)
         return f"{[str(upstream.entry.id) for upstream in chosen]} {seconds:.2f}"
 
     def crash_upstream(self, seconds: float) -> str:
@@ -314,10 +315,10 @@
         self.world.delay_rate = self.rng.choice((0.05, 0.2, 0.5))
         self.world.loss_rate = self.rng.choice((0.0, 0.1))
 
-        def back() -> None:
+        def end_fault() -> None:
             self.world.delay_rate = self.world.loss_rate = 0.0
 
-        self.world.after(seconds, back)
+        self.world.after(seconds, end_fault)
         return f"{self.world.delay_rate} {seconds:.2f}"
 
     def reset_callers(self, seconds: float) -> str:
@@ -338,7 +339,7 @@
 
     def reset_links(self, seconds: float) -> str:
         """Let all links of a host go silent until they are reconnected."""
-        name, world = self._host(), self.world
+        name, world = self._random_host(), self.world
         for other in world.nodes:
             if other != name:
                 world.silent_links |= {(name, other), (other, name)}
@@ -346,7 +347,7 @@
 
     def pause_repeatedly(self, seconds: float) -> str:
         """Pause a host repeatedly, like one that has used up its processor quota."""
-        name, world = self._host(), self.world
+        name, world = self._random_host(), self.world
         pause_s, run_s = self.rng.uniform(0.05, 0.38), self.rng.uniform(0.02, 0.2)
         until = world.now + seconds
 
--- a/jackdawspur/front/tests/test_between_groups.py
+++ b/jackdawspur/front/tests/test_between_groups.py
@@ -53,7 +53,9 @@
 
 
 def leader_of(world: World, zone: str) -> str:
-    return next(name for name, where in world.leaders().items() if where == zone)
+    return next(
+        name for name, host_zone in world.leaders().items() if host_zone == zone
+    )
 
 
 def ask_all_hosts(world: World, seconds: float) -> list[SentRequest]:
@@ -105,7 +107,7 @@
 ):
     # A task runs twice at the same time. Upstreams are added or removed, and hosts
     # learn up to two seconds apart that the zones split into groups, or joined. A host
-    # that knows it hands its jobs over to a leader that does not know it yet, or that
+    # that knows of this hands its jobs over to a leader that does not yet, or that
     # leases other upstreams than the previous leader.
     for step in range(4):
         world = at_the_limit(*before, step)
@@ -166,12 +168,12 @@
         self.late_until: dict[frozenset[str], float] = {}
         super().__init__(monkeypatch, most_upstreams)
 
-    def carry(self, sender: Node, name: str, data: bytes) -> None:
+    def transmit(self, sender: Node, name: str, data: bytes) -> None:
         until = self.late_until.get(frozenset((sender.name, name)), self.now)
         if until > self.now:
-            self.after(until - self.now, lambda: self.carry(sender, name, data))
+            self.after(until - self.now, lambda: self.transmit(sender, name, data))
         else:
-            super().carry(sender, name, data)
+            super().transmit(sender, name, data)
 
 
 def test_groups_join_while_upstreams_without_an_entry_still_run_tasks(monkeypatch):
@@ -185,7 +187,7 @@
         ((2, 4), 5, (0, 1, 2), 0.75),
     )
     overlaps = Counter()
-    for counts, limit, left, late_s in (of_own_zone, of_other_zone):
+    for counts, limit, remaining, late_s in (of_own_zone, of_other_zone):
         for step in range(4):
             world = World(monkeypatch, most_upstreams=limit)
             for zone, count in zip(ZONES, counts, strict=True):
@@ -194,13 +196,13 @@
             assert len(world.leaders()) == len(ZONES)
             ask_all_hosts(world, 2.0)
             world.storeless = {name for name, zone in HOSTS if zone == "z2" and late_s}
-            world.listed = tuple(world.listed[number] for number in left)
+            world.listed = tuple(world.listed[number] for number in remaining)
             ask_all_hosts(world, late_s)
             world.storeless.clear()
             ask_all_hosts(world, 4.0)
             world.run(2.0)
             assert len(world.leaders()) == 1
-            overlaps[left] += world.counters.two_at_once
+            overlaps[remaining] += world.counters.two_at_once
     assert not +overlaps
 
 
@@ -217,7 +219,7 @@
             world.add_upstreams(zone, 2)
         start_all(world)
         ((leader, zone),) = world.leaders().items()
-        others = [name for name, where in HOSTS if where != zone]
+        others = [name for name, host_zone in HOSTS if host_zone != zone]
         for name in others:
             world.submit(name, 1.5)
         world.run(0.1)
--- a/jackdawspur/front/tests/test_changing_groups.py
+++ b/jackdawspur/front/tests/test_changing_groups.py
@@ -91,7 +91,7 @@
 def test_zones_that_split_after_a_partition_use_their_own_upstreams(monkeypatch):
     # A task runs twice at the same time while its leader drains. Zones were
     # partitioned, z1 restarted and assumed one group of all zones. When its leader
-    # hears z2 again it reports that its group is z1 only, but continues with the
+    # gets heartbeats of z2 again, it reports a group of z1 only, but continues with the
     # upstreams of both (only a new list changes these). So its jobs count as run in z1,
     # and the next leader of z1 starts them at once while z2 still runs them.
     world = two_zones(monkeypatch, 8, 3, 7)
--- a/jackdawspur/front/tests/test_end_to_end.py
+++ b/jackdawspur/front/tests/test_end_to_end.py
@@ -127,7 +127,7 @@
 
 
 def test_a_starting_host_survives_a_reload(deployment: Deployment):
-    # A zone has one host less for half a second: the settings changed while the host
+    # A zone has one host fewer for half a second: the settings changed while the host
     # started, and the signal to reload ended it, since no handler was installed yet.
     host = deployment.hosts[0]
     host.process.kill()
--- a/jackdawspur/front/tests/test_full_link.py
+++ b/jackdawspur/front/tests/test_full_link.py
@@ -20,7 +20,7 @@
 REPLY_BYTES = 300
 
 
-class ThinLinks(World):
+class NarrowLinks(World):
     """A simulation in which messages queue for the bandwidth of the hosts' links."""
 
     bytes_per_s = LINK_MBPS * 1e6 / BITS_PER_BYTE
@@ -29,18 +29,18 @@
         super().__init__(monkeypatch, most_upstreams)
         self._free_at: dict[tuple[str, str], float] = {}
 
-    def wait_s(self, host: str, way: str, size: int) -> float:
+    def wait_s(self, host: str, direction: str, size: int) -> float:
         """Queue bytes in one direction of a link; return the time to send them."""
-        start_s = max(self.now, self._free_at.get((host, way), 0.0))
-        self._free_at[host, way] = start_s + size / self.bytes_per_s
-        return self._free_at[host, way] - self.now
+        start_s = max(self.now, self._free_at.get((host, direction), 0.0))
+        self._free_at[host, direction] = start_s + size / self.bytes_per_s
+        return self._free_at[host, direction] - self.now
 
-    def carry(self, sender: Node, name: str, data: bytes) -> None:
+    def transmit(self, sender: Node, name: str, data: bytes) -> None:
         """Deliver a message once it has passed both links."""
         sent_s = self.wait_s(sender.name, "out", len(data))
         received_s = self.wait_s(name, "in", len(data))
-        later = super().carry
-        self.after(max(sent_s, received_s), lambda: later(sender, name, data))
+        deliver = super().transmit
+        self.after(max(sent_s, received_s), lambda: deliver(sender, name, data))
 
     def call(self, node: Node, effect, act, done) -> None:
         """Deliver a call and its reply over the link, within the timeout."""
@@ -70,8 +70,8 @@
 
 
 @pytest.fixture
-def world(monkeypatch) -> ThinLinks:
-    links = ThinLinks(monkeypatch, most_upstreams=64)
+def world(monkeypatch) -> NarrowLinks:
+    links = NarrowLinks(monkeypatch, most_upstreams=64)
     for zone in ZONES:
         links.add_upstreams(zone, UPSTREAMS_PER_ZONE)
         for number in range(HOSTS_PER_ZONE):
@@ -82,7 +82,7 @@
     return links
 
 
-def test_hosts_on_narrow_links_lead_their_own_zones(world: ThinLinks):
+def test_hosts_on_narrow_links_lead_their_own_zones(world: NarrowLinks):
     # Guards against one host that leads more upstreams than its link has bandwidth for:
     # its calls queue, count as lost and are repeated, and no request is served.
     sent = ask(world, 3.0, run_s=0.2, every_s=0.1)
--- a/jackdawspur/front/tests/test_handovers.py
+++ b/jackdawspur/front/tests/test_handovers.py
@@ -23,7 +23,7 @@
 def hosts_of(world: FaultyWorld, zone: str) -> tuple[str, str]:
     """Return the leader and the follower of a zone."""
     leaders = world.leaders()
-    names = [name for name, where in world.zones.items() if where == zone]
+    names = [name for name, host_zone in world.zones.items() if host_zone == zone]
     return tuple(sorted(names, key=lambda name: name not in leaders))
 
 
@@ -73,9 +73,11 @@
     # Guards against mistaking a list of the same length as others for the same list.
     world = make(monkeypatch, most_upstreams=64, count=2)
     ((_, zone),) = world.leaders().items()
-    beyond = {name for name, where in world.zones.items() if where != zone}
+    remote_hosts = {
+        name for name, host_zone in world.zones.items() if host_zone != zone
+    }
     world.partitions.add(PARTITION)
-    world.storeless |= beyond
+    world.storeless |= remote_hosts
     world.run(0.5)
     replaced = next(entry.id for entry in world.listed if entry.id.zone == zone)
     world.crash(replaced, 0.05)
@@ -96,7 +98,8 @@
 def test_an_offer_to_a_host_never_heard_starts_no_run_seconds_later(
     monkeypatch, phase_s: float
 ):
-    # Guards against offers to a host never heard that never count as late.
+    # Guards against offers that never count as late, because no heartbeat of the leader
+    # has arrived yet.
     world = FaultyWorld(monkeypatch, most_upstreams=2, seed=1)
     world.late_messages = True
     world.add_upstreams("z1", 1)
--- a/jackdawspur/front/tests/test_heartbeats.py
+++ b/jackdawspur/front/tests/test_heartbeats.py
@@ -105,9 +105,9 @@
             self.group.add_host(address(name))
         for name in HOSTS:
             if name != self.name and not self.knows:
-                self.hear(name)
+                self.receive_heartbeat(name)
 
-    def hear(self, name: str, follows: int = 7) -> HostHeartbeat:
+    def receive_heartbeat(self, name: str, follows: int = 7) -> HostHeartbeat:
         leads = name == LEADER
         heartbeat = HostHeartbeat(
             host=address(name),
@@ -128,7 +128,7 @@
     def send(self, heartbeats: int) -> None:
         for _ in range(heartbeats):
             self.now += HEARTBEAT_INTERVAL_S
-            self.hear(LEADER)
+            self.receive_heartbeat(LEADER)
             self.heartbeats.send(self.now)
 
 
@@ -165,7 +165,7 @@
 def test_a_host_without_a_leader_gets_heartbeats_of_all_others(host: Host):
     host.send(1)
     host.mesh.sent.clear()
-    host.hear("c", follows=0)
+    host.receive_heartbeat("c", follows=0)
     host.send(2)
     assert sum(name == "c" for name, _heartbeat in host.mesh.sent) == 2
 
@@ -229,8 +229,8 @@
 
 
 def test_one_host_takes_over_when_the_leader_dies(zone: Zone):
-    # Callers wait: the leader lost power, and the others, which seldom hear each other,
-    # must elect one of them at once, and only one.
+    # Callers wait: the leader lost power, and the others, which rarely send each other
+    # heartbeats, must elect exactly one of them at once.
     (leader,) = zone.leaders()
     zone.stopped.add(leader)
     zone.advance(0.6)
--- a/jackdawspur/front/tests/test_leader_driver.py
+++ b/jackdawspur/front/tests/test_leader_driver.py
@@ -79,7 +79,7 @@
 def test_an_offer_repeated_for_an_earlier_term_is_not_accepted_as_new(
     owner: Owner, driver: LeaderDriver
 ):
-    # A client gets the answer that its job did not run, although it ran: the leader had
+    # A caller gets the answer that its job did not run, although it ran: the leader had
     # started a new term and forgotten the job that it had started. The job's host did
     # not know the new term yet and repeated the offer, which was now too late.
     before = owner.group.fence
@@ -95,10 +95,10 @@
 def test_a_job_whose_host_follows_a_later_leader_is_dropped(
     owner: Owner, driver: LeaderDriver
 ):
-    # A task runs twice at the same time: its host hears two leaders that do not hear
-    # each other. It follows the later one and hands the job over to it. The earlier one
-    # still heard the host, and continued the job on upstreams that the later one can't
-    # reach.
+    # A task runs twice at the same time: its host gets heartbeats of two leaders that
+    # are partitioned from each other. It follows the later one and hands the job over
+    # to it. The earlier one still got the host's heartbeats, and continued the job on
+    # upstreams that the later one can't reach.
     driver.receive_offer(offer(owner.group.fence), 5.0)
     driver.drop_handed_over("h2", owner.group.fence + 1, 5.1)
     assert len(driver.dispatcher.open_jobs) == 0
--- a/jackdawspur/front/tests/test_learned.py
+++ b/jackdawspur/front/tests/test_learned.py
@@ -24,16 +24,16 @@
 
     def __init__(self, world: World) -> None:
         self.sizes: list[tuple[str, str, int, int]] = []
-        self._carry = world.carry
-        world.carry = self.carry
+        self._transmit = world.transmit
+        world.transmit = self.transmit
 
-    def carry(self, sender, name: str, data: bytes) -> None:
+    def transmit(self, sender, name: str, data: bytes) -> None:
         message = decode_message(data)
         if isinstance(message, HostHeartbeat):
             learned = message.learned
             bare = encode_message(_without(message)) if learned else data
             self.sizes.append((sender.name, name, len(data), len(data) - len(bare)))
-        self._carry(sender, name, data)
+        self._transmit(sender, name, data)
 
 
 def _without(heartbeat: HostHeartbeat) -> HostHeartbeat:
@@ -68,7 +68,7 @@
         world.run(0.4)
 
 
-def change_the_lead(world: World, leave: Callable[[World, str], None]) -> str:
+def change_leader(world: World, leave: Callable[[World, str], None]) -> str:
     """Make the leader leave, and return the next one once it leases upstreams."""
     former = leader_of(world, "z1")
     leave(world, former)
@@ -78,18 +78,18 @@
     return leader
 
 
-def die(world: World, name: str) -> None:
+def crash_host(world: World, name: str) -> None:
     world.kill(name)
 
 
-@pytest.mark.parametrize("leave", [die, drain])
+@pytest.mark.parametrize("leave", [crash_host, drain])
 def test_the_next_leader_knows_the_slowdowns(world, leave):
     # Guards against long jobs that start on slow upstreams after a change of leader.
     work(world, 8.0)
     world.run(1.5)
     known = slowdown_of(world, leader_of(world, "z1"))
     assert known > 1.5
-    leader = change_the_lead(world, leave)
+    leader = change_leader(world, leave)
     assert slowdown_of(world, leader) == pytest.approx(known, rel=TOLERANCE)
 
 
@@ -100,7 +100,7 @@
     known = slowdown_of(world, leader_of(world, "z1"))
     for _ in range(2):
         world.run(1.5)
-        leader = change_the_lead(world, die)
+        leader = change_leader(world, crash_host)
     assert known > 1.5
     assert slowdown_of(world, leader) == pytest.approx(known, rel=2 * TOLERANCE)
 
@@ -116,7 +116,7 @@
     world.run(15.0)
     known = slowdown_of(world, leader)
     assert known > 1.5
-    next_leader = change_the_lead(world, die)
+    next_leader = change_leader(world, crash_host)
     assert next_leader != leader
     assert slowdown_of(world, next_leader) == pytest.approx(known, rel=TOLERANCE)
 
--- a/jackdawspur/front/tests/test_operations.py
+++ b/jackdawspur/front/tests/test_operations.py
@@ -42,7 +42,7 @@
 
 
 def test_from_a_refused_request_to_what_it_would_have_needed(deployment):
-    # A client is refused and has to retry later: there were more jobs than the workers
+    # A caller is refused and has to retry later: there were more jobs than the workers
     # could complete in time.
     host = deployment.hosts[1]
     sent = [deployment.submit(host, run_ms=400.0, tasks=4) for _ in range(12)]
@@ -54,7 +54,8 @@
     ended = [x for x in grep(deployment, "job ended") if x["end"] == "refused"]
     about = grep(deployment, ended[0]["job"])
     inputs = with_message(about, "job refused")[0]["inputs"]
-    # CAUTION is 1.15; the jobs ahead of this one may be the reason that it is too late.
+    # START_SAFETY_FACTOR is 1.15; the jobs ahead of this one may be the reason that it
+    # is too late.
     assert inputs["needs_ms"] * 1.2 + inputs["ahead_ms"] > inputs["useful_ms"]
     assert inputs["jobs"] > 1
 
--- a/jackdawspur/front/tests/test_process.py
+++ b/jackdawspur/front/tests/test_process.py
@@ -31,8 +31,8 @@
     settings = check_host_settings({"name": "h0", "zone": "z1", **addresses}, "test")
     root = Component()
     poller = EPoll().register(root)
-    parts = PlatformPorts(SimpleNamespace(), SimpleNamespace(), Store())
-    front = FrontProcess(settings, poller, lambda *_: parts, lambda: settings)
+    ports = PlatformPorts(SimpleNamespace(), SimpleNamespace(), Store())
+    front = FrontProcess(settings, poller, lambda *_: ports, lambda: settings)
     front.register(root)
     return front
 
--- a/jackdawspur/front/tests/test_random_faults.py
+++ b/jackdawspur/front/tests/test_random_faults.py
@@ -89,7 +89,7 @@
     node.process._web.reply = lossy
 
 
-def deafen_a_host(scenario: FaultScenario, _seconds: float) -> None:
+def ignore_calls(scenario: FaultScenario, _seconds: float) -> None:
     node = next(iter(scenario.world.nodes.values()))
     node.process.callers.handle_call = lambda call: None
 
@@ -103,7 +103,7 @@
         ("COMPLETED", complete_what_runs),
         ("FAILED", fail_what_runs),
         ("ANSWER", lose_an_answer),
-        ("SERVES", deafen_a_host),
+        ("SERVES", ignore_calls),
     ],
 )
 def test_a_broken_rule_is_found(monkeypatch, rule: str, break_it):
--- a/jackdawspur/front/tests/virtual.py
+++ b/jackdawspur/front/tests/virtual.py
@@ -39,7 +39,9 @@
 UNIX_S = 1_800_000_000.0
 # One-way latency in seconds, by whether both hosts are in the same zone.
 LINK_S = {True: 0.0005, False: 0.001}
+# One-way latency of calls to hosts and upstreams in seconds.
 CALL_S = 0.0005
+# Time between two updates of upstreams and open polls.
 STEP_S = 0.002
 MS_PER_S = 1000.0
 
@@ -62,7 +64,7 @@
 
 
 class World:
-    """Runs hosts; tests inject faults."""
+    """A simulated cluster with callers, into which tests inject faults."""
 
     node_type = Node
 
@@ -76,7 +78,9 @@
         self.upstreams: dict[UpstreamId, SimulatedUpstream] = {}
         self.listed: tuple[UpstreamEntry, ...] = ()
         self.sent: dict[str, SentRequest] = {}
+        # Names of hosts that can't read the store.
         self.storeless: set[str] = set()
+        # Zones in which no run may start.
         self.evacuated: set[str] = set()
         # Number of upstreams of the list that a host reads, by its name, if limited.
         self.list_limits: dict[str, int] = {}
@@ -84,7 +88,7 @@
         self.settings: dict[str, dict[str, float]] = {}
         self.silent_links: set[tuple[str, str]] = set()
         self.partitions: set[frozenset[str]] = set()
-        self.waiting: list = []
+        self.open_polls: list = []
         self._calls: dict[tuple[Node, int], SentRequest] = {}
         self._most_upstreams = most_upstreams
         self._order = itertools.count(1)
@@ -100,14 +104,14 @@
             time=lambda: UNIX_S + self.now,
         )
         monkeypatch.setattr(_clock, "time", clock)
-        made = {
+        replacements = {
             "TimerQueue": lambda *_: VirtualTimerQueue(self, self._starting),
             "Mesh": lambda _link, _poller, deliver: VirtualMesh(
                 self, self._starting, deliver
             ),
             "WebServer": lambda *_: VirtualWeb(self, self._starting),
         }
-        for name, make in made.items():
+        for name, make in replacements.items():
             monkeypatch.setattr(_process, name, make)
 
     # Hosts and upstreams.
@@ -135,8 +139,8 @@
         }
         settings = check_host_settings(values, "test")
         node = self._starting = self.nodes[name] = self.node_type(name)
-        parts = PlatformPorts(Callers(self), Upstreams(self, node), Store(self, node))
-        process = FrontProcess(settings, None, lambda *_: parts, lambda: settings)
+        ports = PlatformPorts(Callers(self), Upstreams(self, node), Store(self, node))
+        process = FrontProcess(settings, None, lambda *_: ports, lambda: settings)
         process.fire = lambda _event: self.after(0.0, process._on_flush, node)
         node.process = process
 
@@ -233,7 +237,7 @@
         """Return whether two hosts or zones are not partitioned from each other."""
         return frozenset((name, other)) not in self.partitions
 
-    def carry(self, sender: Node, name: str, data: bytes) -> None:
+    def transmit(self, sender: Node, name: str, data: bytes) -> None:
         """Deliver a message to a host."""
         zones = self.zones[sender.name], self.zones[name]
         node = self.nodes[name]
@@ -263,7 +267,7 @@
     def _advance(self) -> None:
         for upstream in self.upstreams.values():
             upstream.advance(self.now)
-        waiting, self.waiting = self.waiting, []
+        waiting, self.open_polls = self.open_polls, []
         for poll in waiting:
             self._answer_poll(*poll)
         self.after(STEP_S, self._advance)
@@ -271,7 +275,7 @@
     def _answer_poll(self, effect, node: Node, done, until: float) -> None:
         upstream = self.upstreams[effect.upstream]
         if not upstream.has_unacknowledged_ends and self.now < until:
-            self.waiting.append((effect, node, done, until))
+            self.open_polls.append((effect, node, done, until))
             return
         report = upstream.report(self.now)
         self.after(CALL_S, lambda: done(report), node)
--- a/jackdawspur/front/tests/virtual_parts.py
+++ b/jackdawspur/front/tests/virtual_parts.py
@@ -91,7 +91,7 @@
 
     def send(self, name: str, message: GroupMessage) -> None:
         if name in self._peers:
-            self._world.carry(self._node, name, encode_message(message))
+            self._world.transmit(self._node, name, encode_message(message))
 
 
 class VirtualWeb:
@@ -209,7 +209,7 @@
             if outcome is not CallOutcome.OK:
                 return outcome
             until = world.now + effect.wait_ms / MS_PER_S
-            world.waiting.append((effect, self._node, done, until))
+            world.open_polls.append((effect, self._node, done, until))
             return None
 
         world.call(self._node, effect, act, done)
