--- a/jackdawspur/group/_contention.py
+++ b/jackdawspur/group/_contention.py
@@ -1,4 +1,4 @@
-"""Contention for upstreams with a leader that this host can't hear."""
+"""Contention for upstreams with a leader that this host can't reach."""
 
 __all__ = ["LeadershipContention"]
 
@@ -23,7 +23,7 @@
         return self._backoffs > 0
 
     def must_wait(self, now: float) -> bool:
-        """Return whether the pause after the last backoff goes on."""
+        """Return whether the pause after the last backoff is not over."""
         return now < self._backoff_until
 
     def is_recent(self, now: float) -> bool:
--- a/jackdawspur/group/_group.py
+++ b/jackdawspur/group/_group.py
@@ -22,11 +22,11 @@
 OTHER_LEADER_TIMEOUT_S = 2.5
 # Time without a leader before a takeover, so that all hosts have the same heartbeats.
 VACANCY_S = 0.1
-# A new leader sends heartbeats at once, but links must reconnect after a partition. An
-# upstream that obeys an unknown fence for longer than this obeys an unreachable leader.
+# New leaders send heartbeats without delay, but links must reconnect after a partition.
+# An upstream that obeys an unknown fence for longer than this obeys an unreachable one.
 # If this is too short, both sides' leaders alternately take upstreams from each other.
 CONTENTION_AFTER_S = 0.6
-# How long a host defers to a leader that others follow and that it doesn't hear itself:
+# How long a host defers to a leader that others follow and that it can't reach itself:
 # links reconnect within half a second after a network partition ends.
 UNHEARD_LEADER_GRACE_S = 0.6
 # At startup hosts must discover each other before one leads: reading the store, a
@@ -108,7 +108,7 @@
         ]
 
     def is_term_active(self, term: Term, since: float, now: float) -> bool:
-        """Return whether another group's term, known since `since`, goes on.
+        """Return whether another group's term, known since `since`, is active.
 
         Its leader sends heartbeats to all hosts whose jobs it has.
         """
@@ -125,7 +125,7 @@
         return tuple(self._peers.values())
 
     def is_term_of_other_group(self, term: Term, now: float) -> bool:
-        """Return whether a term goes on, in a group that now excludes this host."""
+        """Return whether a term is active in a group that now excludes this host."""
         heartbeat = self._peers.get(term.leader)
         if heartbeat is None or not self.is_alive(term.leader, now):
             return False
@@ -316,10 +316,10 @@
         return True
 
     def _defers_to_unheard_leader(self, now: float) -> bool:
-        """Return whether others follow a leader that this host does not hear yet.
+        """Return whether others follow a leader that this host does not know yet.
 
         After a network partition the leader of one side steps down at once. If a host
-        of that side led before it hears the other one, all jobs would be handed over
+        of that side led before it knows the other leader, all jobs would be handed over
         twice. The leader lost last doesn't count: others may notice its loss later.
         """
         if now - self._vacant_since > UNHEARD_LEADER_GRACE_S:
@@ -328,7 +328,7 @@
 
     @property
     def backing_off(self) -> bool:
-        """Return whether this host has backed off for a leader that it can't hear."""
+        """Return whether this host has backed off for a leader that it can't reach."""
         return self._contention.backing_off
 
     def contend_for_upstreams(
@@ -344,7 +344,7 @@
         """Raise the fence above an unknown one, or back off.
 
         The first time, that fence may be of a host that is gone. The second time within
-        `CONTENTION_WINDOW_S`, it is of a leader that this host can't hear. Both would
+        `CONTENTION_WINDOW_S`, it is of a leader that this host can't reach. Both would
         alternately take the upstreams and stop each other's runs, so the smaller side
         backs off, for longer each time.
         """
--- a/jackdawspur/group/tests/test_group.py
+++ b/jackdawspur/group/tests/test_group.py
@@ -262,7 +262,7 @@
 
 def test_no_third_host_leads_while_hosts_reconnect(reconnecting: Hosts):
     # All jobs are handed over twice: on the side whose leader stepped down, a host that
-    # did not hear the other side's leader yet led for a moment.
+    # did not know the other side's leader yet led for a moment.
     reconnecting.advance(0.4)
     assert len(reconnecting.leaders()) == 1
     (leader,) = reconnecting.leaders()
