--- a/jackdawspur/front/_mesh.py
+++ b/jackdawspur/front/_mesh.py
@@ -22,8 +22,8 @@
 RECONNECT_MIN_MS = 20
 RECONNECT_MAX_MS = 300
 # Maximum number of dials in one pass of the loop. Each takes one or two milliseconds of
-# processor time. A leader that dialled a hundred hosts at once would block while its
-# followers wait for its heartbeats.
+# processor time. A leader that dialled a hundred hosts in one pass would block while
+# its followers wait for its heartbeats.
 DIALS_PER_PASS = 8
 
 log = logging.getLogger(__name__)
--- a/jackdawspur/front/_service.py
+++ b/jackdawspur/front/_service.py
@@ -251,7 +251,7 @@
         """Leave a job with the other group that this host belonged to.
 
         If it were handed over it would run twice at the same time: on the upstreams of
-        this group's leader, and on those of the other leader, which goes on with it.
+        this group's leader, and on those of the other leader, which continues it.
         """
         job.remote_term, job.remote_since = job.offered_to, now
         log.info(
--- a/jackdawspur/front/tests/more_faults.py
+++ b/jackdawspur/front/tests/more_faults.py
@@ -59,7 +59,7 @@
 
 
 def reduce_capacity(scenario: "FaultScenario", seconds: float) -> str:
-    """Reduce the capacity of upstreams for a while, and in their entries at once."""
+    """Reduce the capacity of upstreams for a while, in their entries without delay."""
     running = scenario._running_upstreams()
     chosen = scenario.rng.sample(running, min(len(running), scenario.rng.randint(1, 3)))
     capacities = [upstream.entry.capacity for upstream in chosen]
@@ -132,7 +132,7 @@
 
 
 def reset_with_silent_links(scenario: "FaultScenario", seconds: float) -> str:
-    """Let the links of a host go silent just before its callers' connections break."""
+    """Break links of a host without a reset just before its callers' connections."""
     details = scenario.reset_links(seconds)
     scenario.world.after(
         scenario.rng.uniform(0.0, 0.2),
--- a/jackdawspur/front/tests/random_faults.py
+++ b/jackdawspur/front/tests/random_faults.py
@@ -338,7 +338,7 @@
         return f"{[str(upstream.entry.id) for upstream in chosen]} {seconds:.2f}"
 
     def reset_links(self, seconds: float) -> str:
-        """Let all links of a host go silent until they are reconnected."""
+        """Lose all messages on the links of a host until they are reconnected."""
         name, world = self._random_host(), self.world
         for other in world.nodes:
             if other != name:
--- a/jackdawspur/front/tests/test_changing_groups.py
+++ b/jackdawspur/front/tests/test_changing_groups.py
@@ -73,8 +73,8 @@
     # A task runs twice at the same time, as run 1 in z2 and run 17 in z1. Entries of z2
     # expire in the store although their upstreams are up, and the list is so short that
     # the groups join. The leader of z2 gives up its runs without stopping them. That of
-    # z1 starts their tasks at once: it leases all upstreams on its list, and does not
-    # know the expired ones, which it never had on its list.
+    # z1 starts their tasks immediately: it leases all upstreams on its list, and does
+    # not know the expired ones, which it never had on its list.
     world = two_zones(monkeypatch, 6, 3, 6)
     world.kill(leader_of(world, "z1"))
     world.run(3.0)
@@ -192,7 +192,7 @@
 
 
 def test_running_jobs_are_taken_over_after_a_split(monkeypatch):
-    # Each job of the zone is answered "out of time" at once. A group splits and its
+    # Each job of the zone is answered "out of time" immediately. A group splits and its
     # leader drains. The next leader of the zone learns that the jobs could run in other
     # zones too, estimates that it may start them 1.1 s later, which is too late, and
     # gives them up before a poll shows that half of them run in its own zone.
--- a/jackdawspur/front/tests/test_heartbeats.py
+++ b/jackdawspur/front/tests/test_heartbeats.py
@@ -230,7 +230,7 @@
 
 def test_one_host_takes_over_when_the_leader_dies(zone: Zone):
     # Callers wait: the leader lost power, and the others, which rarely send each other
-    # heartbeats, must elect exactly one of them at once.
+    # heartbeats, must elect exactly one of them immediately.
     (leader,) = zone.leaders()
     zone.stopped.add(leader)
     zone.advance(0.6)
@@ -241,7 +241,7 @@
 
 def test_no_third_host_leads_while_hosts_reconnect(zone: Zone):
     # All jobs are handed over twice: on the side whose leader stepped down, hosts did
-    # not hear the other side's leader yet, and one of them led for a moment.
+    # not know the other side's leader yet, and one of them led for a moment.
     (first,) = zone.leaders()
     one_side = {first, "k", "l", "m"}
     other_side = set(zone.hosts) - one_side
@@ -267,7 +267,7 @@
 
 
 def test_only_hosts_just_connected_to_are_greeted(host: Host):
-    # Guards against a host that starts beside a hundred others and sends heartbeats to
+    # Guards against a host that starts among a hundred others and sends heartbeats to
     # all of them with each one that it discovers, which blocks its loop for seconds.
     host.heartbeats.greet(["c", "d"], host.now)
     assert [name for name, _heartbeat in host.mesh.sent] == ["c", "d"]
--- a/jackdawspur/front/tests/test_random_faults.py
+++ b/jackdawspur/front/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Simulations of whole hosts under several random faults at once."""
+"""Simulations of whole hosts under several random faults at the same time."""
 
 from dataclasses import replace
 
