--- a/jackdawspur/front/tests/test_changing_groups.py
+++ b/jackdawspur/front/tests/test_changing_groups.py
@@ -73,8 +73,8 @@
     # A task runs twice at the same time, as run 1 in z2 and run 17 in z1. Entries of z2
     # expire in the store although their upstreams are up, and the list is so short that
     # the groups join. The leader of z2 gives up its runs without stopping them. That of
-    # z1 starts their tasks at once: it leases all upstreams on its list, and does not
-    # know the expired ones, which it never had on its list.
+    # z1 starts their tasks immediately: it leases all upstreams on its list, and does
+    # not know the expired ones, which it never had on its list.
     world = two_zones(monkeypatch, 6, 3, 6)
     world.kill(leader_of(world, "z1"))
     world.run(3.0)
@@ -91,7 +91,7 @@
 def test_zones_that_split_after_a_partition_use_their_own_upstreams(monkeypatch):
     # A task runs twice at the same time while its leader drains. Zones were
     # partitioned, z1 restarted and assumed one group of all zones. When its leader
-    # hears z2 again it reports that its group is z1 only, but continues with the
+    # gets heartbeats of z2 again, it reports a group of z1 only, but continues with the
     # upstreams of both (only a new list changes these). So its jobs count as run in z1,
     # and the next leader of z1 starts them at once while z2 still runs them.
     world = two_zones(monkeypatch, 8, 3, 7)
@@ -162,7 +162,7 @@
     world.silent_links.add((leader, other))
     world.storeless.add(other)
     world.listed = world.listed[:6]
-    world.nodes[leader].process.views.on_upstreams(world.listed)
+    world.nodes[leader].process.view.on_upstreams(world.listed)
     for _ in range(4):
         world.run(wait_s / 4)
         world.submit(other, 0.8)
@@ -192,7 +192,7 @@
 
 
 def test_running_jobs_are_taken_over_after_a_split(monkeypatch):
-    # Each job of the zone is answered "out of time" at once. A group splits and its
+    # Each job of the zone is answered "out of time" immediately. A group splits and its
     # leader drains. The next leader of the zone learns that the jobs could run in other
     # zones too, estimates that it may start them 1.1 s later, which is too late, and
     # gives them up before a poll shows that half of them run in its own zone.
@@ -204,7 +204,7 @@
     world.run(0.1)
     world.add_upstreams("z2", 1)
     for name in alive(world):
-        world.nodes[name].process.views.on_upstreams(world.listed)
+        world.nodes[name].process.view.on_upstreams(world.listed)
     world.run(0.05)
     running_here = running_in(world, zone)
     assert running_here == 8
@@ -251,7 +251,7 @@
     world.run(0.1)
     world.listed = world.listed[5:]
     for name in (leader, *alive(world)):
-        world.nodes[name].process.views.on_upstreams(world.listed)
+        world.nodes[name].process.view.on_upstreams(world.listed)
         world.run(0.01)
     drain(world, leader)
     world.run(2.5)
