--- a/jackdawspur/sessions/tests/session.py
+++ b/jackdawspur/sessions/tests/session.py
@@ -1,4 +1,7 @@
-"""Sessions: people call entry hosts over HTTP in virtual time; all is transcribed."""
+"""Simulated sessions: people call entry hosts over HTTP; a transcript records it.
+
+Time is virtual.
+"""
 
 import logging
 import time
@@ -70,7 +73,7 @@
         record.msecs = record.created * 1000 % 1000 // 1
         formatter = json_formatter(session.active_host)
         formatter.converter = time.gmtime
-        session.note(f"{session.active_host} log", formatter.format(record))
+        session.add_line(f"{session.active_host} log", formatter.format(record))
 
 
 class _HostFrontend:
@@ -165,11 +168,11 @@
         """Advance the virtual time."""
         self.simulation.loop.run(self.now + seconds)
 
-    def note(self, who: str, text: str) -> None:
+    def add_line(self, who: str, text: str) -> None:
         """Add a line to the transcript."""
         self.lines.append(f"{self.now:8.3f} s  {who}: {text}")
 
-    def ask(
+    def send_request(
         self, who: str, name: str, request: str, body=None, key=None, customer="roster"
     ) -> int:
         """Send a person's request to a host; return the number of the call."""
@@ -183,7 +186,9 @@
         call = Call(number, method, path, query, headers, data)
         self._callers[number] = (who, name)
         header = f" Idempotency-Key={key}" if key else ""
-        self.note(f"{who} -> {name} #{number}", f"{request}{header} {data.decode()}")
+        self.add_line(
+            f"{who} -> {name} #{number}", f"{request}{header} {data.decode()}"
+        )
         self._register_call(number, path, body, customer)
         self._after_latency(lambda: self._arrive(name, call))
         return number
@@ -191,7 +196,9 @@
     def submit(self, who, name, job_class, work, key=None, customer="roster") -> int:
         """Submit a person's job in a call that waits for its answer."""
         body = {"job_class": job_class, "tasks": work}
-        return self.ask(who, name, "POST /v1/jobs?wait=true", body, key, customer)
+        return self.send_request(
+            who, name, "POST /v1/jobs?wait=true", body, key, customer
+        )
 
     def json(self, number: int) -> dict:
         """Return the body of a reply."""
@@ -200,7 +207,7 @@
     def drain(self, name: str) -> None:
         """Send SIGTERM to a host."""
         host = self.host(name)
-        self.note("platform", f"SIGTERM to {name}")
+        self.add_line("platform", f"SIGTERM to {name}")
         with self.acting_as(name):
             log_draining(self._cores[name].state.live_jobs)
             self.simulation.drain(host)
@@ -208,7 +215,7 @@
 
     def kill(self, name: str) -> None:
         """Kill a host; it restarts a second later."""
-        self.note("platform", f"{name} is killed")
+        self.add_line("platform", f"{name} is killed")
         self.simulation.kill(self.host(name))
         self.simulation.loop.after(1.001, lambda: self._log_restart(name))
 
@@ -237,7 +244,7 @@
         """Break the connections of a host's waiting callers."""
         for number, (who, name) in self._callers.items():
             if self.host(name) is host and number not in self._replies:
-                self.note(f"{who} <- {name} #{number}", "connection lost")
+                self.add_line(f"{who} <- {name} #{number}", "connection lost")
                 self.simulation.checker.call_disconnected(number, self.now, draining)
 
     def replied(self, number: int, reply: HttpResponse) -> None:
@@ -246,7 +253,7 @@
         who, name = self._callers[number]
         retry = f" Retry-After={reply.retry_after_s}" if reply.retry_after_s else ""
         text = f"{reply.status}{retry} {reply.body.decode()}"
-        self._after_latency(lambda: self.note(f"{who} <- {name} #{number}", text))
+        self._after_latency(lambda: self.add_line(f"{who} <- {name} #{number}", text))
 
     def transcript(self) -> str:
         """Return the transcript; fail if any invariant was violated."""
@@ -261,16 +268,18 @@
             checker.control_call_sent(number)
             return
         job = int(body["tasks"][0]["payload"].split()[1])
-        once = body["job_class"] in ("dispatch-reassign", "map-order")
-        checker.call_sent(number, job, _job_request(body, customer, once))
+        non_idempotent = body["job_class"] in ("dispatch-reassign", "map-order")
+        checker.call_sent(number, job, _job_request(body, customer, non_idempotent))
 
     def _make_dispatcher(self, host: HostId, rng, now: float):
         dispatcher = POLICIES[PRODUCT_POLICY].make(host, rng, now)
         self._cores[f"{host.zone}.{host.name}"] = dispatcher.core
         return dispatcher
 
-    def _after_latency(self, action) -> None:
-        self.simulation.loop.after(self.simulation.deployment.client_latency_s, action)
+    def _after_latency(self, callback) -> None:
+        self.simulation.loop.after(
+            self.simulation.deployment.client_latency_s, callback
+        )
 
     def _arrive(self, name: str, call: Call) -> None:
         with self.acting_as(name):
@@ -297,6 +306,6 @@
     )
 
 
-def _job_request(body: dict, customer: str, once: bool):
+def _job_request(body: dict, customer: str, non_idempotent: bool):
     specs = tuple(TaskSpec(task["payload"], task["run_ms"]) for task in body["tasks"])
-    return JobRequest(customer, body["job_class"], specs, 1000.0, not once)
+    return JobRequest(customer, body["job_class"], specs, 1000.0, not non_idempotent)
--- a/jackdawspur/sessions/tests/test_sessions.py
+++ b/jackdawspur/sessions/tests/test_sessions.py
@@ -14,7 +14,7 @@
 
 
 def fail_tile(session, index: int) -> None:
-    """Make one tile fail on all upstreams."""
+    """Make one task, a tile of an overlay, fail on all upstreams."""
     for upstream in session.upstreams:
         upstream.on_task_ended = partial(_report_failure, upstream.on_task_ended, index)
 
@@ -35,19 +35,19 @@
     work = {"job_class": "confirm-arrival", "tasks": tasks(1)}
     wrong = work | {"tasks": tasks(7), "idempotant": False}
     unauthorized = work | {"tasks": tasks(8)}
-    session.ask("supervisor", "z1.e1", "GET /readyz")
-    session.ask("supervisor", "z1.e1", "POST /v1/jobs?wait=true", wrong)
-    session.ask(
+    session.send_request("supervisor", "z1.e1", "GET /readyz")
+    session.send_request("supervisor", "z1.e1", "POST /v1/jobs?wait=true", wrong)
+    session.send_request(
         "supervisor", "z1.e1", "POST /v1/jobs", unauthorized, customer="stranger"
     )
     session.run(0.5)
     session.submit("supervisor", "z1.e1", "confirm-arrival", tasks(2))
     session.run(0.5)
-    call = session.ask("supervisor", "z1.e1", "POST /v1/jobs", work)
+    call = session.send_request("supervisor", "z1.e1", "POST /v1/jobs", work)
     session.run(0.05)
     path = f"GET /v1/submissions/{session.json(call)['submission']}"
-    session.ask("supervisor", "z1.e1", path)
-    session.ask("supervisor", "z2.e1", f"{path}?wait=true")
+    session.send_request("supervisor", "z1.e1", path)
+    session.send_request("supervisor", "z2.e1", f"{path}?wait=true")
     session.run(0.5)
     assert session.transcript() == snapshot
 
@@ -99,15 +99,17 @@
 def test_map_order_sent_twice_under_an_issued_id(session, snapshot):
     """An app requests ids in advance; its order, sent to two hosts, runs once."""
     who, maps = "skipper", "maps"
-    call = session.ask(who, "z1.e1", "POST /v1/submissions", {"count": 2}, None, maps)
+    call = session.send_request(
+        who, "z1.e1", "POST /v1/submissions", {"count": 2}, None, maps
+    )
     session.run(0.1)
     first, _unused = session.json(call)["ids"]
     order = {"job_class": "map-order", "tasks": tasks(1, 2)}
     path = f"PUT /v1/submissions/{first}?wait=true"
-    session.ask(who, "z1.e1", path, order, None, maps)
-    session.ask(who, "z2.e1", path, order, None, maps)
+    session.send_request(who, "z1.e1", path, order, None, maps)
+    session.send_request(who, "z2.e1", path, order, None, maps)
     session.run(1.0)
-    session.ask(who, "z2.e1", path, order, None, maps)
+    session.send_request(who, "z2.e1", path, order, None, maps)
     session.run(1.0)
     assert session.transcript() == snapshot
 
@@ -116,7 +118,7 @@
     """If one tile fails, the job fails as a whole; it doesn't return 359 tiles."""
     fail_tile(session, 217)
     # z2 is partitioned, so that it can't take over the job.
-    session.note("platform", "z2 is cut off from z1")
+    session.add_line("platform", "z2 is cut off from z1")
     session.simulation.links.partition_zone("z2", platform=False)
     session.run(3.0)
     work = tasks(1, 360, run_ms=20.0)
@@ -135,20 +137,24 @@
     busy = tasks(20, 4, run_ms=3000.0)
     session.submit("captain", "z2.e1", "overlay", busy, customer="maps")
     session.run(1.5)
-    call = session.ask("client", "z1.e1", "POST /v1/submissions", {"count": 5})
+    call = session.send_request("client", "z1.e1", "POST /v1/submissions", {"count": 5})
     session.run(0.1)
     ids = session.json(call)["ids"]
     path = "{} /v1/submissions/{}"
     for job, job_id in enumerate(ids[:-1]):
         work = {"job_class": "overlay", "tasks": tasks(job, 4, run_ms=400.0)}
-        session.ask("client", "z1.e1", path.format("PUT", job_id) + "?wait=true", work)
+        session.send_request(
+            "client", "z1.e1", path.format("PUT", job_id) + "?wait=true", work
+        )
         session.run(0.01)
     for job, job_id in enumerate(ids):
         name = "z2.e1" if job == 1 else "z1.e1"
-        session.ask("client", name, path.format("DELETE", job_id))
+        session.send_request("client", name, path.format("DELETE", job_id))
     session.run(0.1)
     late = {"job_class": "overlay", "tasks": tasks(9)}
-    session.ask("client", "z1.e1", path.format("PUT", ids[-1]) + "?wait=true", late)
+    session.send_request(
+        "client", "z1.e1", path.format("PUT", ids[-1]) + "?wait=true", late
+    )
     session.run(8.0)
     assert session.transcript() == snapshot
 
@@ -161,7 +167,7 @@
     session.run(0.1)
     session.drain("z1.e1")
     session.run(0.05)
-    session.ask("balancer", "z1.e1", "GET /readyz")
+    session.send_request("balancer", "z1.e1", "GET /readyz")
     session.submit("client", "z1.e1", "confirm-arrival", tasks(3))
     session.submit("client", "z1.e1", "dispatch-reassign", tasks(4), key="crew-9")
     session.submit("client", "z2.e1", "confirm-arrival", tasks(5))
@@ -174,22 +180,22 @@
 
     They succeed again after the partition has ended.
     """
-    call = session.ask("client", "z2.e1", "POST /v1/submissions", {"count": 1})
+    call = session.send_request("client", "z2.e1", "POST /v1/submissions", {"count": 1})
     session.run(0.1)
-    (ids_issued,) = session.json(call)["ids"]
-    session.note("platform", "z2 is cut off from zones and platform")
+    (issued_id,) = session.json(call)["ids"]
+    session.add_line("platform", "z2 is cut off from zones and platform")
     session.simulation.links.partition_zone("z2")
     session.submit("supervisor", "z2.e1", "confirm-arrival", tasks(1))
     session.submit("dispatcher", "z2.e1", "dispatch-reassign", tasks(2), key="crew-1")
     order = {"job_class": "map-order", "tasks": tasks(3)}
-    path = f"PUT /v1/submissions/{ids_issued}?wait=true"
-    session.ask("client", "z1.e1", path, order)
+    path = f"PUT /v1/submissions/{issued_id}?wait=true"
+    session.send_request("client", "z1.e1", path, order)
     session.run(PARTITION_S)
-    session.note("platform", "z2 is back")
+    session.add_line("platform", "z2 is back")
     session.simulation.links.end_partitions("z2")
     session.run(3.0)
     session.submit("dispatcher", "z2.e1", "dispatch-reassign", tasks(2), key="crew-1")
-    session.ask("client", "z1.e1", path, order)
+    session.send_request("client", "z1.e1", path, order)
     session.run(2.0)
     assert session.transcript() == snapshot
 
@@ -202,22 +208,22 @@
     work = tasks(1, run_ms=900.0)
     session.submit("dispatcher", "z1.e1", "dispatch-reassign", work, key="crew-5")
     body = {"job_class": "overlay", "tasks": tasks(2, run_ms=900.0)}
-    call = session.ask("client", "z1.e1", "POST /v1/jobs", body)
+    call = session.send_request("client", "z1.e1", "POST /v1/jobs", body)
     session.run(0.2)
     session.kill("z1.e1")
     session.run(0.1)
     poll = f"GET /v1/submissions/{session.json(call)['submission']}?wait=true"
-    session.ask("client", "z2.e1", poll)
+    session.send_request("client", "z2.e1", poll)
     session.submit("dispatcher", "z2.e1", "dispatch-reassign", work, key="crew-5")
     session.run(6.0)
-    session.ask("client", "z1.e1", poll)
+    session.send_request("client", "z1.e1", poll)
     session.run(1.0)
     assert session.transcript() == snapshot
 
 
 def test_log_down(session, snapshot):
     """Only a keyed reassignment is refused, and not with an incorrect "not run"."""
-    session.note("platform", "the log is down")
+    session.add_line("platform", "the log is down")
     session.simulation.log.down = True
     session.submit("supervisor", "z1.e1", "confirm-arrival", tasks(1))
     session.submit("supervisor", "z1.e1", "confirm-arrival", tasks(2), key="arrive-2")
@@ -225,7 +231,7 @@
     session.run(2.0)
     session.submit("dispatcher", "z1.e1", "dispatch-reassign", tasks(3), key="crew-3")
     session.run(1.0)
-    session.note("platform", "the log is back")
+    session.add_line("platform", "the log is back")
     session.simulation.log.down = False
     session.submit("dispatcher", "z1.e1", "dispatch-reassign", tasks(3), key="crew-3")
     session.run(3.0)
