--- a/jackdawspur/front/tests/test_two_groups.py
+++ b/jackdawspur/front/tests/test_two_groups.py
@@ -15,7 +15,9 @@
     cluster = Deployment(
         tmp_path, hosts=4, workers=4, zones=("z1", "z2"), most_upstreams=2
     )
-    wait_until(lambda: sum(h.leads() for h in cluster.hosts) == 2, "two leading hosts")
+    wait_until(
+        lambda: sum(h.is_leader() for h in cluster.hosts) == 2, "two leading hosts"
+    )
     # Leaders discover those of other groups within a second or two.
     time.sleep(2.5)
     yield cluster
@@ -46,7 +48,7 @@
     # A caller gets no answer: the leader of the zone that had its job died, and no
     # other host there knows the job.
     host = deployment.hosts[0]
-    other = next(h for h in deployment.hosts[1::2] if h.leads())
+    other = next(h for h in deployment.hosts[1::2] if h.is_leader())
     first = deployment.submit(host, run_ms=2500.0, tasks=CAPACITY)
     time.sleep(0.1)
     second = deployment.submit(host, run_ms=2500.0, tasks=CAPACITY)
--- a/jackdawspur/soak/_checks.py
+++ b/jackdawspur/soak/_checks.py
@@ -37,7 +37,11 @@
 
 @dataclass(slots=True)
 class Findings:
-    """Count the outcomes of jobs and list violated invariants in `wrong`."""
+    """Count the outcomes of jobs and list violated invariants in `wrong`.
+
+    `broken` counts connections that broke because their host was killed, and
+    `nobody_there` those that were refused or that the host never read.
+    """
 
     complete: int = 0
     failed: int = 0
--- a/jackdawspur/soak/_deployment.py
+++ b/jackdawspur/soak/_deployment.py
@@ -105,7 +105,7 @@
         """Return the name of the leader that the host reports, which may be itself."""
         return self.call("GET", "/status", port=self.metrics_port).body.get("leader")
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Return whether the host is a leader."""
         return self.leader() == self.name
 
--- a/jackdawspur/soak/_fault_injector.py
+++ b/jackdawspur/soak/_fault_injector.py
@@ -1,4 +1,4 @@
-"""Injection of planned faults into a deployment, and their end."""
+"""Inject planned faults into a deployment, and revert them."""
 
 import time
 from dataclasses import dataclass
--- a/jackdawspur/soak/tests/test_fault_injector.py
+++ b/jackdawspur/soak/tests/test_fault_injector.py
@@ -119,7 +119,7 @@
     two_hosts.leader()
     injector = FaultInjector(two_hosts)
     injector.inject(Fault(0.0, FaultKind.HOST_CUT_OFF, 0, 1.0), 0.0)
-    wait_until(lambda: all(h.leads() for h in two_hosts.hosts), "two leaders")
+    wait_until(lambda: all(h.is_leader() for h in two_hosts.hosts), "two leaders")
     injector.revert_due(1.0)
     assert two_hosts.leader() in two_hosts.hosts
 
