--- a/jackdawspur/slopes/_configuration.py
+++ b/jackdawspur/slopes/_configuration.py
@@ -1,4 +1,4 @@
-"""Costs of the configuration at today's and at the required number of upstreams."""
+"""Costs of the configuration at the current and at the required size."""
 
 from collections.abc import Iterator
 
@@ -6,6 +6,7 @@
 
 __all__ = ["configuration_lines"]
 
+# Numbers of customers, upstreams and zones.
 CURRENT_SIZES = (140, 24, 3)
 REQUIRED_SIZES = (140, 3900, 18)
 
--- a/jackdawspur/slopes/_core.py
+++ b/jackdawspur/slopes/_core.py
@@ -48,7 +48,7 @@
     yield from _control_slope("customer", "customers", (1, 140))
     yield from _control_slope("upstream a zone", "upstreams", UPSTREAM_COUNTS)
     yield from _message_slopes()
-    title = "core: all control, 217 upstreams, 12 hosts a zone, 140 customers"
+    title = "core: all control events, 217 upstreams, 12 hosts a zone, 140 customers"
     yield fit(
         f"{title}, ms of processor time per second",
         "ms",
@@ -120,7 +120,7 @@
 
 
 def _control_slope(per: str, name: str, sizes: tuple[int, ...]) -> Iterator[Slope]:
-    title = "core: all control, ms of processor time per second"
+    title = "core: all control events, ms of processor time per second"
     yield fit(title, "ms", per, sizes, partial(_control_ms, name))
 
 
--- a/jackdawspur/slopes/_memory.py
+++ b/jackdawspur/slopes/_memory.py
@@ -37,14 +37,19 @@
         ONE_REPEAT,
     )
     yield fit(
-        "memory", "B", "kept answer (job of 1)", (100, 600), _answer_bytes, ONE_REPEAT
+        "memory",
+        "B",
+        "retained answer (job of one task)",
+        (100, 600),
+        _answer_bytes,
+        ONE_REPEAT,
     )
     yield fit("memory", "B", "claim", (1000, 10_000), _claim_bytes, ONE_REPEAT)
     yield fit("memory", "B", "customer", (1, 140), _customer_bytes, ONE_REPEAT)
     yield fit(
         "memory", "B", "upstream of the zone", (8, 217), _upstream_bytes, ONE_REPEAT
     )
-    yield fit("memory", "B", "entry host heard", (6, 108), _host_bytes, ONE_REPEAT)
+    yield fit("memory", "B", "known entry host", (6, 108), _host_bytes, ONE_REPEAT)
     yield fit("memory", "B", "histogram", (1, 140), _histogram_bytes, ONE_REPEAT)
 
 
--- a/jackdawspur/slopes/_messages.py
+++ b/jackdawspur/slopes/_messages.py
@@ -41,12 +41,12 @@
 def message_slopes() -> Iterator[Slope]:
     """Yield the growth of message sizes, which are the same in every repeat."""
     sizes = (1, 6, 24)
-    yield fit("heartbeat", "B", "host named", sizes, _hosts_size, ONE_REPEAT)
+    yield fit("heartbeat", "B", "listed host", sizes, _hosts_size, ONE_REPEAT)
     yield fit("heartbeat", "B", "zone reported", (0, 3, 17), _zones_size, ONE_REPEAT)
     yield fit(
         "heartbeat", "B", "customer's usage", (0, 16, 32), _usage_size, ONE_REPEAT
     )
-    yield fit("pulse", "B", "host named", sizes, _pulse_size, ONE_REPEAT)
+    yield fit("pulse", "B", "listed host", sizes, _pulse_size, ONE_REPEAT)
     yield fit(
         "delegate, 32 B per task", "B", "task", (1, 24, 360), _delegate_size, ONE_REPEAT
     )
