--- a/jackdawspur/fuzz/tests/mutations.py
+++ b/jackdawspur/fuzz/tests/mutations.py
@@ -24,7 +24,8 @@
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.function_scoped_fixture],
 )
 NESTED_DEPTH = 100_000
-# Deeper than a parser's stack allows; must be refused without ending the host's pass.
+# Deeper than a parser's stack allows; must be refused without aborting an iteration of
+# the host's loop.
 DEEPLY_NESTED = b"[" * NESTED_DEPTH
 EDGE_CASE_NUMBERS = (0, -1, 2**31, 2**63, 2**64, -(2**70), 1e308, -0.0, 0.5)
 EDGE_CASE_TEXTS = (
--- a/jackdawspur/fuzz/tests/test_callers.py
+++ b/jackdawspur/fuzz/tests/test_callers.py
@@ -121,7 +121,7 @@
 @FUZZ
 @given(METHODS, PATHS, QUERIES, KEYS, TOKENS, BODIES | st.just(b""))
 def test_each_call_gets_one_reply(harness, method, path, query, key, token, body):  # noqa: F811
-    """Guards against calls that get no reply and requests that end the host.
+    """Guards against calls without a reply and requests that terminate the host.
 
     The routes refuse a call or pass it to the core, whose messages to other hosts must
     be encodable.
--- a/jackdawspur/fuzz/tests/test_links.py
+++ b/jackdawspur/fuzz/tests/test_links.py
@@ -111,7 +111,7 @@
     st.booleans(),
 )
 def test_no_message_stops_a_host_or_starts_a_task_twice(messages, submit_index, wait):
-    """Guards against a message that ends a host's pass or stops its clock for good.
+    """Guards against a message that aborts a loop iteration or stops ticks for good.
 
     A valid job is submitted in between; its tasks must start at most once, and its
     caller must get exactly one answer.
--- a/jackdawspur/fuzz/tests/test_log_records.py
+++ b/jackdawspur/fuzz/tests/test_log_records.py
@@ -95,23 +95,26 @@
 def test_hosts_reach_the_same_version_and_never_go_back(bodies):
     """Guards against zones that apply different versions after a malformed record."""
     records = [LogRecord(offset, body) for offset, body in enumerate(bodies)]
-    at_once, stepwise = ConfigurationStateMachine(), ConfigurationStateMachine()
-    at_once.apply_records(records)
+    batched, stepwise = ConfigurationStateMachine(), ConfigurationStateMachine()
+    batched.apply_records(records)
     versions = []
     for record in records:
         stepwise.apply_records([record])
         versions.append(stepwise.version)
     assert versions == sorted(versions)
-    assert (at_once.version, at_once.configuration) == (
+    assert (batched.version, batched.configuration) == (
         stepwise.version,
         stepwise.configuration,
     )
-    assert at_once.through == len(bodies) - 1
+    assert batched.through == len(bodies) - 1
 
 
 @pytest.mark.parametrize("body", DEEP_RECORDS)
 def test_a_deeply_nested_record_is_skipped(body):
-    """Guards against a record that ends each pass, so that no host reads beyond it."""
+    """Guards against a record that stops every host from reading beyond it.
+
+    Each attempt to decode it would abort an iteration of the host's loop.
+    """
     state_machine = _state_after(*VALID_RECORDS[:2], body)
     assert state_machine.version == 1
     assert state_machine.through == 2
--- a/jackdawspur/fuzz/tests/test_operators.py
+++ b/jackdawspur/fuzz/tests/test_operators.py
@@ -61,7 +61,7 @@
 @FUZZ
 @given(intent=INTENTS, token=TOKENS)
 def test_the_operator_api_replies_once_and_changes_nothing(cluster, intent, token):
-    """Guards against plans that end the pass or come into force unconfirmed."""
+    """Guards against plans that abort a loop iteration or apply unconfirmed."""
     before = cluster.versions()
     text = intent.decode(errors="replace")
     reply = cluster.request_reply(HOST, PlanAsked, token, text, within=20.0)
--- a/jackdawspur/fuzz/tests/two_hosts.py
+++ b/jackdawspur/fuzz/tests/two_hosts.py
@@ -103,7 +103,10 @@
                 self._execute(host, effect)
 
     def make_call(self, name: str, make_event, work: str | None) -> None:
-        """Send a caller's request to a host; `work` names the work that it asks for."""
+        """Send a caller's request to a host.
+
+        `work` identifies the requested job across resubmissions.
+        """
         call_id = len(self.calls) + 1
         host = self.cores[name].host
         self.calls[call_id] = (host, work)
