--- a/jackdawspur/bench/_checks.py
+++ b/jackdawspur/bench/_checks.py
@@ -113,9 +113,11 @@
         if answer.state is JobState.COMPLETE:
             self._check_outputs(call, request.job_request, answer, now)
 
-    def task_started(self, text: str, task: TaskId, upstream: str, now: float) -> None:
+    def task_started(
+        self, payload_text: str, task: TaskId, upstream: str, now: float
+    ) -> None:
         """Check that a task that an upstream started was allowed to start."""
-        payload = Payload.parse(text)
+        payload = Payload.parse(payload_text)
         request = self._requests[payload.job]
         request.starts[payload.index] += 1
         request.submissions.add(task.submission)
--- a/jackdawspur/bench/_clients.py
+++ b/jackdawspur/bench/_clients.py
@@ -206,5 +206,5 @@
     return job.request.key is not None or job.request.submission is not None
 
 
-def _elapsed_s(moment: float | None, now: float) -> float:
-    return 0.0 if moment is None else now - moment
+def _elapsed_s(since: float | None, now: float) -> float:
+    return 0.0 if since is None else now - since
--- a/jackdawspur/bench/_upstream.py
+++ b/jackdawspur/bench/_upstream.py
@@ -151,8 +151,8 @@
             return RefusalReason.TOO_LARGE
         return RefusalReason.FULL if self._busy >= self.spec.slots else None
 
-    def _run_time_s(self, text: str) -> float:
-        run_s = Payload.parse(text).run_ms / 1000 * self.faults.slow_factor
+    def _run_time_s(self, payload_text: str) -> float:
+        run_s = Payload.parse(payload_text).run_ms / 1000 * self.faults.slow_factor
         if self._rng.random() < self.faults.straggler_share:
             run_s *= self.faults.straggler_factor
         return run_s
--- a/jackdawspur/bench/tests/test_disorder.py
+++ b/jackdawspur/bench/tests/test_disorder.py
@@ -48,7 +48,7 @@
     return act
 
 
-def set_log(down):
+def set_log_down(down):
     def act(simulation):
         simulation.log.down = down
 
@@ -62,7 +62,7 @@
     st.builds(partition, ZONES, st.booleans(), st.booleans()),
     st.builds(heal, ZONES),
     st.builds(fail_all, UPSTREAMS),
-    st.builds(set_log, st.booleans()),
+    st.builds(set_log_down, st.booleans()),
 )
 
 
--- a/jackdawspur/bench/tests/test_own_policy.py
+++ b/jackdawspur/bench/tests/test_own_policy.py
@@ -11,7 +11,7 @@
 RUN_S = 6.0
 # More than are lost until an ejection, far fewer than the fault affects without one.
 MAX_JOBS_LOST_TO_FAILING_UPSTREAM = 3
-# A tenth above the p99 measured over RUN_S, which include a job of 289 tasks.
+# The p99 measured over RUN_S plus a tenth; these runs include a job of 289 tasks.
 MAX_P99_AT_USUAL_LOAD = [("ramdenee", 1.56), ("derinsu", 1.8)]
 
 
@@ -29,7 +29,9 @@
 
 
 @pytest.mark.parametrize(("deployment", "max_p99"), MAX_P99_AT_USUAL_LOAD)
-def test_usual_load_keeps_the_tail_and_refuses_nobody(run, deployment, max_p99):
+def test_usual_load_keeps_p99_within_its_bound_and_refuses_no_job(
+    run, deployment, max_p99
+):
     """Jobs of many tasks must not wait while slots of other hosts and zones are free.
 
     At 70 % load, a host often lacks slots that other hosts don't need.
--- a/jackdawspur/sessions/tests/session.py
+++ b/jackdawspur/sessions/tests/session.py
@@ -168,12 +168,18 @@
         """Advance the virtual time."""
         self.simulation.loop.run(self.now + seconds)
 
-    def add_line(self, who: str, text: str) -> None:
+    def add_line(self, source: str, text: str) -> None:
         """Add a line to the transcript."""
-        self.lines.append(f"{self.now:8.3f} s  {who}: {text}")
+        self.lines.append(f"{self.now:8.3f} s  {source}: {text}")
 
     def send_request(
-        self, who: str, name: str, request: str, body=None, key=None, customer="roster"
+        self,
+        person: str,
+        name: str,
+        request: str,
+        body=None,
+        key=None,
+        customer="roster",
     ) -> int:
         """Send a person's request to a host; return the number of the call."""
         number = len(self._callers) + 1
@@ -184,20 +190,20 @@
             headers["Idempotency-Key"] = key
         data = msgspec.json.encode(body) if body is not None else b""
         call = Call(number, method, path, query, headers, data)
-        self._callers[number] = (who, name)
+        self._callers[number] = (person, name)
         header = f" Idempotency-Key={key}" if key else ""
         self.add_line(
-            f"{who} -> {name} #{number}", f"{request}{header} {data.decode()}"
+            f"{person} -> {name} #{number}", f"{request}{header} {data.decode()}"
         )
         self._register_call(number, path, body, customer)
         self._after_latency(lambda: self._arrive(name, call))
         return number
 
-    def submit(self, who, name, job_class, work, key=None, customer="roster") -> int:
+    def submit(self, person, name, job_class, work, key=None, customer="roster") -> int:
         """Submit a person's job in a call that waits for its answer."""
         body = {"job_class": job_class, "tasks": work}
         return self.send_request(
-            who, name, "POST /v1/jobs?wait=true", body, key, customer
+            person, name, "POST /v1/jobs?wait=true", body, key, customer
         )
 
     def json(self, number: int) -> dict:
@@ -242,18 +248,20 @@
 
     def host_died(self, host, draining: bool) -> None:
         """Break the connections of a host's waiting callers."""
-        for number, (who, name) in self._callers.items():
+        for number, (person, name) in self._callers.items():
             if self.host(name) is host and number not in self._replies:
-                self.add_line(f"{who} <- {name} #{number}", "connection lost")
+                self.add_line(f"{person} <- {name} #{number}", "connection lost")
                 self.simulation.checker.call_disconnected(number, self.now, draining)
 
     def replied(self, number: int, reply: HttpResponse) -> None:
         """Deliver a reply to its caller."""
         self._replies[number] = reply
-        who, name = self._callers[number]
+        person, name = self._callers[number]
         retry = f" Retry-After={reply.retry_after_s}" if reply.retry_after_s else ""
         text = f"{reply.status}{retry} {reply.body.decode()}"
-        self._after_latency(lambda: self.add_line(f"{who} <- {name} #{number}", text))
+        self._after_latency(
+            lambda: self.add_line(f"{person} <- {name} #{number}", text)
+        )
 
     def transcript(self) -> str:
         """Return the transcript; fail if any invariant was violated."""
--- a/jackdawspur/sessions/tests/test_sessions.py
+++ b/jackdawspur/sessions/tests/test_sessions.py
@@ -98,18 +98,18 @@
 
 def test_map_order_sent_twice_under_an_issued_id(session, snapshot):
     """An app requests ids in advance; its order, sent to two hosts, runs once."""
-    who, maps = "skipper", "maps"
+    person, maps = "skipper", "maps"
     call = session.send_request(
-        who, "z1.e1", "POST /v1/submissions", {"count": 2}, None, maps
+        person, "z1.e1", "POST /v1/submissions", {"count": 2}, None, maps
     )
     session.run(0.1)
     first, _unused = session.json(call)["ids"]
     order = {"job_class": "map-order", "tasks": tasks(1, 2)}
     path = f"PUT /v1/submissions/{first}?wait=true"
-    session.send_request(who, "z1.e1", path, order, None, maps)
-    session.send_request(who, "z2.e1", path, order, None, maps)
+    session.send_request(person, "z1.e1", path, order, None, maps)
+    session.send_request(person, "z2.e1", path, order, None, maps)
     session.run(1.0)
-    session.send_request(who, "z2.e1", path, order, None, maps)
+    session.send_request(person, "z2.e1", path, order, None, maps)
     session.run(1.0)
     assert session.transcript() == snapshot
 
--- a/jackdawspur/slopes/__main__.py
+++ b/jackdawspur/slopes/__main__.py
@@ -16,7 +16,7 @@
 
 START_TASKS = 64
 START_REQUESTS = 300
-GROUPS = (message_slopes, core_slopes, memory_slopes, http_slopes)
+SLOPE_GROUPS = (message_slopes, core_slopes, memory_slopes, http_slopes)
 
 
 def main(arguments: list[str]) -> None:
@@ -28,7 +28,7 @@
     started = time.monotonic()
     load_averages = "/".join(f"{average:.1f}" for average in os.getloadavg())
     _print(f"load averages at the start: {load_averages}")
-    for group in GROUPS:
+    for group in SLOPE_GROUPS:
         for slope in group():
             _print(format_slope(slope))
     for line in (*heartbeat_lines(), *configuration_lines()):
--- a/jackdawspur/slopes/_memory.py
+++ b/jackdawspur/slopes/_memory.py
@@ -49,7 +49,7 @@
     yield fit(
         "memory", "B", "upstream of the zone", (8, 217), _upstream_bytes, ONE_REPEAT
     )
-    yield fit("memory", "B", "known entry host", (6, 108), _host_bytes, ONE_REPEAT)
+    yield fit("memory", "B", "entry host heard", (6, 108), _host_bytes, ONE_REPEAT)
     yield fit("memory", "B", "histogram", (1, 140), _histogram_bytes, ONE_REPEAT)
 
 
