--- a/jackdawspur/bench/tests/test_faults.py
+++ b/jackdawspur/bench/tests/test_faults.py
@@ -197,7 +197,7 @@
 def test_wrong_declarations_beside_a_failing_worker(broken):
     """Jobs fail only on the failing upstream.
 
-    Estimated run times are far from the true ones while one upstream fails every task
+    Learned run times are far from the true ones while one upstream fails every task
     immediately.
     """
     assert broken("wrong_declarations_x10+worker_fails_all") == {}
--- a/jackdawspur/bench/zones.py
+++ b/jackdawspur/bench/zones.py
@@ -26,8 +26,8 @@
 
 SEEDS = range(11, 31)
 SECONDS = 20.0
-# Jobs that arrive earlier are not counted: the leaders have not yet learned the
-# slowdowns of the upstreams.
+# Figures on long jobs leave out those that arrive earlier, while the leaders have not
+# yet learned the slowdowns of the upstreams.
 WARM_UP_S = 4.0
 LONG_KIND = "reassign"
 PASS_DELAY_S = 0.005
