--- a/jackdawspur/sessions/tests/session.py
+++ b/jackdawspur/sessions/tests/session.py
@@ -1,4 +1,7 @@
-"""Sessions: people call entry hosts over HTTP in virtual time; all is transcribed."""
+"""Simulated sessions: people call entry hosts over HTTP; a transcript records it.
+
+Time is virtual.
+"""
 
 import logging
 import time
@@ -70,7 +73,7 @@
         record.msecs = record.created * 1000 % 1000 // 1
         formatter = json_formatter(session.active_host)
         formatter.converter = time.gmtime
-        session.note(f"{session.active_host} log", formatter.format(record))
+        session.add_line(f"{session.active_host} log", formatter.format(record))
 
 
 class _HostFrontend:
@@ -116,11 +119,11 @@
             if not self.log.down and self.links.reaches_platform(host.id.zone):
                 host.receive(host.id, ClaimsRead(()))
 
-    def should_drop_reply(self, run, upstream) -> bool:
+    def should_drop_reply(self, host_id, upstream) -> bool:
         if self.replies_to_drop:
             self.replies_to_drop -= 1
             return True
-        return super().should_drop_reply(run, upstream)
+        return super().should_drop_reply(host_id, upstream)
 
 
 class Session:
@@ -165,12 +168,18 @@
         """Advance the virtual time."""
         self.simulation.loop.run(self.now + seconds)
 
-    def note(self, who: str, text: str) -> None:
+    def add_line(self, source: str, text: str) -> None:
         """Add a line to the transcript."""
-        self.lines.append(f"{self.now:8.3f} s  {who}: {text}")
-
-    def ask(
-        self, who: str, name: str, request: str, body=None, key=None, customer="roster"
+        self.lines.append(f"{self.now:8.3f} s  {source}: {text}")
+
+    def send_request(
+        self,
+        person: str,
+        name: str,
+        request: str,
+        body=None,
+        key=None,
+        customer="roster",
     ) -> int:
         """Send a person's request to a host; return the number of the call."""
         number = len(self._callers) + 1
@@ -181,17 +190,21 @@
             headers["Idempotency-Key"] = key
         data = msgspec.json.encode(body) if body is not None else b""
         call = Call(number, method, path, query, headers, data)
-        self._callers[number] = (who, name)
+        self._callers[number] = (person, name)
         header = f" Idempotency-Key={key}" if key else ""
-        self.note(f"{who} -> {name} #{number}", f"{request}{header} {data.decode()}")
+        self.add_line(
+            f"{person} -> {name} #{number}", f"{request}{header} {data.decode()}"
+        )
         self._register_call(number, path, body, customer)
         self._after_latency(lambda: self._arrive(name, call))
         return number
 
-    def submit(self, who, name, job_class, work, key=None, customer="roster") -> int:
+    def submit(self, person, name, job_class, work, key=None, customer="roster") -> int:
         """Submit a person's job in a call that waits for its answer."""
         body = {"job_class": job_class, "tasks": work}
-        return self.ask(who, name, "POST /v1/jobs?wait=true", body, key, customer)
+        return self.send_request(
+            person, name, "POST /v1/jobs?wait=true", body, key, customer
+        )
 
     def json(self, number: int) -> dict:
         """Return the body of a reply."""
@@ -200,7 +213,7 @@
     def drain(self, name: str) -> None:
         """Send SIGTERM to a host."""
         host = self.host(name)
-        self.note("platform", f"SIGTERM to {name}")
+        self.add_line("platform", f"SIGTERM to {name}")
         with self.acting_as(name):
             log_draining(self._cores[name].state.live_jobs)
             self.simulation.drain(host)
@@ -208,7 +221,7 @@
 
     def kill(self, name: str) -> None:
         """Kill a host; it restarts a second later."""
-        self.note("platform", f"{name} is killed")
+        self.add_line("platform", f"{name} is killed")
         self.simulation.kill(self.host(name))
         self.simulation.loop.after(1.001, lambda: self._log_restart(name))
 
@@ -235,18 +248,20 @@
 
     def host_died(self, host, draining: bool) -> None:
         """Break the connections of a host's waiting callers."""
-        for number, (who, name) in self._callers.items():
+        for number, (person, name) in self._callers.items():
             if self.host(name) is host and number not in self._replies:
-                self.note(f"{who} <- {name} #{number}", "connection lost")
+                self.add_line(f"{person} <- {name} #{number}", "connection lost")
                 self.simulation.checker.call_disconnected(number, self.now, draining)
 
     def replied(self, number: int, reply: HttpResponse) -> None:
         """Deliver a reply to its caller."""
         self._replies[number] = reply
-        who, name = self._callers[number]
+        person, name = self._callers[number]
         retry = f" Retry-After={reply.retry_after_s}" if reply.retry_after_s else ""
         text = f"{reply.status}{retry} {reply.body.decode()}"
-        self._after_latency(lambda: self.note(f"{who} <- {name} #{number}", text))
+        self._after_latency(
+            lambda: self.add_line(f"{person} <- {name} #{number}", text)
+        )
 
     def transcript(self) -> str:
         """Return the transcript; fail if any invariant was violated."""
@@ -261,16 +276,18 @@
             checker.control_call_sent(number)
             return
         job = int(body["tasks"][0]["payload"].split()[1])
-        once = body["job_class"] in ("dispatch-reassign", "map-order")
-        checker.call_sent(number, job, _job_request(body, customer, once))
+        non_idempotent = body["job_class"] in ("dispatch-reassign", "map-order")
+        checker.call_sent(number, job, _job_request(body, customer, non_idempotent))
 
     def _make_dispatcher(self, host: HostId, rng, now: float):
         dispatcher = POLICIES[PRODUCT_POLICY].make(host, rng, now)
         self._cores[f"{host.zone}.{host.name}"] = dispatcher.core
         return dispatcher
 
-    def _after_latency(self, action) -> None:
-        self.simulation.loop.after(self.simulation.deployment.client_s, action)
+    def _after_latency(self, callback) -> None:
+        self.simulation.loop.after(
+            self.simulation.deployment.client_latency_s, callback
+        )
 
     def _arrive(self, name: str, call: Call) -> None:
         with self.acting_as(name):
@@ -297,6 +314,6 @@
     )
 
 
-def _job_request(body: dict, customer: str, once: bool):
+def _job_request(body: dict, customer: str, non_idempotent: bool):
     specs = tuple(TaskSpec(task["payload"], task["run_ms"]) for task in body["tasks"])
-    return JobRequest(customer, body["job_class"], specs, 1000.0, not once)
+    return JobRequest(customer, body["job_class"], specs, 1000.0, not non_idempotent)
--- a/jackdawspur/slopes/_memory.py
+++ b/jackdawspur/slopes/_memory.py
@@ -37,7 +37,12 @@
         ONE_REPEAT,
     )
     yield fit(
-        "memory", "B", "kept answer (job of 1)", (100, 600), _answer_bytes, ONE_REPEAT
+        "memory",
+        "B",
+        "retained answer (job of one task)",
+        (100, 600),
+        _answer_bytes,
+        ONE_REPEAT,
     )
     yield fit("memory", "B", "claim", (1000, 10_000), _claim_bytes, ONE_REPEAT)
     yield fit("memory", "B", "customer", (1, 140), _customer_bytes, ONE_REPEAT)
