--- a/jackdawspur/leases/_leased_upstream.py
+++ b/jackdawspur/leases/_leased_upstream.py
@@ -11,7 +11,8 @@
 __all__ = ["LEASE_S", "LeasedUpstream", "Run", "RunPhase"]
 
 # Duration of a lease. A task of a lost host must have ended before its caller retries,
-# 1.3 s after the failure: the timeout takes 0.4 s, then the lease has to expire.
+# 1.3 s after the failure: the host counts as unresponsive after 0.4 s, then the lease
+# has to expire.
 LEASE_S = 0.6
 # Upstreams shorten longer leases to this.
 MAX_LEASE_S = 1.0
--- a/jackdawspur/runs/_crashes.py
+++ b/jackdawspur/runs/_crashes.py
@@ -139,7 +139,7 @@
         return len(self._attributed_to_job(_job_of(task))) >= MAX_CRASHES
 
     def forget_old(self, now: float) -> None:
-        """Remove losses and reports that are too old to matter."""
+        """Remove old losses, and the oldest losses and reports beyond MAX_ENTRIES."""
         while self._losses:
             loss = next(iter(self._losses.values()))
             if now - loss.at < LOSS_TTL_S and len(self._losses) <= MAX_ENTRIES:
--- a/jackdawspur/runs/_decision_log.py
+++ b/jackdawspur/runs/_decision_log.py
@@ -76,7 +76,7 @@
         self.add(Decision.JOB_FAILED, job.id, "", reason=reason)
 
     def started(self, job: Job, task: Task, now: float) -> None:
-        """Report the start of a job's last initial task.
+        """Report the start of a job's last initial task, whatever becomes of its run.
 
         Jobs that were handed over are left out: they may have started under another
         leader.
--- a/jackdawspur/runs/_estimates.py
+++ b/jackdawspur/runs/_estimates.py
@@ -173,7 +173,10 @@
         since: float | None,
         now: float,
     ) -> None:
-        """Learn from the end of a run; `since` is its start, None if reported late."""
+        """Learn from the end of a run.
+
+        `since` is that of the run (see Run), None if the end was reported late.
+        """
         if (
             job is None
             or task is None
--- a/jackdawspur/runs/_polls.py
+++ b/jackdawspur/runs/_polls.py
@@ -184,7 +184,7 @@
     def _count_missed(
         self, upstream: LeasedUpstream, number: int, outcome: CallOutcome, now: float
     ) -> None:
-        """Count a poll without a reply; after several, the upstream is unresponsive.
+        """Count a missed poll; after several in a row, the upstream is unresponsive.
 
         Polls that were sent side by side count once.
         """
--- a/jackdawspur/runs/_progress.py
+++ b/jackdawspur/runs/_progress.py
@@ -27,7 +27,8 @@
 # A projected end counts as late when it exceeds the limit by this fraction plus the
 # fraction that one percent is of the progress so far.
 PROJECTION_MARGIN = 0.02
-# A run is restarted elsewhere only if the new one would take less than half as long.
+# `judge` has a run restarted elsewhere only if the new one would take less than half
+# as long.
 RESTART_FACTOR = 2.0
 # Time until a stop is acknowledged and the next run has started.
 RESTART_DELAY_S = 0.03
--- a/jackdawspur/runs/_review.py
+++ b/jackdawspur/runs/_review.py
@@ -20,7 +20,8 @@
 MS_PER_S = 1000.0
 # A single task may well take this many times as long as initially expected.
 INITIAL_SAFETY_FACTOR = 1.6
-# What a single task's progress shows counts up to this multiple of that estimate.
+# What the progress of a step's only known task shows counts up to this multiple of
+# the initial estimate, since its upstream may be slow.
 MAX_INITIAL_FACTOR = 3.0
 # Slowdowns are learned to within a tenth or so: a smaller difference is no reason to
 # restart a run.
@@ -131,7 +132,7 @@
     def _awaits_other_reports(self, job: Job, task: Task, now: float) -> bool:
         """Return whether other tasks' reports will soon correct the expected time.
 
-        All tasks of a job that is longer than declared look slow until others report.
+        All tasks of a job that is longer than expected look slow until others report.
         """
         others = [t for t in job.placed() if t.step == task.step and t is not task]
         if any(self._total_ms(job, other) for other in others):
--- a/jackdawspur/runs/_run_owner.py
+++ b/jackdawspur/runs/_run_owner.py
@@ -18,7 +18,10 @@
     def run_ended(
         self, upstream: UpstreamId, ended: EndedRun, since: float | None, now: float
     ) -> None:
-        """Process the end of a run; `since` is its start, None if reported late."""
+        """Process the end of a run.
+
+        `since` is that of the run (see Run), None if the end was reported late.
+        """
 
     def found_done(self, task_name: str, now: float) -> None:
         """Record that a run of an earlier leader ended successfully."""
--- a/jackdawspur/runs/_slowdowns.py
+++ b/jackdawspur/runs/_slowdowns.py
@@ -76,7 +76,7 @@
         return math.exp(self._log_slowdown(upstream))
 
     def sample_count(self, upstream: UpstreamId) -> int:
-        """Return how many tasks of the current incarnation ran on an upstream."""
+        """Return how many tasks of its current incarnation a slowdown is based on."""
         return self._current_samples.get(upstream, 0)
 
     def level(self, upstream: UpstreamId) -> int:
