--- a/jackdawspur/front/_leader_driver.py
+++ b/jackdawspur/front/_leader_driver.py
@@ -139,7 +139,10 @@
         self._owner.flush_soon()
 
     def _mark_if_evacuated(self, entry: UpstreamEntry) -> UpstreamEntry:
-        """Return an entry, draining if its zone is evacuated so that no run starts."""
+        """Return an entry, marked as draining if its zone is evacuated.
+
+        Its upstream finishes the runs that it has, and no other run starts there.
+        """
         if entry.id.zone in self._owner.view.evacuated:
             return replace(entry, draining=True)
         return entry
--- a/jackdawspur/front/_ports.py
+++ b/jackdawspur/front/_ports.py
@@ -122,7 +122,7 @@
     def decode_call(
         self, call: Call, routes: RouteTable
     ) -> CallerRequest | HttpResponse:
-        """Decode a request; return the refusal instead if it is malformed."""
+        """Decode a request; return the refusal instead if it is invalid."""
 
     @abc.abstractmethod
     def encode_outcome(self, outcome: JobOutcome) -> HttpResponse:
--- a/jackdawspur/front/_process.py
+++ b/jackdawspur/front/_process.py
@@ -201,7 +201,7 @@
         return self.leader_driver.dispatcher.open_jobs.count_not_started(route)
 
     def set_routes(self, routes: RouteTable) -> None:
-        """Put routes in force unless their version is older."""
+        """Put routes in force if their version is newer."""
         if routes.version > self.routes.version:
             log.info(
                 "configuration in force",
--- a/jackdawspur/front/_run.py
+++ b/jackdawspur/front/_run.py
@@ -13,7 +13,8 @@
 
 __all__ = ["run_front"]
 
-# Thresholds of the garbage collector, as for `gc.set_threshold`.
+# Thresholds for `gc.set_threshold`: objects until a collection of the young generation,
+# then how many collections of each generation lead to one of the next older.
 COLLECTOR_THRESHOLDS = (10_000, 20, 100)
 
 
--- a/jackdawspur/front/_status.py
+++ b/jackdawspur/front/_status.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """State of another host by its last heartbeat, and the time since then."""
+    """State of another host by its last heartbeat, and the time since any message."""
 
     name: str
     zone: str
--- a/jackdawspur/group/_contention.py
+++ b/jackdawspur/group/_contention.py
@@ -37,7 +37,10 @@
         return was_recent
 
     def back_off(self, now: float) -> None:
-        """Leave the leadership to the other side, twice as long as the last time."""
+        """Leave the leadership to the other side.
+
+        Each pause is twice as long as the last one, up to `MAX_BACKOFF_S`.
+        """
         self._backoffs += 1
         pause_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self._backoffs - 1))
         self._backoff_until = now + pause_s
--- a/jackdawspur/group/_group.py
+++ b/jackdawspur/group/_group.py
@@ -110,7 +110,7 @@
     def is_term_active(self, term: Term, since: float, now: float) -> bool:
         """Return whether another group's term, known since `since`, is active.
 
-        Its leader sends heartbeats to all hosts whose jobs it has.
+        Its leader sends heartbeats to hosts whose jobs it has, from their first offer.
         """
         silent_s = min(self.silent_s(term.leader, now), now - since)
         heartbeat = self._peers.get(term.leader)
@@ -380,7 +380,7 @@
         return True
 
     def _should_transfer(self, unix_ms: float, now: float) -> bool:
-        """Return whether to transfer the leadership; only while the group is stable."""
+        """Return whether to transfer to a stronger host, if the group is stable."""
         stable = self.store_reachable and not self._contention.is_recent(now)
         if not stable or self._is_zone_missing(now):
             return False
--- a/jackdawspur/group/_messages.py
+++ b/jackdawspur/group/_messages.py
@@ -160,7 +160,7 @@
 
 
 class JobResult(msgspec.Struct, frozen=True, tag="answer"):
-    """Outcome of a job, for its host; `handed` is the same as in the offer."""
+    """Outcome of a job, for its host; `handed` tells which offer is answered."""
 
     job: str
     call: int
