--- a/jackdawspur/cli/_bounded_output.py
+++ b/jackdawspur/cli/_bounded_output.py
@@ -58,6 +58,7 @@
         except OSError:
             self._dropped_lines += 1
             return
-        # The rest of a partly written line is written first next time.
+        # The rest of a partly written line is written first next time, so that no line
+        # is cut or mixed with the next one.
         self._unsent = data[sent:]
         self._dropped_lines = 0
--- a/jackdawspur/limits/_quotas.py
+++ b/jackdawspur/limits/_quotas.py
@@ -162,7 +162,7 @@
         if state.unbounded:
             return max(0, state.quota - state.running)
         # A share that moved here may still be in use on its previous host: tasks there
-        # count until their end is reported. The guaranteed minimum is always free.
+        # count until their end is reported. They don't reduce the guaranteed minimum.
         free = max(state.guaranteed, state.reachable - state.running_elsewhere)
         return max(0, min(state.share, free) - state.running)
 
--- a/jackdawspur/load/speed.py
+++ b/jackdawspur/load/speed.py
@@ -130,7 +130,7 @@
 
 
 def _measure_direct_added_ms(deployment: Deployment) -> float:
-    """Return the p50 of the time that a start and a poll add to a task's run time."""
+    """Return the p50 that a start and a poll sent to a stand-in add to a run time."""
     connection = HTTPConnection(*split_address(deployment.upstreams[0]))
     added_ms, cursor = [], 0
     for index in range(DIRECT_STARTS):
--- a/jackdawspur/scheduling/_run_times.py
+++ b/jackdawspur/scheduling/_run_times.py
@@ -25,8 +25,8 @@
 CLASS_LEARNED_AFTER = 32
 OVERALL_UPDATE_INTERVAL = 8
 # Limits the influence of one straggler: once a history has more than
-# CLIP_RESIDUALS_AFTER tasks, a run time counts as at most e**1.5, about 4.5, times the
-# expected one.
+# CLIP_RESIDUALS_AFTER tasks, a run time is clipped to within a factor of e**1.5, about
+# 4.5, of the expected one.
 MAX_RESIDUAL = 1.5
 CLIP_RESIDUALS_AFTER = 8
 # Ridge added to the variance of declarations (log scale), so that nearly constant
--- a/jackdawspur/settings/_standins.py
+++ b/jackdawspur/settings/_standins.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerPoolStandinSettings:
-    """Settings of a stand-in that serves workers on several addresses."""
+    """Settings of a stand-in process that serves workers on several addresses."""
 
     __pydantic_config__: ClassVar[ConfigDict] = STRICT
 
