--- a/jackdawspur/configuration/_replica.py
+++ b/jackdawspur/configuration/_replica.py
@@ -66,7 +66,7 @@
 class ConfigurationReplica:
     """Core logic of the configuration replica of one host, without I/O.
 
-    Times are in seconds of the monotonic clock.
+    It serves one incarnation of the host. Times are in seconds of the monotonic clock.
     """
 
     def __init__(
--- a/jackdawspur/configuration/_reports.py
+++ b/jackdawspur/configuration/_reports.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedRecord:
-    """Record that was skipped because this program can't apply it."""
+    """Record of the log that was skipped, and the reason."""
 
     offset: int
     reason: SkipReason
--- a/jackdawspur/dispatch/_job.py
+++ b/jackdawspur/dispatch/_job.py
@@ -34,8 +34,8 @@
 class TaskPhase(enum.Enum):
     """State of one task as known to this host.
 
-    `SENT`: its start has no reply yet. `UNSURE`: the reply to its start was lost, so
-    the task may be running.
+    `SENT`: its start has no reply yet. `UNSURE`: the reply to its start was lost, or
+    reported a duplicate, so the task may be running.
     """
 
     SENT = "sent"
--- a/jackdawspur/dispatch/_run.py
+++ b/jackdawspur/dispatch/_run.py
@@ -211,8 +211,9 @@
 ) -> None:
     """Query the status of starts that may have reached the upstream.
 
-    The reply was lost, so the tasks may be running. A second start could run them
-    twice; a status query, which also seals tasks against late starts, can't.
+    The reply was lost or reported a duplicate, so the tasks may be running. A second
+    start could run them twice; a status query, which also seals tasks against late
+    starts, can't.
     """
     unconfirmed = []
     for task in tasks:
--- a/jackdawspur/dispatch/_submit.py
+++ b/jackdawspur/dispatch/_submit.py
@@ -260,7 +260,7 @@
 
 
 def expire_job(state: State, job: Job, now: float) -> None:
-    """End a job at its deadline."""
+    """End a job at its deadline; the answer depends on what is known of its tasks."""
     if job.stage is Stage.ENDED:
         return
     if job.nothing_sent:
@@ -274,8 +274,9 @@
 def _answer_repeat(state: State, event: Submitted, job: Job, now: float) -> None:
     """Answer a repeated submission from the job that it repeats.
 
-    Every answer is final, including "not run": when the caller got it, a repeat may
-    have been in transit at a paused host, and must not run the job afterwards.
+    Except with `may_rerun`, every answer is final, including "not run": when the
+    caller got it, a repeat may have been in transit at a paused host, and must not run
+    the job afterwards.
     """
     request = event.request
     if job.customer != request.customer:
--- a/jackdawspur/entry/_upstreams.py
+++ b/jackdawspur/entry/_upstreams.py
@@ -93,7 +93,7 @@
         self._opening = False
 
     def set_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
-        """Open links to this zone's upstreams, and close links no longer configured."""
+        """Open links to this zone's upstreams, and close idle ones gone or moved."""
         local_upstreams = [u for u in upstreams if u.id.zone == self._local_id.zone]
         reachable = upstreams if self._crosses_zones else local_upstreams
         self._reachable = {upstream.id: upstream for upstream in reachable}
--- a/jackdawspur/membership/_liveness.py
+++ b/jackdawspur/membership/_liveness.py
@@ -46,7 +46,7 @@
         return max(self.linked_at, self.relayed_at)
 
     def accept_sequence(self, sequence: int, now: float) -> bool:
-        """Record a direct message; return False if a newer one was recorded."""
+        """Record a direct message; return False if it isn't newer than the last one."""
         # Messages may arrive out of order; an old one would undo a drain.
         if sequence <= self.sequence:
             return False
@@ -70,7 +70,7 @@
         return [record for _, record in sorted(self._zones.get(zone, {}).items())]
 
     def record_direct(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Record a heartbeat; return False if a newer one was recorded."""
+        """Record a heartbeat; return False if it isn't newer than the last message."""
         record = self._current_record(heartbeat.host)
         if record is None or not record.accept_sequence(heartbeat.sequence, now):
             return False
--- a/jackdawspur/membership/_view.py
+++ b/jackdawspur/membership/_view.py
@@ -68,7 +68,7 @@
             self._members.liveness_table.record_direct_pulse(sender, pulse, now)
 
     def record_host_list(self, hosts: Iterable[ListedHost], now: float) -> None:
-        """Record the platform's list; it adds leaving upstreams only."""
+        """Record the platform's list; it marks leaving upstreams, never a dead host."""
         self._advance_clock(now)
         self._leaving.update_host_list(hosts)
 
--- a/jackdawspur/ownership/_claims.py
+++ b/jackdawspur/ownership/_claims.py
@@ -34,7 +34,7 @@
     # again.
     @property
     def is_full(self) -> bool:
-        """Return whether the table is full; then no more keys may be claimed."""
+        """Return whether the table is full; then this host claims no more keys."""
         return len(self._bindings) >= MAX_CLAIMS
 
     def __init__(self) -> None:
--- a/jackdawspur/ownership/_ids.py
+++ b/jackdawspur/ownership/_ids.py
@@ -14,8 +14,8 @@
 class IdState(enum.Enum):
     """State of a submission id at this host.
 
-    `UNUSED`: issued, not used yet. `SPENT`: used, expired or never issued. `FOREIGN`:
-    owned by another host.
+    `UNUSED`: issued, not used yet. `SPENT`: used, expired, dropped, issued to another
+    customer or never issued. `FOREIGN`: owned by another host.
     """
 
     UNUSED = "unused"
@@ -26,8 +26,9 @@
 class IdIssuer:
     """Create submission ids, and keep the issued ids that are still unused.
 
-    An id that is not among the unused ones was used, has expired or was never issued,
-    and starts nothing. So a job whose answer is no longer stored cannot run again.
+    An id that is not among the unused ones starts nothing: it was used, has expired,
+    was dropped when too many were unused, or was never issued. So a job whose answer
+    is no longer stored cannot run again.
     """
 
     def __init__(self, local_id: HostId) -> None:
--- a/jackdawspur/sharing/_borrowing.py
+++ b/jackdawspur/sharing/_borrowing.py
@@ -164,7 +164,7 @@
         return True
 
     def take_returns(self, now: float, waiting: bool) -> tuple[OutgoingReturn, ...]:
-        """Return messages that give back used slots and unneeded idle ones."""
+        """Return messages that give back used slots, and expired or unneeded ones."""
         if self._idle:
             self._return_idle(now, waiting)
         if not self._to_return:
--- a/jackdawspur/sharing/_limits.py
+++ b/jackdawspur/sharing/_limits.py
@@ -22,14 +22,15 @@
 MAX_LOAN_TIME = 30.0
 # Minimum interval between requests to the same host, unless for more slots.
 REPEAT_REQUEST_AFTER = 0.2
-# How long the rest of a partly granted request can be granted, as slots become idle.
+# How long slots that a request still lacks can be granted, as slots become idle.
 REQUEST_TTL = 0.2
 # A request is sent before that interval ends if the latest start of its task is
 # earlier by this much than that of the last request.
 URGENCY_MARGIN = 0.02
 # How long requested slots count as pending, so that they are not requested again.
 REPLY_TIMEOUT = 0.003
-# Unused borrowed slots are returned after this, even while tasks wait.
+# Borrowed slots unused for this long are returned even while tasks wait, as those
+# tasks evidently can't use them.
 IDLE_BEFORE_RETURN = 0.02
 MIN_BACKOFF = 0.05
 MAX_BACKOFF = 0.8
--- a/jackdawspur/sharing/_loans.py
+++ b/jackdawspur/sharing/_loans.py
@@ -38,7 +38,7 @@
 
 
 class Lending:
-    """Slots lent by this host, which does not use them until they are returned."""
+    """Slots lent by this host, which it can't use until returned or reclaimed."""
 
     def __init__(self) -> None:
         self._next = 1
--- a/jackdawspur/sharing/_requests.py
+++ b/jackdawspur/sharing/_requests.py
@@ -38,7 +38,7 @@
         return bool(self._pending)
 
     def add(self, sender: HostId, request: SlotRequest, now: float) -> None:
-        """Add a request, unless a newer one of its sender is pending."""
+        """Add a request, unless the pending one of its sender is at least as new."""
         known = self._pending.get(sender)
         if known is not None and known.request.number >= request.number:
             return
--- a/jackdawspur/sharing/_slot_pool.py
+++ b/jackdawspur/sharing/_slot_pool.py
@@ -115,11 +115,12 @@
         limits: Mapping[UpstreamId, int] = NO_LIMITS,
         pack: bool = False,
     ) -> tuple[UpstreamId, ...]:
-        """Return the upstreams of up to `count` slots, the least busy ones first.
+        """Return the upstreams of up to `count` slots, in order of preference.
 
-        Ties are broken by the load of the rack. `limits` bounds the running tasks of
-        this host on some upstreams. With `pack`, as few upstreams as possible are
-        filled instead, so that fewer batches of starts are sent.
+        Those of the local zone come first, then the least busy ones. Ties are broken by
+        the load of the rack. `limits` bounds the running tasks of this host on some
+        upstreams. With `pack`, as few upstreams as possible are filled instead, so that
+        fewer batches of starts are sent.
         """
         open_slots = self.available_slots(now)
         for upstream in excluded:
