--- a/jackdawspur/bench/_checks.py
+++ b/jackdawspur/bench/_checks.py
@@ -138,9 +138,10 @@
             self._report(Invariant.SENT_TO_LEAVING, now, detail)
 
     def version_seen(self, host: str, version: int, now: float) -> None:
-        """Check the configuration version that a host reports to its peers.
+        """Check that the configuration version in force at a host never decreases.
 
-        A restarted host reports a negative version until it has a configuration.
+        It is the version that the host reports to its peers; a restarted host reports
+        a negative one until it has a configuration.
         """
         if 0 <= version < self._versions[host]:
             detail = f"{host}: {self._versions[host]} to {version}"
--- a/jackdawspur/bench/_front_simulation.py
+++ b/jackdawspur/bench/_front_simulation.py
@@ -281,7 +281,10 @@
             self.at(self.now + UPSTREAM_LATENCY_S, arrive)
 
     def _is_late(self) -> bool:
-        """Return, at random, whether a call gets no reply and is carried out late."""
+        """Return, at random, whether a call gets no reply.
+
+        Such starts are carried out late, such stops and polls never.
+        """
         return self.late_orders > 0.0 and self.rng.random() < self.late_orders
 
     def _late_start(self, effect: StartRun, demand: JobDemand) -> None:
--- a/jackdawspur/bench/_job_records.py
+++ b/jackdawspur/bench/_job_records.py
@@ -74,7 +74,10 @@
 
 
 def achievable_share(records: Sequence[JobRecord], limit_s: float) -> float:
-    """Return the share that would end within the limit on the fastest upstream."""
+    """Return the share that could end within the limit.
+
+    These are the jobs that would do so if started immediately on the fastest upstream.
+    """
     count = sum(job.min_run_s <= limit_s for job in records)
     return round(count / max(1, len(records)), SHARE_DIGITS)
 
--- a/jackdawspur/bench/_simulation.py
+++ b/jackdawspur/bench/_simulation.py
@@ -103,7 +103,7 @@
         self.loop.after(seconds, host.resume)
 
     def drain(self, host: SimulatedHost) -> None:
-        """Drain a host, and replace it when its drain timeout has passed."""
+        """Drain a host; kill it RESTART_DELAY_S after its timeout, and restart it."""
         host.draining_since = self.loop.now
         host.receive(host.id, DrainRequested(DRAIN_TIMEOUT_S * 1000))
         self.loop.after(DRAIN_TIMEOUT_S + RESTART_DELAY_S, lambda: self.kill(host))
--- a/jackdawspur/bench/_zones.py
+++ b/jackdawspur/bench/_zones.py
@@ -121,7 +121,7 @@
         return self.result
 
     def change_leader(self, zone: Zone) -> None:
-        """Replace the leader of a zone, and offer the new one all open jobs."""
+        """Replace the leader of a zone, and offer the new one the zone's open jobs."""
         progress_by_job = zone.replace_leader()
         for open_job in self._open_jobs.values():
             if open_job.zone is zone:
@@ -321,7 +321,7 @@
 
 
 def _observed_cause(open_job: _OpenJob) -> str:
-    """Return why a job really missed its deadline: when and where its tasks ran."""
+    """Return why a job really missed its deadline, by when and where its tasks ran."""
     if not open_job.runs:
         return "not begun"
     if len(open_job.runs) > len(Counter(run.task for run in open_job.runs)):
--- a/jackdawspur/soak/_fault_injector.py
+++ b/jackdawspur/soak/_fault_injector.py
@@ -173,7 +173,8 @@
         """Return whether a partition blocks messages between two hosts, by index."""
         isolated = fault.target % len(self._deployment.hosts)
         if fault.kind is FaultKind.HALVES_CUT:
-            # Hosts are in the two zones alternately, so these are the halves.
+            # In layouts with two zones, hosts are in them alternately, so that each
+            # half is a zone.
             return sender % 2 != receiver % 2
         if fault.kind is FaultKind.HOST_HEARS_NOBODY:
             return receiver == isolated
--- a/jackdawspur/soak/_proxy.py
+++ b/jackdawspur/soak/_proxy.py
@@ -10,7 +10,7 @@
 __all__ = ["Proxy", "ProxyMode"]
 
 CHUNK_BYTES = 65_536
-# The maximum delay until a change of the mode takes effect.
+# The longest wait for data or connections, after which the mode is checked again.
 POLL_INTERVAL_S = 0.02
 # A peer that reads nothing for this long is disconnected, so that it can't block the
 # other connections.
@@ -109,7 +109,8 @@
     def _send(self, source: socket.socket, data: bytes) -> None:
         """Forward bytes to the other end.
 
-        Close both ends on an error, or if `data` is empty, which means end of file.
+        Close both ends on an error, or if `data` is empty, which means end of file or a
+        failed read.
         """
         try:
             if data:
--- a/jackdawspur/soak/_soak.py
+++ b/jackdawspur/soak/_soak.py
@@ -16,7 +16,8 @@
 HOSTS = 4
 WORKERS = 6
 STEP_S = 0.02
-# About half of the workers' capacity: jobs must fail by faults, not by overload.
+# Uses about half of the workers' capacity, so that only faults make jobs fail, and
+# not overload.
 JOB_INTERVAL_S = 0.08
 MIN_RUN_MS = 20.0
 MAX_RUN_MS = 700.0
