--- a/jackdawspur/front/tests/faulty.py
+++ b/jackdawspur/front/tests/faulty.py
@@ -23,7 +23,8 @@
 MARGIN_S = 0.1
 RETRYABLE_STATUSES = (502, 504)
 MAX_ATTEMPTS = 3
-# The balancer sends no requests to a host that failed two readiness probes.
+# A host that is unready for longer than two readiness probes take gets requests only if
+# its zone has no ready one.
 UNREADY_S = 2.0
 MIN_DELAY_S, MAX_DELAY_S = 2.0, 12.0
 # Time until the store's entry of a crashed upstream expires.
--- a/jackdawspur/front/tests/findings.py
+++ b/jackdawspur/front/tests/findings.py
@@ -61,7 +61,7 @@
 
 
 def _in_time(attempt: Attempt) -> bool:
-    """Return whether an attempt was answered in time, or its host was paused."""
+    """Return False if the timeout passed without an answer or a pause of the host."""
     timeout_at = attempt.sent_at + attempt.timeout_s
     pauses = any(
         paused_at < timeout_at and resumed_at > attempt.sent_at
--- a/jackdawspur/front/tests/random_faults.py
+++ b/jackdawspur/front/tests/random_faults.py
@@ -54,8 +54,8 @@
 FINAL_CHECK_S = 3.0
 JOB_INTERVAL_S = 0.07
 SHORT_S, LONG_S = 0.05, 0.9
-# Longest run time of jobs in layouts with long waits. Fewer jobs arrive there, and some
-# still run when the faults have ended.
+# Longest run time of jobs in layouts with long waits, give or take a tenth. Fewer jobs
+# arrive there, and some still run when the faults have ended.
 LONGEST_S = 2.2
 LONG_JOB_INTERVAL_S = 2 * JOB_INTERVAL_S
 MIN_FAULTS, MAX_FAULTS = 3, 9
--- a/jackdawspur/front/tests/test_learned.py
+++ b/jackdawspur/front/tests/test_learned.py
@@ -106,7 +106,8 @@
 
 
 def test_a_new_host_receives_the_known_statistics(world):
-    # Guards against a leader that started after all statistics had been sent.
+    # Guards against a new leader that has no statistics, because it started after all
+    # had been sent.
     work(world, 8.0)
     leader = leader_of(world, "z1")
     for name in set(alive(world)) - {leader}:
--- a/jackdawspur/front/tests/test_mesh.py
+++ b/jackdawspur/front/tests/test_mesh.py
@@ -42,8 +42,8 @@
 
 
 def test_many_hosts_are_dialled_in_several_passes(mesh: Mesh):
-    # Guards against a new leader that dials all others in one pass, blocks for so long
-    # that it loses the leadership again.
+    # Guards against a new leader that dials all others in one pass, and so blocks for
+    # so long that it loses the leadership again.
     peers = hosts(3 * DIALS_PER_PASS)
     passes = [mesh.set_peers(peers) for _ in range(4)]
     assert [len(names) for names in passes] == [DIALS_PER_PASS] * 3 + [0]
--- a/jackdawspur/front/tests/test_strong_hosts.py
+++ b/jackdawspur/front/tests/test_strong_hosts.py
@@ -25,8 +25,8 @@
 
 
 def test_a_stronger_host_becomes_the_leader(world: World):
-    # Guards against a zone that is always led by the first host, which has a quarter of
-    # the strongest host's processor capacity.
+    # Guards against a zone that is always led by the host whose heartbeats arrived
+    # first, which has a quarter of the strongest host's processor capacity.
     assert set(world.leaders()) < set(WEAK)
     sent = ask(world, SETTLED_S, run_s=0.3, hosts=list(WEAK))
     world.run(2.0)
--- a/jackdawspur/runs/tests/conftest.py
+++ b/jackdawspur/runs/tests/conftest.py
@@ -165,7 +165,7 @@
             self.settle(2)
 
     def lose_start(self, carried_out: bool) -> StartRun:
-        """Let the oldest open start time out, carried out by its upstream or not."""
+        """Leave the oldest open start without a reply, carried out or not."""
         effect = self.starts.pop(0)
         if carried_out:
             self.upstreams[effect.upstream].running[effect.run.task] = effect.run.number
--- a/jackdawspur/runs/tests/test_slow_upstreams.py
+++ b/jackdawspur/runs/tests/test_slow_upstreams.py
@@ -8,7 +8,7 @@
 FAST, MIDDLE, SLOW = (UpstreamId("z1", f"u{n}") for n in range(3))
 TASK_S = 0.2
 DEADLINE_S = 0.35
-# Jobs with this deadline get fast upstreams.
+# Jobs with this deadline get fast upstreams, because it leaves them little time.
 TIGHT_DEADLINE_S = 0.7
 
 
