--- a/jackdawspur/bench/tests/test_faults.py
+++ b/jackdawspur/bench/tests/test_faults.py
@@ -73,8 +73,8 @@
 def test_host_killed(broken):
     """Callers of the dead host are disconnected; its keyed jobs don't run again.
 
-    The host dies with jobs running, waiting and delegated, and restarts a second
-    later. Callers resubmit keyed requests to the live hosts.
+    The host dies with jobs running, waiting and delegated, and restarts a second later
+    under a new incarnation. Callers resubmit keyed requests to the live hosts.
     """
     assert broken("host_killed") == {}
 
--- a/jackdawspur/configuration/tests/test_replica.py
+++ b/jackdawspur/configuration/tests/test_replica.py
@@ -143,7 +143,10 @@
 
 
 def test_failed_reads_back_off_with_jitter(replica):
-    """The log is down for a minute: reads must become rare, at irregular intervals."""
+    """The log is down for a minute: reads must become rare, at irregular intervals.
+
+    Otherwise all hosts would read at the same times.
+    """
     reads = []
     for step in range(1200):
         now = step / 20
--- a/jackdawspur/configuration/tests/test_state_machine.py
+++ b/jackdawspur/configuration/tests/test_state_machine.py
@@ -123,7 +123,10 @@
 
 
 def test_change_that_breaks_references_is_void_everywhere():
-    """A confirm in the log that removes the only operator must not be applied."""
+    """A confirm in the log that removes the only operator must not be applied.
+
+    No planner checked it, so each host must reject it by its own validation.
+    """
     bad = replace(confirm("b", 0), changes=confirm("x", -1).changes[:1])
     lockout = (
         encode_record(bad)
@@ -138,7 +141,10 @@
 
 
 def test_old_snapshots_never_set_the_version_back():
-    """A lagging host's snapshot of an old version must not set the version back."""
+    """A lagging host's snapshot of an old version must not set the version back.
+
+    The snapshot is at the end of the log, after newer confirms.
+    """
     records = log_of(confirm("a", -1, "one"), confirm("b", 0, "two"))
     old = build_snapshot(replay(records[:1]), wall=0.0)
     state_machine = replay(records)
--- a/jackdawspur/membership/tests/conftest.py
+++ b/jackdawspur/membership/tests/conftest.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class FakeNetwork:
-    """Deliver heartbeats one step later, except across partitions or to paused hosts.
+    """Deliver heartbeats in each step, except across partitions or to paused hosts.
 
     `partitioned` holds the zones that are partitioned from all others.
     """
--- a/jackdawspur/scheduling/tests/test_queue.py
+++ b/jackdawspur/scheduling/tests/test_queue.py
@@ -63,8 +63,8 @@
 def test_burst_of_one_customer_leaves_the_others_tail_alone():
     """One customer's burst delays all others' answers.
 
-    For six seconds one of twenty customers sends three times as much as all others
-    together, five times its usual load. In order of arrival every later job would wait
+    For six seconds one of twenty customers sends 20 additional jobs per second, about
+    twice as many as all others together. In order of arrival every later job would wait
     behind its jobs.
     """
 
--- a/jackdawspur/sessions/tests/session.py
+++ b/jackdawspur/sessions/tests/session.py
@@ -220,7 +220,7 @@
         self._watch_drain(name)
 
     def kill(self, name: str) -> None:
-        """Kill a host; it restarts a second later."""
+        """Kill a host; it restarts a second later under a new incarnation."""
         self.add_line("platform", f"{name} is killed")
         self.simulation.kill(self.host(name))
         self.simulation.loop.after(1.001, lambda: self._log_restart(name))
--- a/jackdawspur/sessions/tests/test_sessions.py
+++ b/jackdawspur/sessions/tests/test_sessions.py
@@ -203,7 +203,7 @@
 def test_host_killed(session, snapshot):
     """Other hosts answer that the outcome of a dead host's jobs is unknown.
 
-    The dead run claimed the reassignment's key, so that no resubmission runs it.
+    The dead incarnation claimed the reassignment's key, so no resubmission runs it.
     """
     work = tasks(1, run_ms=900.0)
     session.submit("dispatcher", "z1.e1", "dispatch-reassign", work, key="crew-5")
